--- a/Makefile
+++ b/Makefile
@@ -94,3 +94,10 @@
 .PHONY: report
 report:
 	$(GO) run ./internal/tools/worthplot
+
+# Renames go through gopls: gopls rename -w FILE:LINE:COLUMN NEW. It isn't a tool
+# of go.mod, because it doesn't build with the versions that go.mod selects.
+GOPLS := golang.org/x/tools/gopls@v0.23.0
+.PHONY: gopls
+gopls:
+	$(GO) install $(GOPLS)
