--- a/internal/core/admission/admission_test.go
+++ b/internal/core/admission/admission_test.go
@@ -14,8 +14,8 @@
 
 func at(d time.Duration) time.Time { return start.Add(d) }
 
-// A flooding organisation fills the queue first. The others, who come later
-// with the same share, must still get their part of what is served.
+// One organisation fills the queue first. The others arrive later, with the same
+// share or twice that, and must still get their share of the service.
 func TestQueueServesByShare(t *testing.T) {
 	shares := map[string]float64{"flood": 1, "small": 1, "large": 2}
 	q := NewFairQueue(QueueOptions{Share: func(o string) float64 { return shares[o] }})
@@ -35,8 +35,8 @@
 	}
 }
 
-// An organisation is placed at once for a while, then the pool fills. What
-// it got without waiting must count against it once others wait.
+// An organisation is placed without waiting until the pool is full. That work must
+// count against its share once others wait.
 func TestChargeCountsWorkServedWithoutWaiting(t *testing.T) {
 	q := NewFairQueue(QueueOptions{})
 	q.Push(&Item{ID: "w", Organisation: "waits", Cost: 1, Enqueued: start})
@@ -47,12 +47,12 @@
 	first := ""
 	q.Serve(start, 5, func(i *Item) bool { first = i.ID; return true })
 	if first != "w" {
-		t.Fatalf("served %q first", first)
+		t.Fatalf("served item %q first, want w", first)
 	}
 }
 
-// A steady stream of urgent requests must not hold a lesser one for ever.
-func TestAgeingBoundsTheWait(t *testing.T) {
+// A steady stream of urgent requests must not block a less urgent one forever.
+func TestQueueAgeingBoundsWait(t *testing.T) {
 	const step = time.Second
 	q := NewFairQueue(QueueOptions{AgeStep: step})
 	q.Push(&Item{ID: "low", Organisation: "a", Priority: 0, Cost: 1, Enqueued: start})
@@ -63,16 +63,16 @@
 		q.Serve(now, 5, func(i *Item) bool { served = i.ID; return true })
 		if served == "low" {
 			if i > 6 {
-				t.Fatalf("served after %d steps", i)
+				t.Fatalf("low-priority item served only after %d age steps", i)
 			}
 			return
 		}
 	}
-	t.Fatal("never served")
+	t.Fatal("low-priority item was never served")
 }
 
-// The queue loses nothing and serves nothing twice, its counts agree with a
-// plain map, and offers respect the lanes' order.
+// The queue serves each item exactly once, in order of arrival within each flow,
+// and its counts agree with a plain map.
 func TestQueueAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := NewFairQueue(QueueOptions{AgeStep: time.Second})
@@ -101,11 +101,11 @@
 					}
 					for _, other := range held {
 						if other.Organisation == i.Organisation && other.Lane == i.Lane && other.Enqueued.Before(i.Enqueued) {
-							t.Fatalf("%s served before %s of its flow", i.ID, other.ID)
+							t.Fatalf("item %s served before the older item %s of its flow", i.ID, other.ID)
 						}
 					}
 					if held[i.ID] != i {
-						t.Fatalf("%s served twice", i.ID)
+						t.Fatalf("item %s served twice", i.ID)
 					}
 					delete(held, i.ID)
 					return true
@@ -115,7 +115,7 @@
 				id := fmt.Sprint(rapid.IntRange(1, n+1).Draw(t, "id"))
 				if i := held[id]; i != nil {
 					if !q.Remove(i) || q.Remove(i) {
-						t.Fatal("remove")
+						t.Fatal("Remove did not remove the item exactly once")
 					}
 					delete(held, id)
 				}
@@ -127,7 +127,7 @@
 			},
 			"": func(t *rapid.T) {
 				if q.Len() != len(held) {
-					t.Fatalf("queue %d, oracle %d", q.Len(), len(held))
+					t.Fatalf("queue holds %d items, oracle %d", q.Len(), len(held))
 				}
 				count := map[string]int{}
 				for _, i := range held {
@@ -135,26 +135,26 @@
 				}
 				for _, o := range []string{"a", "b", "c"} {
 					if q.Held(o) != count[o] {
-						t.Fatalf("%s: %d, oracle %d", o, q.Held(o), count[o])
+						t.Fatalf("organisation %s: queue holds %d items, oracle %d", o, q.Held(o), count[o])
 					}
 				}
 			},
 		})
 		for q.Len() > 0 {
 			if !q.Serve(now, 8, func(i *Item) bool { delete(held, i.ID); return true }) {
-				t.Fatal("nothing served from a queue that isn't empty")
+				t.Fatal("Serve took nothing from a non-empty queue")
 			}
 		}
 		if len(held) != 0 {
-			t.Fatalf("lost %d", len(held))
+			t.Fatalf("%d items were never served", len(held))
 		}
 	})
 }
 
-// However requests fall on routers, all routers together never hold more
-// open than the limit with its borrowing and rounding, and an organisation
-// spread evenly gets its whole limit.
-func TestConcurrencySharesAreConserved(t *testing.T) {
+// Regardless of how requests are distributed over routers, the total of open
+// requests stays within the limit times borrowFactor, plus one per router for
+// rounding. An organisation that is spread evenly can use its whole limit.
+func TestConcurrencySharesStayWithinLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		routers := rapid.IntRange(1, 12).Draw(t, "routers")
 		limit := rapid.IntRange(1, 100).Draw(t, "limit")
@@ -173,21 +173,21 @@
 			total += limiters[i].Open()
 		}
 		if float64(total) > borrowFactor*float64(limit)+float64(routers) {
-			t.Fatalf("%d open of a limit of %d at %d routers", total, limit, routers)
+			t.Fatalf("%d requests open, limit %d, %d routers", total, limit, routers)
 		}
 		if routers == 1 && total > limit {
-			t.Fatalf("%d open of a limit of %d at one router", total, limit)
+			t.Fatalf("%d requests open, limit %d, one router", total, limit)
 		}
-		even := make([]Limiter, routers)
+		evenlyUsed := make([]Limiter, routers)
 		for i := range limit - limit%routers {
-			if v, _ := even[i%routers].Acquire(start, limits, routers, 1); v != WithinLimits {
-				t.Fatalf("request %d of a limit of %d at %d routers: %v", i, limit, routers, v)
+			if v, _ := evenlyUsed[i%routers].Acquire(start, limits, routers, 1); v != WithinLimits {
+				t.Fatalf("evenly spread request %d refused, limit %d, %d routers: verdict %v", i, limit, routers, v)
 			}
 		}
 	})
 }
 
-func TestRateLimitPromisesWhenItPasses(t *testing.T) {
+func TestRateLimitWaitIsLongEnough(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := Limits{TokensPerSecond: rapid.Float64Range(10, 1000).Draw(t, "rate")}
 		routers := rapid.IntRange(1, 8).Draw(t, "routers")
@@ -201,22 +201,22 @@
 				admitted += tokens
 				continue
 			}
-			later := l
-			if v, _ := later.Acquire(now.Add(wait+time.Millisecond), limits, routers, tokens); v != WithinLimits {
-				t.Fatalf("refused again after the promised %v", wait)
+			retried := l
+			if v, _ := retried.Acquire(now.Add(wait+time.Millisecond), limits, routers, tokens); v != WithinLimits {
+				t.Fatalf("refused again after the returned wait of %v", wait)
 			}
 		}
-		rate := ratePart(limits.TokensPerSecond, routers)
+		rate := rateShare(limits.TokensPerSecond, routers)
 		if bound := (now.Sub(start).Seconds()+burst)*rate + 200; admitted > bound {
-			t.Fatalf("admitted %v over %v", admitted, bound)
+			t.Fatalf("admitted %v tokens, bound %v", admitted, bound)
 		}
 	})
 }
 
-// Callers told the same moment come back together and are refused again. So
-// promised times must be spread no denser than the pool serves, apart from
-// the rounding to whole seconds, and never lie in the past.
-func TestPromisesAreSpreadAtTheRate(t *testing.T) {
+// Callers with the same retry time return together and are refused again. Retry
+// times must be no denser than the service rate, apart from rounding to whole
+// seconds, and must lie within their bounds.
+func TestPromisesAreSpacedByRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var p Promises
 		rate := rapid.Float64Range(0.5, 20).Draw(t, "rate")
@@ -226,7 +226,7 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "gap")) * time.Millisecond)
 			wait := p.Book(now, rapid.IntRange(0, 20).Draw(t, "backlog"), rate)
 			if wait < minRetryAfter || wait > maxRetryAfter || wait%retryAfterUnit != 0 {
-				t.Fatalf("promised %v", wait)
+				t.Fatalf("retry time %v is out of bounds or not a whole second", wait)
 			}
 			if wait < maxRetryAfter {
 				due[now.Add(wait).Unix()]++
@@ -234,29 +234,29 @@
 		}
 		for second, n := range due {
 			if float64(n) > rate+2 {
-				t.Fatalf("%d promised for second %d at a rate of %v", n, second, rate)
+				t.Fatalf("%d promises due in second %d, rate %v", n, second, rate)
 			}
 		}
 	})
 }
 
-func TestPromisesAreRedeemedInTime(t *testing.T) {
+func TestPromisesAreRedeemedWithinGrace(t *testing.T) {
 	var p Promises
 	wait := p.Book(start, 0, 10)
 	if p.Redeem(start) {
-		t.Fatal("redeemed before its time")
+		t.Fatal("promise redeemed before it was due")
 	}
 	due := at(wait)
 	if p.Booked(start, due) != 1 || !p.Redeem(due) || p.Booked(due, due) != 0 || !p.Redeem(due) || p.Redeem(due) {
-		t.Fatal("not redeemed exactly twice: by a newcomer of that moment and by its caller")
+		t.Fatal("promise not redeemable exactly twice: once by a new caller and once by its own")
 	}
 	p.Book(start, 0, 10)
-	if late := at(wait + graceAfter + time.Minute); p.Booked(late, late) != 0 || p.Redeem(late) {
-		t.Fatal("kept past its grace")
+	if late := at(wait + promiseGrace + time.Minute); p.Booked(late, late) != 0 || p.Redeem(late) {
+		t.Fatal("promise kept past its grace period")
 	}
 }
 
-// A sick endpoint fails every request. Retries must not lift the load of the
+// A failing endpoint fails every request. Retries must not raise the load of the
 // pool by more than a tenth, apart from the reserve.
 func TestRetryBudgetBoundsAmplification(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -265,7 +265,7 @@
 		retries := 0
 		for range tries {
 			b.FirstTry()
-			for range rapid.IntRange(1, 3).Draw(t, "wanted") {
+			for range rapid.IntRange(1, 3).Draw(t, "retries wanted") {
 				if b.Retry() {
 					retries++
 				}
@@ -277,9 +277,9 @@
 	})
 }
 
-// An organisation was idle for a while. When it comes back it must share from
-// now on, not be served alone until it has caught up with the others.
-func TestIdleTimeEarnsNoCredit(t *testing.T) {
+// When an organisation returns after an idle period it must share the service from
+// then on, and not be served alone until it has caught up with the others.
+func TestIdleOrganisationEarnsNoCredit(t *testing.T) {
 	q := NewFairQueue(QueueOptions{})
 	for i := range 50 {
 		q.Push(&Item{ID: fmt.Sprint(i), Organisation: "steady", Cost: 10, Enqueued: start})
@@ -294,6 +294,6 @@
 		q.Serve(start, 5, func(i *Item) bool { served[i.Organisation]++; return true })
 	}
 	if served["back"] > 6 {
-		t.Fatalf("served %v", served)
+		t.Fatalf("served %v, want at most 6 of the returning organisation", served)
 	}
 }
--- a/internal/core/admission/doc.go
+++ b/internal/core/admission/doc.go
@@ -1,5 +1,6 @@
-// Package admission decides who may wait, who goes next and who is refused,
-// from what one router knows alone: there is no counter shared by routers.
-// Its types own no clock and no lock; their owner passes the time and holds
-// the lock of the shard that they belong to.
+// Package admission implements admission control at one router: concurrency and
+// rate limits, fair queueing, Retry-After times and the retry budget. Routers
+// share no counters; each decides from its own state. The types have no clock
+// and no lock: the caller passes the current time and holds the lock of the shard
+// that owns them.
 package admission
--- a/internal/core/admission/ontime_test.go
+++ b/internal/core/admission/lateness_test.go
@@ -9,10 +9,10 @@
 	"pgregory.net/rapid"
 )
 
-// A pool was over its capacity for some seconds. In the order of arrival each
-// request would be served just after its objective, all of them late. Those that
-// can still be in time go first; the late ones follow when nobody else waits.
-func TestThoseInTimeGoBeforeThoseTooLate(t *testing.T) {
+// A pool was over its capacity for some seconds. In order of arrival each request
+// would be served just after its objective, so all would be late. Requests that can
+// still be served in time go first; late ones follow when no others wait.
+func TestQueueServesTimelyItemsBeforeLateItems(t *testing.T) {
 	q := NewFairQueue(QueueOptions{})
 	for i := range 6 {
 		q.Push(&Item{
@@ -25,16 +25,16 @@
 	for q.Serve(now, 4, func(i *Item) bool { served = append(served, i.ID); return true }) {
 	}
 	if slices.Contains(served[:2], "0") || !slices.Contains(served[:2], "4") || !slices.Contains(served[:2], "5") {
-		t.Fatalf("served in the order %v", served)
+		t.Fatalf("served in the order %v, want items 4 and 5 first", served)
 	}
 	if len(served) != 6 {
-		t.Fatalf("served %v: the late ones starve", served)
+		t.Fatalf("served %v, want all 6 items", served)
 	}
 }
 
-// Whatever waits, one that is too late is served only when no organisation's
-// next one can be in time; all that is pushed is served once.
-func TestNoLateOneIsServedBeforeOneInTime(t *testing.T) {
+// A late item is served only when the next item of no organisation can be served in
+// time, and each item is served exactly once.
+func TestQueueServesLateItemsLast(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := NewFairQueue(QueueOptions{AgeStep: time.Second})
 		waiting := map[string]*Item{}
@@ -53,23 +53,23 @@
 		now := start
 		for len(waiting) > 0 {
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "passed")) * time.Millisecond)
-			inTime := 0
+			timely := 0
 			for _, i := range waiting {
 				if !i.late(now) {
-					inTime++
+					timely++
 				}
 			}
-			var got *Item
-			if !q.Serve(now, len(waiting), func(i *Item) bool { got = i; return true }) {
-				t.Fatalf("%d wait and none is served", len(waiting))
+			var served *Item
+			if !q.Serve(now, len(waiting), func(i *Item) bool { served = i; return true }) {
+				t.Fatalf("%d items waiting, none served", len(waiting))
 			}
-			if waiting[got.ID] != got {
-				t.Fatalf("%s is served twice", got.ID)
+			if waiting[served.ID] != served {
+				t.Fatalf("item %s served twice", served.ID)
 			}
-			if got.late(now) && inTime > 0 {
-				t.Fatalf("%s is too late and served before %d in time", got.ID, inTime)
+			if served.late(now) && timely > 0 {
+				t.Fatalf("late item %s served before %d timely items", served.ID, timely)
 			}
-			delete(waiting, got.ID)
+			delete(waiting, served.ID)
 		}
 	})
 }
--- a/internal/core/admission/limit.go
+++ b/internal/core/admission/limit.go
@@ -5,53 +5,58 @@
 	"time"
 )
 
-// Limits are one organisation's bounds over all routers; zero is no bound.
+// Limits are the bounds of one organisation across all routers; zero means no
+// bound.
 type Limits struct {
 	TokensPerSecond float64
 	Concurrency     int
 }
 
-// borrowFactor is how far one router may go past its even part of a limit.
-// Callers keep an entry address for a while, so an organisation's requests
-// are never spread evenly; an even part alone would refuse at one router
-// what stands unused at another. All routers together stay within
-// borrowFactor times the limit, plus one request each for rounding.
+// borrowFactor is the multiple of its even share of a limit that one router may
+// admit. Callers reuse an entry address for a while, so the requests of an
+// organisation are not spread evenly over routers; with even shares alone one
+// router would refuse requests while another has unused capacity. The total over
+// all routers stays within borrowFactor times the limit, plus one request per
+// router for rounding.
 const borrowFactor = 1.25
 
-// burst is how many seconds of its rate an organisation may use at once.
+// burst is the number of seconds of its rate that an organisation may use at
+// once.
 const burst = 2.0
 
-// Limiter keeps one organisation's use at one router.
+// Limiter tracks the open requests and the token rate of one organisation at one
+// router.
 type Limiter struct {
-	open   int
-	tokens float64
-	filled time.Time
+	open       int
+	tokens     float64
+	lastRefill time.Time
 }
 
-// LimitVerdict says which limit stops a request, if any.
+// LimitVerdict tells which limit refuses a request, if any.
 type LimitVerdict int
 
-// The verdicts of Limiter.
+// The results of Limiter.Acquire.
 const (
 	WithinLimits LimitVerdict = iota
 	OverConcurrency
 	OverRate
 )
 
-// Open counts the open requests.
+// Open returns the number of open requests.
 func (l *Limiter) Open() int { return l.open }
 
-// Acquire opens a request of the expected tokens, or says what stops it and
-// after which time the rate allows it. Routers is the number of live routers.
+// Acquire opens a request that is expected to use the given number of tokens.
+// Otherwise it returns the limit that refuses the request and, for the rate limit,
+// the time until the rate allows it. Routers is the number of live routers.
 func (l *Limiter) Acquire(now time.Time, limits Limits, routers int, tokens float64) (LimitVerdict, time.Duration) {
-	if limits.Concurrency > 0 && l.open >= concurrencyPart(limits.Concurrency, routers) {
+	if limits.Concurrency > 0 && l.open >= concurrencyShare(limits.Concurrency, routers) {
 		return OverConcurrency, 0
 	}
 	if limits.TokensPerSecond > 0 {
-		rate := ratePart(limits.TokensPerSecond, routers)
-		l.fill(now, rate)
-		// One request larger than the burst must pass once the burst is
-		// whole, or it never would; the debt delays the next.
+		rate := rateShare(limits.TokensPerSecond, routers)
+		l.refill(now, rate)
+		// A request larger than the burst passes once the burst is full, or it
+		// would never pass; the negative balance delays the next request.
 		need := min(tokens, burst*rate)
 		if l.tokens < need {
 			return OverRate, time.Duration((need - l.tokens) / rate * float64(time.Second))
@@ -62,7 +67,7 @@
 	return WithinLimits, 0
 }
 
-// Reopen opens a request that was let in before, whatever the limits.
+// Reopen opens a request that was admitted before, without checking the limits.
 func (l *Limiter) Reopen() { l.open++ }
 
 // Release closes a request.
@@ -72,23 +77,24 @@
 	}
 }
 
-func (l *Limiter) fill(now time.Time, rate float64) {
-	if l.filled.IsZero() {
+func (l *Limiter) refill(now time.Time, rate float64) {
+	if l.lastRefill.IsZero() {
 		l.tokens = burst * rate
-	} else if gone := now.Sub(l.filled).Seconds(); gone > 0 {
-		l.tokens = min(burst*rate, l.tokens+gone*rate)
+	} else if elapsed := now.Sub(l.lastRefill).Seconds(); elapsed > 0 {
+		l.tokens = min(burst*rate, l.tokens+elapsed*rate)
 	}
-	l.filled = now
+	l.lastRefill = now
 }
 
-// concurrencyPart is one router's part, never less than one: an organisation
-// that may have one request open must find a router that takes it.
-func concurrencyPart(limit, routers int) int {
-	even := float64(limit) / float64(max(1, routers))
-	return max(1, min(limit, int(math.Floor(even*borrowFactor))))
+// concurrencyShare returns the share of one router in a concurrency limit. It is
+// at least one, so that an organisation with a limit of one finds a router that
+// admits its request.
+func concurrencyShare(limit, routers int) int {
+	evenShare := float64(limit) / float64(max(1, routers))
+	return max(1, min(limit, int(math.Floor(evenShare*borrowFactor))))
 }
 
-// ratePart is one router's part of a rate.
-func ratePart(limit float64, routers int) float64 {
+// rateShare returns the share of one router in a rate limit.
+func rateShare(limit float64, routers int) float64 {
 	return min(limit, limit/float64(max(1, routers))*borrowFactor)
 }
--- a/internal/core/admission/promise.go
+++ b/internal/core/admission/promise.go
@@ -2,111 +2,114 @@
 
 import "time"
 
-// Bounds of the promises made with refusals.
+// Bounds of the Retry-After times sent with refusals.
 const (
 	minRetryAfter = time.Second
-	// maxRetryAfter bounds what is promised; a caller told so long does
-	// better elsewhere, but is not told less than what is true.
+	// maxRetryAfter caps the Retry-After time. A caller with a wait this long does
+	// better elsewhere, but is never given less than the estimate below the cap.
 	maxRetryAfter = 10 * time.Minute
-	// unknownRetryAfter is promised where nothing was served of late.
+	// unknownRetryAfter is used where no request was served recently, so that
+	// no rate is known.
 	unknownRetryAfter = 30 * time.Second
-	// graceAfter is how long after its time a promise is still kept: a
-	// caller's own timer and way back take some of it.
-	graceAfter = 10 * time.Second
-	// retryAfterUnit: the header counts whole seconds, so a promise is
-	// rounded up, never down.
+	// promiseGrace is how long after its due time a promise can be redeemed,
+	// to allow for the timer of the caller and the network delay.
+	promiseGrace = 10 * time.Second
+	// retryAfterUnit is the resolution of the Retry-After header, which counts
+	// whole seconds. Times are rounded up, so that no caller returns too early.
 	retryAfterUnit = time.Second
-	// maxPromises bounds the promises remembered.
+	// maxPromises bounds the pending promises.
 	maxPromises = 1024
-	// promisedPart is the part of what is served that may be promised; the
-	// rest is left to callers who come new.
-	promisedPart = 0.5
-	// redemptions is how often one promise is honoured. A caller who comes
-	// back can't be told from one who comes new in that moment, who would
-	// use it up; as half of the service is promised, there is room for both.
-	redemptions = 2
+	// promisedFraction is the fraction of the service rate that is reserved
+	// for promises; the rest serves callers without one.
+	promisedFraction = 0.5
+	// maxRedemptions is how often one promise can be redeemed. A returning
+	// caller can't be told from a new one that arrives at the same moment and
+	// would use up the promise; as promises take half of the service rate,
+	// there is room for both.
+	maxRedemptions = 2
 )
 
-// made is one promise that may still be redeemed.
-type made struct {
-	due  time.Time
-	uses int
+// promise is a Retry-After time that can still be redeemed.
+type promise struct {
+	due      time.Time
+	usesLeft int
 }
 
-// Promises books a time for each caller that is refused, so that callers
-// who come back at their time find room. Without it all would be told the
-// same moment, come back together, and most would be refused again. One
-// belongs to one organisation and lane at one router.
+// Promises assigns a separate retry time to each refused caller, so that callers
+// who return at their time find capacity. With one time for all they would return
+// together, and most would be refused again. There is one Promises per
+// organisation and lane at each router.
 type Promises struct {
-	// next is the last time promised.
-	next time.Time
-	made []made
+	// lastDue is the latest due time assigned so far.
+	lastDue time.Time
+	pending []promise
 }
 
-// Book returns the wait to promise: after those ahead are served at the rate
-// (requests a second), and after all earlier promises.
+// Book returns the Retry-After time for a refused caller. It lies after the
+// requests ahead are served at the given rate (in requests per second), and after
+// all earlier promises.
 func (p *Promises) Book(now time.Time, ahead int, rate float64) time.Duration {
-	p.forget(now)
+	p.dropExpired(now)
 	if rate <= 0 {
 		return p.record(now, unknownRetryAfter)
 	}
-	slot := min(maxRetryAfter, time.Duration(float64(time.Second)/(promisedPart*rate)))
+	slot := min(maxRetryAfter, time.Duration(float64(time.Second)/(promisedFraction*rate)))
 	due := now.Add(max(minRetryAfter, time.Duration(ahead+1)*slot))
-	if later := p.next.Add(slot); later.After(due) {
-		due = later
+	if nextDue := p.lastDue.Add(slot); nextDue.After(due) {
+		due = nextDue
 	}
 	wait := roundUp(due.Sub(now), retryAfterUnit)
 	if wait > maxRetryAfter {
 		return maxRetryAfter
 	}
-	p.next = due
+	p.lastDue = due
 	return p.record(now, wait)
 }
 
 func (p *Promises) record(now time.Time, wait time.Duration) time.Duration {
-	if len(p.made) < maxPromises {
-		p.made = append(p.made, made{due: now.Add(wait), uses: redemptions})
+	if len(p.pending) < maxPromises {
+		p.pending = append(p.pending, promise{due: now.Add(wait), usesLeft: maxRedemptions})
 	}
 	return wait
 }
 
-// Redeem uses a due promise, if there is one: its caller goes before those
-// who hold none.
+// Redeem uses one redemption of a promise that is due, and reports whether there
+// was one. Its caller goes before callers without a promise.
 func (p *Promises) Redeem(now time.Time) bool {
-	p.forget(now)
-	for i := range p.made {
-		m := &p.made[i]
-		if m.uses == 0 || m.due.After(now) {
+	p.dropExpired(now)
+	for i := range p.pending {
+		m := &p.pending[i]
+		if m.usesLeft == 0 || m.due.After(now) {
 			continue
 		}
-		m.uses--
+		m.usesLeft--
 		return true
 	}
 	return false
 }
 
-// Booked counts the promises not yet used that come due until then. A caller without one
-// has these ahead of it.
+// Booked counts the unused promises that come due up to the given time. They go
+// before a caller without a promise.
 func (p *Promises) Booked(now, until time.Time) int {
-	p.forget(now)
+	p.dropExpired(now)
 	n := 0
-	for i := range p.made {
-		if p.made[i].uses == redemptions && !p.made[i].due.After(until) {
+	for i := range p.pending {
+		if p.pending[i].usesLeft == maxRedemptions && !p.pending[i].due.After(until) {
 			n++
 		}
 	}
 	return n
 }
 
-// forget drops the promises whose grace is over.
-func (p *Promises) forget(now time.Time) {
-	kept := p.made[:0]
-	for _, m := range p.made {
-		if m.uses > 0 && !m.due.Add(graceAfter).Before(now) {
+// dropExpired drops promises that are used up or past their grace period.
+func (p *Promises) dropExpired(now time.Time) {
+	kept := p.pending[:0]
+	for _, m := range p.pending {
+		if m.usesLeft > 0 && !m.due.Add(promiseGrace).Before(now) {
 			kept = append(kept, m)
 		}
 	}
-	p.made = kept
+	p.pending = kept
 }
 
 func roundUp(d, unit time.Duration) time.Duration {
--- a/internal/core/admission/queue.go
+++ b/internal/core/admission/queue.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Lane keeps long and short requests of one organisation apart, so that a
-// short one never waits behind a long one that doesn't fit yet.
+// Lane separates the long and short requests of one organisation, so that a short
+// request never waits behind a long one that doesn't fit yet.
 type Lane uint8
 
 // The lanes.
@@ -20,40 +20,45 @@
 	ID           string
 	Organisation string
 	Lane         Lane
-	// Priority: larger goes first, until others have aged past it.
+	// Priority: items with a larger value are served first, until others have
+	// aged past them.
 	Priority int
-	// Cost is the work asked for, in tokens; it is charged when served.
+	// Cost is the requested work in tokens; it is charged when the item is served.
 	Cost     float64
 	Enqueued time.Time
-	// OnTime is until when it can still be served in time; zero for ever.
+	// OnTime is the latest time at which serving the item meets its objective;
+	// zero means any time.
 	OnTime time.Time
-	// Owner is handed back untouched.
+	// Owner is opaque to the queue and returned unchanged.
 	Owner any
 }
 
-// late reports whether the item can't be served in time any more.
+// late reports whether the item can no longer be served in time.
 func (i *Item) late(now time.Time) bool { return !i.OnTime.IsZero() && now.After(i.OnTime) }
 
-// QueueOptions bound and weigh a FairQueue.
+// QueueOptions configure a FairQueue.
 type QueueOptions struct {
-	// AgeStep is the wait that lifts a held request by one priority.
+	// AgeStep is the waiting time that raises the priority of an item by one; zero
+	// turns ageing off.
 	AgeStep time.Duration
-	// Share returns an organisation's weight; nil gives all the same.
+	// Share returns the weight of an organisation; nil weighs all equally.
 	Share func(organisation string) float64
 }
 
 // FairQueue holds requests and serves organisations in proportion to their
-// shares, by start-time fair queueing. Work served without waiting must be
-// charged too, or a flood that is placed at once would count as nothing.
+// shares, by start-time fair queueing. Work that is served without waiting must
+// be charged as well, or requests that are placed at once would not count against
+// the share of their organisation.
 type FairQueue struct {
 	options QueueOptions
 	flows   map[flowKey]*flow
-	// order lists the flows with items, so that no map order decides.
-	order   []*flow
-	tags    map[string]float64
-	virtual float64
-	length  int
-	held    map[string]int
+	// order lists the flows with items, so that the result doesn't depend on
+	// map iteration order.
+	order       []*flow
+	startTags   map[string]float64
+	virtualTime float64
+	length      int
+	held        map[string]int
 }
 
 type flowKey struct {
@@ -66,7 +71,8 @@
 	items []*Item
 }
 
-// next is the first item that can still be served in time, else the first.
+// next returns the first item that can still be served in time, else the first
+// item.
 func (f *flow) next(now time.Time) *Item {
 	for _, i := range f.items {
 		if !i.late(now) {
@@ -76,39 +82,39 @@
 	return f.items[0]
 }
 
-// NewFairQueue makes an empty queue.
+// NewFairQueue returns an empty queue.
 func NewFairQueue(o QueueOptions) *FairQueue {
 	return &FairQueue{
-		options: o,
-		flows:   make(map[flowKey]*flow),
-		tags:    make(map[string]float64),
-		held:    make(map[string]int),
+		options:   o,
+		flows:     make(map[flowKey]*flow),
+		startTags: make(map[string]float64),
+		held:      make(map[string]int),
 	}
 }
 
-// Len counts the held requests.
+// Len returns the number of held items.
 func (q *FairQueue) Len() int { return q.length }
 
-// Held counts the held requests of an organisation.
+// Held returns the number of held items of an organisation.
 func (q *FairQueue) Held(organisation string) int { return q.held[organisation] }
 
-// Organisations counts those that have requests held.
+// Organisations returns the number of organisations with held items.
 func (q *FairQueue) Organisations() int { return len(q.held) }
 
-// Push holds an item behind the others of its organisation and lane.
+// Push adds an item behind the others of its organisation and lane.
 func (q *FairQueue) Push(i *Item) {
 	f := q.flow(i)
 	f.items = append(f.items, i)
 }
 
-// PushFront holds an item before the others of its organisation and lane:
-// that of a caller who was promised this time.
+// PushFront adds an item before the others of its organisation and lane. It is for
+// callers who return at the time that they were promised.
 func (q *FairQueue) PushFront(i *Item) {
 	f := q.flow(i)
 	f.items = slices.Insert(f.items, 0, i)
 }
 
-// flow counts an item and returns the flow that it belongs to.
+// flow adds an item to the counts and returns its flow, creating it if needed.
 func (q *FairQueue) flow(i *Item) *flow {
 	key := flowKey{i.Organisation, i.Lane}
 	f := q.flows[key]
@@ -122,23 +128,23 @@
 	return f
 }
 
-// Remove forgets an item, wherever it stands.
+// Remove takes an item out of the queue, and reports whether it was held.
 func (q *FairQueue) Remove(i *Item) bool {
 	f := q.flows[flowKey{i.Organisation, i.Lane}]
 	if f == nil {
 		return false
 	}
-	at := slices.Index(f.items, i)
-	if at < 0 {
+	index := slices.Index(f.items, i)
+	if index < 0 {
 		return false
 	}
-	q.removeAt(f, at)
+	q.removeAt(f, index)
 	return true
 }
 
-func (q *FairQueue) removeAt(f *flow, at int) {
-	i := f.items[at]
-	f.items = slices.Delete(f.items, at, at+1)
+func (q *FairQueue) removeAt(f *flow, index int) {
+	i := f.items[index]
+	f.items = slices.Delete(f.items, index, index+1)
 	q.length--
 	q.held[i.Organisation]--
 	if q.held[i.Organisation] == 0 {
@@ -151,8 +157,8 @@
 }
 
 // Serve offers the next item of each flow in fair order until accept takes one,
-// which is then removed and charged; it reports whether one was taken. At
-// most tries items are offered, which bounds the work of one call.
+// which it removes and charges; it reports whether one was taken. At most tries
+// items are offered, which bounds the work of one call.
 func (q *FairQueue) Serve(now time.Time, tries int, accept func(*Item) bool) bool {
 	slices.SortStableFunc(q.order, func(a, b *flow) int { return q.compare(now, a, b) })
 	for _, f := range q.order[:min(tries, len(q.order))] {
@@ -168,14 +174,14 @@
 }
 
 // compare orders flows by whether their next item can be served in time, then
-// aged priority, then fair tag, then age.
+// aged priority, then fair start tag, then age.
 //
-// Those that are too late go after all others: served in the order of arrival, a
-// queue that grew past the objective once makes every request late from then on,
-// though as many are served. Over half of the reports that were late at a pool above
-// its capacity came in time with this order (1,085 reports in 34 s: 136 late in
-// place of 308), and the late ones waited longer. They can't starve: each is
-// served or refused within its hold limit, and what is late now was not at first.
+// Late items go after all others. In order of arrival, a queue that once grew past
+// the objective makes every later request late as well, although as many are
+// served. At a pool above its capacity this order cut the late reports by more than
+// half (136 instead of 308 of 1,085 reports in 34 s), while those that were late
+// waited longer. Late items can't starve: each is served or refused within its hold
+// limit, and what is late now was not late at first.
 func (q *FairQueue) compare(now time.Time, a, b *flow) int {
 	x, y := a.next(now), b.next(now)
 	if late := y.late(now); x.late(now) != late {
@@ -187,7 +193,7 @@
 	if d := q.agedPriority(now, y) - q.agedPriority(now, x); d != 0 {
 		return d
 	}
-	s, t := q.tag(x.Organisation), q.tag(y.Organisation)
+	s, t := q.startTag(x.Organisation), q.startTag(y.Organisation)
 	switch {
 	case s < t:
 		return -1
@@ -198,10 +204,10 @@
 	}
 }
 
-// agedPriority lifts a request by one for each AgeStep waited. Without it a
-// steady stream of urgent requests would hold a lesser one for ever; with it
-// the wait behind later, more urgent ones is at most the priorities' distance
-// times AgeStep.
+// agedPriority raises the priority of an item by one for each AgeStep waited.
+// Without ageing a steady stream of urgent requests would block a less urgent one
+// forever. With it a request waits behind later, more urgent ones for at most the
+// difference in priority times AgeStep.
 func (q *FairQueue) agedPriority(now time.Time, i *Item) int {
 	if q.options.AgeStep <= 0 {
 		return i.Priority
@@ -209,30 +215,31 @@
 	return i.Priority + int(now.Sub(i.Enqueued)/q.options.AgeStep)
 }
 
-// Charge counts work served to an organisation.
+// Charge adds served work to the start tag of an organisation.
 func (q *FairQueue) Charge(organisation string, cost float64) {
-	start := q.tag(organisation)
-	q.virtual = max(q.virtual, q.leastTag(start))
-	q.tags[organisation] = start + cost/q.share(organisation)
-	if len(q.tags) > maxTags {
-		q.forgetIdle()
+	start := q.startTag(organisation)
+	q.virtualTime = max(q.virtualTime, q.minStartTag(start))
+	q.startTags[organisation] = start + cost/q.share(organisation)
+	if len(q.startTags) > maxStartTags {
+		q.dropIdleTags()
 	}
 }
 
-// maxTags bounds the organisations whose fair tags are kept.
-const maxTags = 4096
+// maxStartTags bounds the organisations whose start tags are kept.
+const maxStartTags = 4096
 
-// tag is an organisation's next start: one that was idle gets no credit for
-// the time it asked for nothing.
-func (q *FairQueue) tag(organisation string) float64 {
-	return max(q.virtual, q.tags[organisation])
+// startTag returns the start tag of the next request of an organisation. It is at
+// least the virtual time, so that idle time earns no credit.
+func (q *FairQueue) startTag(organisation string) float64 {
+	return max(q.virtualTime, q.startTags[organisation])
 }
 
-// leastTag is the virtual time: the smallest start among those that wait.
-func (q *FairQueue) leastTag(start float64) float64 {
+// minStartTag returns the new virtual time: the smallest start tag among waiting
+// organisations, and the given one.
+func (q *FairQueue) minStartTag(start float64) float64 {
 	least := start
 	for _, f := range q.order {
-		least = min(least, q.tag(f.key.organisation))
+		least = min(least, q.startTag(f.key.organisation))
 	}
 	return least
 }
@@ -247,31 +254,31 @@
 	return 1
 }
 
-func (q *FairQueue) forgetIdle() {
-	for organisation, tag := range q.tags {
-		if tag <= q.virtual && q.held[organisation] == 0 {
-			delete(q.tags, organisation)
+func (q *FairQueue) dropIdleTags() {
+	for organisation, tag := range q.startTags {
+		if tag <= q.virtualTime && q.held[organisation] == 0 {
+			delete(q.startTags, organisation)
 		}
 	}
 }
 
-// Expired removes and returns the items for which gone is true.
-func (q *FairQueue) Expired(gone func(*Item) bool) []*Item {
-	var out []*Item
+// Expired removes and returns the items for which expired is true.
+func (q *FairQueue) Expired(expired func(*Item) bool) []*Item {
+	var removed []*Item
 	for _, f := range slices.Clone(q.order) {
-		for at := 0; at < len(f.items); {
-			if i := f.items[at]; gone(i) {
-				out = append(out, i)
-				q.removeAt(f, at)
+		for index := 0; index < len(f.items); {
+			if i := f.items[index]; expired(i) {
+				removed = append(removed, i)
+				q.removeAt(f, index)
 				continue
 			}
-			at++
+			index++
 		}
 	}
-	return out
+	return removed
 }
 
-// HeldFlow counts an organisation's held requests in one lane.
+// HeldFlow returns the number of held items of an organisation in one lane.
 func (q *FairQueue) HeldFlow(organisation string, lane Lane) int {
 	f := q.flows[flowKey{organisation, lane}]
 	if f == nil {
@@ -280,7 +287,7 @@
 	return len(f.items)
 }
 
-// HeldLane counts the held requests in one lane.
+// HeldLane returns the number of held items in one lane.
 func (q *FairQueue) HeldLane(lane Lane) int {
 	n := 0
 	for _, f := range q.order {
--- a/internal/core/admission/retry.go
+++ b/internal/core/admission/retry.go
@@ -4,27 +4,28 @@
 
 // Bounds of the retry budget.
 const (
-	// retryShare is the retries earned by each first try.
+	// retryShare is the number of retries that each first try earns.
 	retryShare = 0.1
-	// retryReserve lets a quiet router retry at all. It is also the most
-	// that can be saved up, so that a long quiet time pays for no storm.
+	// retryReserve is the initial and maximum number of saved retries. It lets
+	// a router with little traffic retry, and bounds the retries that a
+	// long time without failures can save up.
 	retryReserve = 5
 )
 
-// RetryBudget bounds retries of generations to a share of first tries. Without
-// it a sick pool gets the load of each failure once more, and stays sick. The
-// zero value is a full budget. It is not safe for concurrent use.
+// RetryBudget bounds retries of generations to a share of first tries. Without it
+// the retries of each failure would keep an overloaded pool overloaded. The zero
+// value is a full budget. It is not safe for concurrent use.
 type RetryBudget struct {
 	budget *breaker.Budget
 }
 
-// FirstTry earns a part of a retry.
-func (b *RetryBudget) FirstTry() { b.ready().FirstTry() }
+// FirstTry adds the share of a retry that one first try earns.
+func (b *RetryBudget) FirstTry() { b.lazyInit().FirstTry() }
 
-// Retry takes one retry from the budget, or reports that it is spent.
-func (b *RetryBudget) Retry() bool { return b.ready().Retry() }
+// Retry takes one retry from the budget; it returns false if the budget is spent.
+func (b *RetryBudget) Retry() bool { return b.lazyInit().Retry() }
 
-func (b *RetryBudget) ready() *breaker.Budget {
+func (b *RetryBudget) lazyInit() *breaker.Budget {
 	if b.budget == nil {
 		b.budget = breaker.NewBudget(retryShare, retryReserve)
 	}
