--- a/internal/core/quarantine/bench_test.go
+++ b/internal/core/quarantine/bench_test.go
@@ -9,7 +9,7 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/core/quarantine"
 )
 
-// BenchmarkRequest measures what the quarantine costs a request that is sent.
+// BenchmarkRequest measures the cost of the quarantine for each request that is sent.
 func BenchmarkRequest(b *testing.B) {
 	d := newDaemons(1)
 	for range 3 {
@@ -28,10 +28,10 @@
 	}
 }
 
-// A verdict with as many suspects as are remembered.
+// BenchmarkEvaluate evaluates as many suspects as are remembered at most.
 func BenchmarkEvaluate(b *testing.B) {
 	d := newDaemons(1)
-	d.lose(4096)
+	d.crashWithRequests(4096)
 	var all []quarantine.Suspect
 	for s := range d.nodes[0].Suspects().All() {
 		all = append(all, s)
@@ -49,7 +49,7 @@
 				runtime.GC()
 				runtime.ReadMemStats(&before)
 				d := newDaemons(1)
-				d.lose(n)
+				d.crashWithRequests(n)
 				d.changes = nil
 				runtime.GC()
 				runtime.ReadMemStats(&after)
@@ -60,8 +60,9 @@
 	}
 }
 
-// lose has endpoints end with so many requests, 24 at each.
-func (d *daemons) lose(requests int) {
+// crashWithRequests crashes endpoints that run 24 requests each, until the given
+// number of requests is reached.
+func (d *daemons) crashWithRequests(requests int) {
 	const slots = 24
 	for n := 0; n < requests; n += slots {
 		var ran []fingerprint
--- a/internal/core/quarantine/completed.go
+++ b/internal/core/quarantine/completed.go
@@ -5,25 +5,26 @@
 	"time"
 )
 
-// Bounds of what is remembered of requests that ran to their end.
+// Bounds of the memory of completed requests.
 const (
 	completedShards = 16
-	// completedPerShard bounds each of the two ages that a shard keeps.
+	// completedPerShard bounds each of the two generations of a shard.
 	completedPerShard = 512
-	// completedAge is the time after which an age is followed by the next one.
-	completedAge = time.Minute
+	// completedRotation is the age at which the current generation is replaced.
+	completedRotation = time.Minute
 )
 
-// completed remembers requests that ran to their end of late: they crash
-// nothing. It keeps two ages, so that forgetting costs nothing.
+// completed remembers requests that completed recently, which therefore don't
+// crash endpoints. It keeps two generations, so that old entries are dropped
+// without a scan.
 type completed struct {
 	shards [completedShards]completedShard
 }
 
 type completedShard struct {
-	mu         sync.Mutex
-	young, old map[Fingerprint]struct{}
-	youngSince time.Time
+	mu                sync.Mutex
+	current, previous map[Fingerprint]struct{}
+	currentSince      time.Time
 }
 
 func (c *completed) shard(f Fingerprint) *completedShard { return &c.shards[f[0]%completedShards] }
@@ -32,29 +33,29 @@
 	s := c.shard(f)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.turn(now)
-	s.young[f] = struct{}{}
+	s.rotate(now)
+	s.current[f] = struct{}{}
 }
 
 func (c *completed) has(now time.Time, f Fingerprint) bool {
 	s := c.shard(f)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.turn(now)
-	_, young := s.young[f]
-	_, old := s.old[f]
-	return young || old
+	s.rotate(now)
+	_, inCurrent := s.current[f]
+	_, inPrevious := s.previous[f]
+	return inCurrent || inPrevious
 }
 
-// turn begins a new age where the present one is full or over.
-func (s *completedShard) turn(now time.Time) {
-	age := now.Sub(s.youngSince)
-	if s.young != nil && age < completedAge && len(s.young) < completedPerShard {
+// rotate starts a new generation when the current one is full or too old.
+func (s *completedShard) rotate(now time.Time) {
+	age := now.Sub(s.currentSince)
+	if s.current != nil && age < completedRotation && len(s.current) < completedPerShard {
 		return
 	}
-	s.old = s.young
-	if age >= 2*completedAge {
-		s.old = nil
+	s.previous = s.current
+	if age >= 2*completedRotation {
+		s.previous = nil
 	}
-	s.young, s.youngSince = make(map[Fingerprint]struct{}), now
+	s.current, s.currentSince = make(map[Fingerprint]struct{}), now
 }
--- a/internal/core/quarantine/doc.go
+++ b/internal/core/quarantine/doc.go
@@ -1,4 +1,4 @@
-// Package quarantine finds requests that crash each endpoint that runs them,
-// known as queries of death, and decides which are not to be sent any more. It
-// knows no sockets and no clock.
+// Package quarantine detects requests that crash every endpoint that runs them,
+// also known as queries of death, and decides which of them to stop sending. It
+// does no I/O and has no clock of its own.
 package quarantine
--- a/internal/core/quarantine/evaluate.go
+++ b/internal/core/quarantine/evaluate.go
@@ -5,90 +5,92 @@
 	"slices"
 )
 
-// Bounds of a verdict, in endpoints that crashed while they ran a request.
+// Thresholds of a verdict, in endpoints that crashed while they ran a request.
 const (
-	// quarantineAfter is enough for a request by which alone they can be explained.
+	// quarantineAfter is enough for a request that alone can explain its crashes.
 	quarantineAfter = 3
-	// quarantineTiedAfter is enough for any: a request that can't be told from others
-	// is not tried for ever.
-	quarantineTiedAfter = 5
+	// quarantineAmbiguousAfter is enough for any request, so that one that can't
+	// be told apart from others is not retried forever.
+	quarantineAmbiguousAfter = 5
 )
 
 // Evaluate returns the requests to quarantine.
 //
-// Whatever else ran at a crashed endpoint was lost with it, so a crash is held
-// against all of them at first. It tells the more of a request the fewer others
-// ran at all the same crashes: one that crashed four endpoints explains these,
-// and they are no longer held against any other.
+// All requests that ran at a crashed endpoint are suspects of that crash at first.
+// The evidence against a request is stronger the fewer others ran at all the same
+// crashes. Once a request is quarantined, its crashes are explained and no longer
+// count against any other.
 func Evaluate(suspects []Suspect) []Fingerprint {
-	left := make([]*evidence, 0, len(suspects))
+	candidates := make([]*candidate, 0, len(suspects))
 	for i := range suspects {
 		if len(suspects[i].Crashes) >= quarantineAfter {
-			left = append(left, newEvidence(&suspects[i]))
+			candidates = append(candidates, newCandidate(&suspects[i]))
 		}
 	}
 	var quarantined []Fingerprint
 	for {
-		worst := untied(left)
-		if worst == nil {
+		selected := selectQuarantined(candidates)
+		if selected == nil {
 			return quarantined
 		}
-		quarantined = append(quarantined, worst.fingerprint)
-		left = explain(left, worst)
+		quarantined = append(quarantined, selected.fingerprint)
+		candidates = removeExplained(candidates, selected)
 	}
 }
 
-// evidence is what still speaks against a request.
-type evidence struct {
+// candidate is a request with the crashes that are not yet explained by others.
+type candidate struct {
 	fingerprint Fingerprint
 	crashes     []CrashID
-	// isConclusive: there are too many crashes, whatever else may explain them.
+	// isConclusive is set if the request has enough crashes to be quarantined
+	// even when others may explain them.
 	isConclusive bool
 }
 
-func newEvidence(s *Suspect) *evidence {
-	return &evidence{
-		fingerprint: s.Fingerprint, crashes: slices.Clone(s.Crashes), isConclusive: len(s.Crashes) >= quarantineTiedAfter,
+func newCandidate(s *Suspect) *candidate {
+	return &candidate{
+		fingerprint: s.Fingerprint, crashes: slices.Clone(s.Crashes), isConclusive: len(s.Crashes) >= quarantineAmbiguousAfter,
 	}
 }
 
-// untied returns the request with the most crashes that is to be quarantined, nil
-// for none.
-func untied(left []*evidence) *evidence {
-	slices.SortFunc(left, func(a, b *evidence) int {
+// selectQuarantined returns the request with the most crashes that is to be
+// quarantined, or nil if there is none.
+func selectQuarantined(candidates []*candidate) *candidate {
+	slices.SortFunc(candidates, func(a, b *candidate) int {
 		return cmp.Or(cmp.Compare(len(b.crashes), len(a.crashes)), slices.Compare(a.fingerprint[:], b.fingerprint[:]))
 	})
-	for i, c := range left {
-		if c.isConclusive || len(c.crashes) >= quarantineAfter && !tied(c, left, i) {
+	for i, c := range candidates {
+		if c.isConclusive || len(c.crashes) >= quarantineAfter && !ambiguous(c, candidates, i) {
 			return c
 		}
 	}
 	return nil
 }
 
-// tied reports whether another request with as many crashes or more shares some
-// of them.
-func tied(c *evidence, left []*evidence, at int) bool {
-	for i, other := range left {
+// ambiguous reports whether another request with at least as many crashes shares
+// some of them.
+func ambiguous(c *candidate, candidates []*candidate, index int) bool {
+	for i, other := range candidates {
 		if len(other.crashes) < len(c.crashes) {
 			return false
 		}
-		if i != at && slices.ContainsFunc(other.crashes, func(id CrashID) bool { return slices.Contains(c.crashes, id) }) {
+		if i != index && slices.ContainsFunc(other.crashes, func(id CrashID) bool { return slices.Contains(c.crashes, id) }) {
 			return true
 		}
 	}
 	return false
 }
 
-// explain takes the crashes of a quarantined request off all others.
-func explain(left []*evidence, by *evidence) []*evidence {
-	out := make([]*evidence, 0, len(left))
-	for _, c := range left {
-		if c == by {
+// removeExplained drops the explaining request, and removes its crashes from all
+// others.
+func removeExplained(candidates []*candidate, explained *candidate) []*candidate {
+	remaining := make([]*candidate, 0, len(candidates))
+	for _, c := range candidates {
+		if c == explained {
 			continue
 		}
-		c.crashes = slices.DeleteFunc(c.crashes, func(id CrashID) bool { return slices.Contains(by.crashes, id) })
-		out = append(out, c)
+		c.crashes = slices.DeleteFunc(c.crashes, func(id CrashID) bool { return slices.Contains(explained.crashes, id) })
+		remaining = append(remaining, c)
 	}
-	return out
+	return remaining
 }
--- a/internal/core/quarantine/evaluate_test.go
+++ b/internal/core/quarantine/evaluate_test.go
@@ -22,15 +22,15 @@
 		want     []int
 	}{
 		{"nothing", nil, nil},
-		{"two crashes may be chance", []Suspect{suspect(1, 10, 11)}, nil},
+		{"two crashes are not enough", []Suspect{suspect(1, 10, 11)}, nil},
 		{"three crashes", []Suspect{suspect(1, 10, 11, 12)}, []int{1}},
-		{"others shared some of them", []Suspect{suspect(1, 10, 11, 12), suspect(2, 10, 11), suspect(3, 12)}, []int{1}},
-		{"one shared all of them: nothing tells which it was", []Suspect{suspect(1, 10, 11, 12), suspect(2, 10, 11, 12)}, nil},
-		{"the next crash tells", []Suspect{suspect(1, 10, 11, 12, 13), suspect(2, 10, 11, 12)}, []int{1}},
-		{"one has a crash of another cause beside", []Suspect{suspect(1, 10, 11, 12), suspect(2, 11, 12, 20)}, nil},
-		{"and is acquitted once the other has one more", []Suspect{suspect(1, 10, 11, 12, 13), suspect(2, 11, 12, 20)}, []int{1}},
-		{"two that crash endpoints by themselves", []Suspect{suspect(1, 10, 11, 12), suspect(2, 20, 21, 22)}, []int{1, 2}},
-		{"two that can't be told apart have crashed enough", []Suspect{suspect(1, 10, 11, 12, 13, 14), suspect(2, 10, 11, 12, 13, 14)}, []int{1, 2}},
+		{"others share some of the crashes", []Suspect{suspect(1, 10, 11, 12), suspect(2, 10, 11), suspect(3, 12)}, []int{1}},
+		{"two with the same three crashes are ambiguous", []Suspect{suspect(1, 10, 11, 12), suspect(2, 10, 11, 12)}, nil},
+		{"a fourth crash of one resolves the ambiguity", []Suspect{suspect(1, 10, 11, 12, 13), suspect(2, 10, 11, 12)}, []int{1}},
+		{"one also has a crash of its own", []Suspect{suspect(1, 10, 11, 12), suspect(2, 11, 12, 20)}, nil},
+		{"one with a crash of its own is not quarantined once the other has four", []Suspect{suspect(1, 10, 11, 12, 13), suspect(2, 11, 12, 20)}, []int{1}},
+		{"two with separate crashes", []Suspect{suspect(1, 10, 11, 12), suspect(2, 20, 21, 22)}, []int{1, 2}},
+		{"two with the same five crashes", []Suspect{suspect(1, 10, 11, 12, 13, 14), suspect(2, 10, 11, 12, 13, 14)}, []int{1, 2}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -47,34 +47,35 @@
 	}
 }
 
-// endpoints is a small fleet in which some requests crash whatever runs them.
+// fleet is a set of endpoints at which some requests crash whatever runs them.
 type fleet struct {
 	fatal    []bool
 	suspects []Suspect
-	// crashes counts those under each request, shared those since it completed
-	// last at which it ran beside one that is fatal.
+	// crashes counts the crashes under each request; shared counts those since its
+	// last completion in which a fatal request ran as well.
 	crashes, shared []int
-	next            CrashID
+	lastCrash       CrashID
 }
 
-// together has requests run at one endpoint at the same time.
-func (f *fleet) together(requests []int) {
+// runTogether runs requests at one endpoint at the same time.
+func (f *fleet) runTogether(requests []int) {
 	crash := slices.ContainsFunc(requests, func(n int) bool { return f.fatal[n] })
-	f.next++
+	f.lastCrash++
 	for _, n := range requests {
 		s := &f.suspects[n]
 		if !crash {
 			s.Cleared, s.Crashes, f.shared[n] = s.Cleared+1, nil, 0
 			continue
 		}
-		s.Crashes = Union(s.Crashes, []CrashID{f.next})
+		s.Crashes = Union(s.Crashes, []CrashID{f.lastCrash})
 		f.crashes[n]++
 		f.shared[n]++
 	}
 }
 
-// Guards against a fatal request that is never found, and harmless ones that are quarantined with it.
-func TestEvaluateFindsWhatCrashesEndpoints(t *testing.T) {
+// Guards against a fatal request that is never quarantined, and against harmless
+// ones that are quarantined with it.
+func TestEvaluateFindsFatalRequest(t *testing.T) {
 	const requests = 8
 	rapid.Check(t, func(t *rapid.T) {
 		f := &fleet{fatal: make([]bool, requests), suspects: make([]Suspect, requests), crashes: make([]int, requests), shared: make([]int, requests)}
@@ -87,23 +88,24 @@
 			var sent []int
 			for n := range requests {
 				held := slices.Contains(quarantined, fingerprint(n))
-				if held && !f.fatal[n] && f.shared[n] < quarantineTiedAfter {
-					t.Fatalf("request %d is held back after %d crashes that it shared: %v", n, f.shared[n], f.suspects)
+				if held && !f.fatal[n] && f.shared[n] < quarantineAmbiguousAfter {
+					t.Fatalf("harmless request %d is quarantined after %d shared crashes: %v", n, f.shared[n], f.suspects)
 				}
 				if !held && rapid.Bool().Draw(t, "sent") {
 					sent = append(sent, n)
 				}
 			}
-			f.together(sent)
-			if f.crashes[0] > quarantineTiedAfter {
-				t.Fatalf("%d endpoints crashed: %v", f.crashes[0], f.suspects)
+			f.runTogether(sent)
+			if f.crashes[0] > quarantineAmbiguousAfter {
+				t.Fatalf("the fatal request crashed %d endpoints before its quarantine: %v", f.crashes[0], f.suspects)
 			}
 		}
 	})
 }
 
-// The same for two requests that crash endpoints, often the same ones.
-func TestEvaluateFindsTwoThatCrashTogether(t *testing.T) {
+// Like TestEvaluateFindsFatalRequest, with two fatal requests that often run in the
+// same crashes.
+func TestEvaluateFindsTwoFatalRequests(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const requests = 5
 		f := &fleet{fatal: make([]bool, requests), suspects: make([]Suspect, requests), crashes: make([]int, requests), shared: make([]int, requests)}
@@ -119,17 +121,17 @@
 					sent = append(sent, n)
 				}
 			}
-			f.together(sent)
+			f.runTogether(sent)
 			for n := range 2 {
-				if f.crashes[n] > quarantineTiedAfter {
-					t.Fatalf("request %d crashed %d endpoints: %v", n, f.crashes[n], f.suspects)
+				if f.crashes[n] > quarantineAmbiguousAfter {
+					t.Fatalf("fatal request %d crashed %d endpoints before its quarantine: %v", n, f.crashes[n], f.suspects)
 				}
 			}
 		}
 	})
 }
 
-func TestSuspectsAreASemilattice(t *testing.T) {
+func TestSuspectJoinIsSemilattice(t *testing.T) {
 	draw := rapid.Custom(func(t *rapid.T) Suspect {
 		return Suspect{
 			Fingerprint: fingerprint(1), Cleared: rapid.Uint32Range(0, 2).Draw(t, "cleared"),
@@ -140,14 +142,14 @@
 	order := Order{}
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := draw.Draw(t, "a"), draw.Draw(t, "b"), draw.Draw(t, "c")
-		for law, sides := range map[string][2]Suspect{
+		for property, sides := range map[string][2]Suspect{
 			"commutative": {order.Join(a, b), order.Join(b, a)},
 			"idempotent":  {order.Join(a, a), a},
 			"associative": {order.Join(order.Join(a, b), c), order.Join(a, order.Join(b, c))},
-			"absorbs":     {order.Join(a, order.Join(a, b)), order.Join(a, b)},
+			"absorptive":  {order.Join(a, order.Join(a, b)), order.Join(a, b)},
 		} {
 			if order.Hash(sides[0]) != order.Hash(sides[1]) {
-				t.Fatalf("%s:\n%+v\n%+v", law, sides[0], sides[1])
+				t.Fatalf("join is not %s:\n%+v\n%+v", property, sides[0], sides[1])
 			}
 		}
 	})
--- a/internal/core/quarantine/fingerprint.go
+++ b/internal/core/quarantine/fingerprint.go
@@ -6,10 +6,9 @@
 	"encoding/hex"
 )
 
-// Fingerprint tells whether two requests are the same one, sent again: of one
-// organisation, with one target and one body. It is the beginning of a
-// cryptographic hash, so that no caller can make up a request that bears the
-// fingerprint of another's.
+// Fingerprint identifies a request across repeats: same organisation, target and
+// body. It is a prefix of a cryptographic hash, so that no caller can forge a
+// request with the fingerprint of another's.
 type Fingerprint [16]byte
 
 // FingerprintOf returns a request's fingerprint. The target is the path and
@@ -18,7 +17,7 @@
 	h := sha256.New()
 	var size [8]byte
 	for _, field := range []string{organisation, method, host, target} {
-		// With its length before each field, no two requests give the same bytes.
+		// The length prefix makes the encoding of the fields unambiguous.
 		binary.BigEndian.PutUint64(size[:], uint64(len(field)))
 		h.Write(size[:])
 		h.Write([]byte(field))
@@ -29,5 +28,5 @@
 	return f
 }
 
-// String is the fingerprint in hex, as logs name it.
+// String returns the fingerprint in hex, as it appears in logs.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
--- a/internal/core/quarantine/fingerprint_test.go
+++ b/internal/core/quarantine/fingerprint_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Guards against different requests with one fingerprint.
-func TestFingerprintsTellRequestsApart(t *testing.T) {
+// Guards against different requests with the same fingerprint.
+func TestFingerprintsDistinguishRequests(t *testing.T) {
 	seen := make(map[Fingerprint]int)
 	for i, r := range [][5]string{
 		{"org", "POST", "host", "/a", "body"},
@@ -16,11 +16,11 @@
 		{"org", "POST", "host", "/a", ""},
 	} {
 		f := FingerprintOf(r[0], r[1], r[2], r[3], []byte(r[4]))
-		if before, taken := seen[f]; taken {
-			t.Errorf("requests %d and %d have one fingerprint", before, i)
+		if previous, duplicate := seen[f]; duplicate {
+			t.Errorf("requests %d and %d have the same fingerprint", previous, i)
 		}
-		if again := FingerprintOf(r[0], r[1], r[2], r[3], []byte(r[4])); again != f {
-			t.Errorf("request %d has two fingerprints", i)
+		if repeated := FingerprintOf(r[0], r[1], r[2], r[3], []byte(r[4])); repeated != f {
+			t.Errorf("request %d has two different fingerprints", i)
 		}
 		seen[f] = i
 	}
--- a/internal/core/quarantine/flights.go
+++ b/internal/core/quarantine/flights.go
@@ -5,33 +5,33 @@
 	"time"
 )
 
-// EndpointKey is one incarnation of an endpoint.
+// EndpointKey identifies one incarnation of an endpoint.
 type EndpointKey struct {
 	ID          string
 	Incarnation uint64
 }
 
-// goneFor is how long the end of an endpoint is remembered for attempts whose
-// connections are yet to break.
-const goneFor = 5 * time.Second
+// endedRetention is how long the end of an endpoint is remembered, for attempts
+// whose connections have not broken yet.
+const endedRetention = 5 * time.Second
 
-// Flights follows the attempts of one daemon that are under way, by endpoint. It
-// tells an endpoint that has ended, with all that ran there, from one
-// connection that broke. It is safe for concurrent use.
+// Flights tracks the attempts of one daemon that are in flight, by endpoint. It
+// tells apart an endpoint that ended, with all requests running there, and a single
+// broken connection. It is safe for concurrent use.
 type Flights struct {
-	mu sync.Mutex
-	m  map[EndpointKey]*endpointFlights
+	mu        sync.Mutex
+	endpoints map[EndpointKey]*endpointAttempts
 }
 
-// endpointFlights are the attempts at one endpoint.
-type endpointFlights struct {
+// endpointAttempts are the attempts at one endpoint.
+type endpointAttempts struct {
 	open map[*Flight]struct{}
-	// lost are those whose connection broke, until it is known why.
+	// lost are the attempts whose connection broke for an unknown reason so far.
 	lost []lostFlight
-	// looking: somebody is about to find out.
-	looking bool
-	// goneAt is when the endpoint was found to have ended, zero for not.
-	goneAt time.Time
+	// probing is set while a caller finds out whether the endpoint has ended.
+	probing bool
+	// endedAt is when the endpoint was found to have ended; zero if it has not.
+	endedAt time.Time
 }
 
 type lostFlight struct {
@@ -39,143 +39,145 @@
 	at          time.Time
 }
 
-// Flight is one attempt under way.
+// Flight is one attempt in flight.
 type Flight struct {
 	fingerprint Fingerprint
 	endpoint    EndpointKey
-	began       time.Time
+	started     time.Time
 }
 
 // NewFlights returns an empty Flights.
-func NewFlights() *Flights { return &Flights{m: make(map[EndpointKey]*endpointFlights)} }
+func NewFlights() *Flights { return &Flights{endpoints: make(map[EndpointKey]*endpointAttempts)} }
 
-// Begin notes that an attempt is sent to an endpoint.
+// Begin records an attempt that is sent to an endpoint.
 func (f *Flights) Begin(now time.Time, e EndpointKey, p Fingerprint) *Flight {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	at := f.m[e]
-	if at == nil {
-		at = &endpointFlights{open: make(map[*Flight]struct{})}
-		f.m[e] = at
+	attempts := f.endpoints[e]
+	if attempts == nil {
+		attempts = &endpointAttempts{open: make(map[*Flight]struct{})}
+		f.endpoints[e] = attempts
 	}
-	flight := &Flight{fingerprint: p, endpoint: e, began: now}
-	at.open[flight] = struct{}{}
+	flight := &Flight{fingerprint: p, endpoint: e, started: now}
+	attempts.open[flight] = struct{}{}
 	return flight
 }
 
-// End notes that an attempt is over for a reason that says nothing of its
-// endpoint. A second end is of no effect.
+// End records that an attempt is over for a reason unrelated to the health of its
+// endpoint. A second call for the same attempt has no effect.
 func (f *Flights) End(flight *Flight) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.end(flight)
 }
 
-func (f *Flights) end(flight *Flight) *endpointFlights {
-	at := f.m[flight.endpoint]
-	if at == nil {
+func (f *Flights) end(flight *Flight) *endpointAttempts {
+	attempts := f.endpoints[flight.endpoint]
+	if attempts == nil {
 		return nil
 	}
-	if _, open := at.open[flight]; !open {
+	if _, open := attempts.open[flight]; !open {
 		return nil
 	}
-	delete(at.open, flight)
-	f.tidy(flight.endpoint, at)
-	return at
+	delete(attempts.open, flight)
+	f.dropIfEmpty(flight.endpoint, attempts)
+	return attempts
 }
 
-// tidy drops what says nothing any more; f.mu is held.
-func (f *Flights) tidy(e EndpointKey, at *endpointFlights) {
-	if len(at.open) == 0 && len(at.lost) == 0 && !at.looking && at.goneAt.IsZero() {
-		delete(f.m, e)
+// dropIfEmpty removes the state of an endpoint without any information left; f.mu
+// is held.
+func (f *Flights) dropIfEmpty(e EndpointKey, attempts *endpointAttempts) {
+	if len(attempts.open) == 0 && len(attempts.lost) == 0 && !attempts.probing && attempts.endedAt.IsZero() {
+		delete(f.endpoints, e)
 	}
 }
 
-// Lost notes that an attempt's connection broke. With look, the caller is to
-// find out whether the endpoint has ended, and to call Gone or Alive. With gone
-// it is known to have ended.
-func (f *Flights) Lost(now time.Time, flight *Flight) (look, gone bool) {
+// Lost records that the connection of an attempt broke. If probe is set, the caller
+// must find out whether the endpoint has ended, and call Gone or Alive. If ended is
+// set, the endpoint is already known to have ended.
+func (f *Flights) Lost(now time.Time, flight *Flight) (probe, ended bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	at := f.end(flight)
 	if at == nil {
 		return false, false
 	}
-	if !at.goneAt.IsZero() && now.Sub(at.goneAt) < goneFor {
+	if !at.endedAt.IsZero() && now.Sub(at.endedAt) < endedRetention {
 		return false, true
 	}
-	// It may have been dropped with the last open attempt.
-	f.m[flight.endpoint] = at
+	// end removes the endpoint when this was its last open attempt.
+	f.endpoints[flight.endpoint] = at
 	at.lost = append(at.lost, lostFlight{fingerprint: flight.fingerprint, at: now})
-	look = !at.looking
-	at.looking = true
-	return look, false
+	probe = !at.probing
+	at.probing = true
+	return probe, false
 }
 
-// Alive notes that an endpoint outlived the losses so far.
+// Alive records that an endpoint still runs after the losses so far.
 func (f *Flights) Alive(e EndpointKey) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	at := f.m[e]
-	if at == nil {
+	attempts := f.endpoints[e]
+	if attempts == nil {
 		return
 	}
-	at.lost, at.looking = nil, false
-	f.tidy(e, at)
+	attempts.lost, attempts.probing = nil, false
+	f.dropIfEmpty(e, attempts)
 }
 
-// Gone notes that an endpoint was found to have ended, and returns what was lost
-// with it. Where an attempt that is older than the losses is still open, whose
-// connection should have broken too, that is in doubt: nothing is decided, and
-// the caller is to look again.
-func (f *Flights) Gone(now time.Time, e EndpointKey) (lost []Fingerprint, doubt bool) {
+// Gone records that an endpoint was found to have ended, and returns the requests
+// that were lost with it. If an attempt older than the losses is still open,
+// although its connection should have broken too, the result is uncertain: nothing
+// is recorded, and the caller must probe again.
+func (f *Flights) Gone(now time.Time, e EndpointKey) (lost []Fingerprint, uncertain bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	at := f.m[e]
-	if at == nil || len(at.lost) == 0 {
+	attempts := f.endpoints[e]
+	if attempts == nil || len(attempts.lost) == 0 {
 		return nil, false
 	}
-	if at.outlived(at.lost[0].at) {
+	if attempts.hasOpenBefore(attempts.lost[0].at) {
 		return nil, true
 	}
-	for _, l := range at.lost {
+	for _, l := range attempts.lost {
 		lost = append(lost, l.fingerprint)
 	}
-	at.lost, at.looking, at.goneAt = nil, false, now
+	attempts.lost, attempts.probing, attempts.endedAt = nil, false, now
 	return lost, false
 }
 
-// outlived reports whether an attempt from before a moment is still open.
-func (at *endpointFlights) outlived(moment time.Time) bool {
+// hasOpenBefore reports whether an attempt that started before the given time is
+// still open.
+func (at *endpointAttempts) hasOpenBefore(before time.Time) bool {
 	for flight := range at.open {
-		if flight.began.Before(moment) {
+		if flight.started.Before(before) {
 			return true
 		}
 	}
 	return false
 }
 
-// Looking counts the endpoints that somebody is about to find out about.
+// Looking returns the number of endpoints that are being probed.
 func (f *Flights) Looking() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := 0
-	for _, at := range f.m {
-		if at.looking {
+	for _, attempts := range f.endpoints {
+		if attempts.probing {
 			n++
 		}
 	}
 	return n
 }
 
-// Tick forgets ends that no attempt is left for; call it about once a second.
+// Tick forgets ended endpoints after endedRetention; call it about once a second.
 func (f *Flights) Tick(now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for e, at := range f.m {
-		if !at.goneAt.IsZero() && now.Sub(at.goneAt) >= goneFor {
-			at.goneAt = time.Time{}
-			f.tidy(e, at)
+	for e, attempts := range f.endpoints {
+		if !attempts.endedAt.IsZero() && now.Sub(attempts.endedAt) >= endedRetention {
+			attempts.endedAt = time.Time{}
+			f.dropIfEmpty(e, attempts)
 		}
 	}
 }
--- a/internal/core/quarantine/flights_test.go
+++ b/internal/core/quarantine/flights_test.go
@@ -8,54 +8,55 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against lost attempts that are not held against anything when their endpoint ends.
-func TestEndOfAnEndpointTellsWhatRanThere(t *testing.T) {
+// Guards against lost attempts that are not reported when their endpoint ends.
+func TestEndedEndpointReportsLostAttempts(t *testing.T) {
 	f, now := NewFlights(), time.Unix(1000, 0)
 	e := EndpointKey{ID: "e", Incarnation: 1}
 	first, second, late := f.Begin(now, e, fingerprint(1)), f.Begin(now, e, fingerprint(2)), f.Begin(now.Add(time.Second), e, fingerprint(3))
 	now = now.Add(2 * time.Second)
-	if look, gone := f.Lost(now, first); !look || gone {
-		t.Fatalf("the first loss: look %v, gone %v", look, gone)
+	if probe, ended := f.Lost(now, first); !probe || ended {
+		t.Fatalf("first loss: probe %v, ended %v", probe, ended)
 	}
-	if _, doubt := f.Gone(now, e); !doubt {
-		t.Fatal("an older attempt is still open, and nothing is in doubt")
+	if _, uncertain := f.Gone(now, e); !uncertain {
+		t.Fatal("the end is not uncertain although an older attempt is still open")
 	}
-	if look, gone := f.Lost(now, second); look || gone {
-		t.Fatalf("the second loss: look %v, gone %v", look, gone)
+	if probe, ended := f.Lost(now, second); probe || ended {
+		t.Fatalf("second loss: probe %v, ended %v", probe, ended)
 	}
 	f.End(late)
-	lost, doubt := f.Gone(now, e)
-	if doubt || !slices.Equal(lost, []Fingerprint{fingerprint(1), fingerprint(2)}) {
-		t.Fatalf("lost %v, doubt %v", lost, doubt)
+	lost, uncertain := f.Gone(now, e)
+	if uncertain || !slices.Equal(lost, []Fingerprint{fingerprint(1), fingerprint(2)}) {
+		t.Fatalf("lost %v, uncertain %v", lost, uncertain)
 	}
 	after := f.Begin(now, e, fingerprint(4))
-	if look, gone := f.Lost(now.Add(time.Second), after); look || !gone {
-		t.Fatalf("a loss after the end: look %v, gone %v", look, gone)
+	if probe, ended := f.Lost(now.Add(time.Second), after); probe || !ended {
+		t.Fatalf("loss after the end: probe %v, ended %v", probe, ended)
 	}
 }
 
-// Guards against broken connections that are taken for crashes.
-func TestLossAtAnEndpointThatLivesIsForgotten(t *testing.T) {
+// Guards against broken connections that are counted as crashes.
+func TestLossAtLiveEndpointIsDropped(t *testing.T) {
 	f, now := NewFlights(), time.Unix(1000, 0)
 	e := EndpointKey{ID: "e", Incarnation: 1}
 	f.Lost(now, f.Begin(now, e, fingerprint(1)))
 	f.Alive(e)
-	look, _ := f.Lost(now.Add(time.Second), f.Begin(now, e, fingerprint(2)))
+	probe, _ := f.Lost(now.Add(time.Second), f.Begin(now, e, fingerprint(2)))
 	lost, _ := f.Gone(now.Add(time.Second), e)
-	if !look || !slices.Equal(lost, []Fingerprint{fingerprint(2)}) {
-		t.Fatalf("look %v, lost %v", look, lost)
+	if !probe || !slices.Equal(lost, []Fingerprint{fingerprint(2)}) {
+		t.Fatalf("probe %v, lost %v", probe, lost)
 	}
 }
 
-// Guards against attempts that are reported twice, wrongly, or kept after their end.
+// Guards against lost attempts that are reported twice or wrongly, and against
+// attempts that are kept after their end.
 func TestFlightsAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f, now := NewFlights(), time.Unix(1000, 0)
 		e := EndpointKey{ID: "e", Incarnation: 1}
 		var open []*Flight
 		var unexplained []Fingerprint
-		looking, next := false, 0
-		take := func() *Flight {
+		probing, next := false, 0
+		takeOpen := func() *Flight {
 			i := rapid.IntRange(0, len(open)-1).Draw(t, "which")
 			flight := open[i]
 			open = slices.Delete(open, i, i+1)
@@ -69,38 +70,38 @@
 				next++
 				open = append(open, f.Begin(now, e, fingerprint(next)))
 			case event == "end" && len(open) > 0:
-				flight := take()
+				flight := takeOpen()
 				f.End(flight)
 				f.End(flight)
 			case event == "lose" && len(open) > 0:
-				flight := take()
-				look, gone := f.Lost(now, flight)
+				flight := takeOpen()
+				probe, ended := f.Lost(now, flight)
 				unexplained = append(unexplained, flight.fingerprint)
-				if look == looking || gone {
-					t.Fatalf("look %v though somebody looks: %v, gone %v", look, looking, gone)
+				if probe == probing || ended {
+					t.Fatalf("probe %v with a probe under way: %v, ended %v", probe, probing, ended)
 				}
-				looking = true
-			case event == "gone" && looking:
-				lost, doubt := f.Gone(now, e)
-				if doubt {
+				probing = true
+			case event == "gone" && probing:
+				lost, uncertain := f.Gone(now, e)
+				if uncertain {
 					break
 				}
 				if !slices.Equal(lost, unexplained) {
-					t.Fatalf("told %v, lost %v", lost, unexplained)
+					t.Fatalf("reported %v, actually lost %v", lost, unexplained)
 				}
-				looking, unexplained = false, nil
-			case event == "alive" && looking:
+				probing, unexplained = false, nil
+			case event == "alive" && probing:
 				f.Alive(e)
-				looking, unexplained = false, nil
+				probing, unexplained = false, nil
 			}
 		}
 		for len(open) > 0 {
-			f.End(take())
+			f.End(takeOpen())
 		}
 		f.Alive(e)
 		f.Tick(now.Add(time.Minute))
-		if len(f.m) > 0 {
-			t.Fatalf("%d endpoints are kept", len(f.m))
+		if len(f.endpoints) > 0 {
+			t.Fatalf("%d endpoints are still tracked", len(f.endpoints))
 		}
 	})
 }
--- a/internal/core/quarantine/register.go
+++ b/internal/core/quarantine/register.go
@@ -9,75 +9,75 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/core/spread"
 )
 
-// Bounds of what is remembered.
+// Bounds of the memory of suspects.
 const (
-	// Memory is how long a suspect is remembered after the last that was heard
-	// of it.
-	Memory = 10 * time.Minute
-	// forgotten is the age from which on others' word of a suspect is not taken:
-	// daemons forget one at slightly different moments, and would else go on
-	// reminding each other.
-	forgotten = Memory - 30*time.Second
-	// renewEvery is the least time between two renewals of a request that is
+	// SuspectRetention is how long a suspect is remembered after its last update.
+	SuspectRetention = 10 * time.Minute
+	// maxAcceptedAge is the age from which a suspect is not accepted from another
+	// daemon. Daemons forget a suspect at slightly different times, and would
+	// otherwise keep restoring it for each other.
+	maxAcceptedAge = SuspectRetention - 30*time.Second
+	// renewalInterval is the least time between two renewals of a request that is
 	// still being sent.
-	renewEvery = Memory / 4
-	// maxSuspects bounds the suspects of all organisations.
+	renewalInterval = SuspectRetention / 4
+	// maxSuspects bounds the suspects across all organisations.
 	maxSuspects = 4096
 )
 
-// Acceptable reports whether another daemon's word of that age is taken.
-func Acceptable(age time.Duration) bool { return age < forgotten }
+// Acceptable reports whether an update of the given age is accepted from another
+// daemon.
+func Acceptable(age time.Duration) bool { return age < maxAcceptedAge }
 
-// Spread is the state that daemons share.
-type Spread interface {
+// SharedState is the state that daemons replicate among each other.
+type SharedState interface {
 	Suspects() *spread.Table[Suspect]
-	// PutSuspect joins an entry into the table and passes it on.
+	// PutSuspect joins an entry into the table and forwards it to other daemons.
 	PutSuspect(s Suspect) bool
 }
 
-// Verdict is a change of what a daemon holds of a request.
+// Verdict is a change in what a daemon holds against a request.
 type Verdict string
 
 // The verdicts.
 const (
 	// Suspected: an endpoint crashed while the request ran.
 	Suspected Verdict = "suspect"
-	// Cleared: nothing is held against it any more.
+	// Cleared: no crashes count against the request any more.
 	Cleared Verdict = "clear"
 	// Quarantined: the request is not sent any more.
 	Quarantined Verdict = "quarantine"
-	// Released: it is sent again.
+	// Released: the request may be sent again.
 	Released Verdict = "release"
-	// Forgotten: the memory of it has ended.
+	// Forgotten: the quarantined request was dropped from memory.
 	Forgotten Verdict = "forget"
 )
 
-// Change is one change of belief, for the log.
+// Change is one change of verdict, for the log.
 type Change struct {
 	Fingerprint Fingerprint
 	Verdict     Verdict
-	// Crashes is their number since the request was cleared last.
+	// Crashes is the number of crashes since the request was last cleared.
 	Crashes int
 	Reason  string
 }
 
-// Register is what one daemon knows of requests that crash endpoints. It is
-// safe for concurrent use.
+// Register holds what one daemon knows of requests that crash endpoints. It is safe
+// for concurrent use.
 type Register struct {
-	spread    Spread
-	note      func(Change)
+	shared    SharedState
+	onChange  func(Change)
 	completed completed
-	// quarantined is replaced whole: it is read for each request.
+	// quarantined is replaced as a whole, as every request reads it.
 	quarantined atomic.Pointer[map[Fingerprint]struct{}]
 
 	mu      sync.Mutex
 	changes *spread.Changes[Suspect]
 }
 
-// NewRegister returns a register over shared state. Note is told of each change
-// of belief.
-func NewRegister(s Spread, note func(Change)) *Register {
-	r := &Register{spread: s, note: note, changes: s.Suspects().Follow()}
+// NewRegister returns a register over shared state. It calls onChange for each
+// change of verdict.
+func NewRegister(s SharedState, onChange func(Change)) *Register {
+	r := &Register{shared: s, onChange: onChange, changes: s.Suspects().Follow()}
 	r.quarantined.Store(&map[Fingerprint]struct{}{})
 	return r
 }
@@ -85,9 +85,9 @@
 // Any reports whether any request is quarantined.
 func (r *Register) Any() bool { return len(*r.quarantined.Load()) > 0 }
 
-// Quarantined reports whether the request is not to be sent, and for how long it
-// will be remembered if it isn't sent again.
-func (r *Register) Quarantined(now time.Time, f Fingerprint) (left time.Duration, quarantined bool) {
+// Quarantined reports whether the request is quarantined, and for how long it will
+// be remembered if it isn't sent again.
+func (r *Register) Quarantined(now time.Time, f Fingerprint) (remaining time.Duration, quarantined bool) {
 	if _, quarantined = (*r.quarantined.Load())[f]; !quarantined {
 		return 0, false
 	}
@@ -95,22 +95,22 @@
 	if !held {
 		return 0, false
 	}
-	if now.Sub(s.Heard) >= renewEvery {
+	if now.Sub(s.Heard) >= renewalInterval {
 		s.Renewals++
 		s.Heard = now
-		r.spread.PutSuspect(s)
+		r.shared.PutSuspect(s)
 	}
-	return max(0, Memory-now.Sub(s.Heard)), true
+	return max(0, SuspectRetention-now.Sub(s.Heard)), true
 }
 
-// Completed takes the end of a run at an endpoint that outlived it.
+// Completed records that a request completed at an endpoint that kept running.
 func (r *Register) Completed(now time.Time, f Fingerprint) {
 	r.completed.add(now, f)
 	r.clear(now, f, "it ran to its end")
 }
 
-// Release clears requests by an operator's order, of the crashes that he has
-// seen.
+// Release clears requests on an operator's order. A request with crashes that the
+// operator has not seen is not cleared.
 func (r *Register) Release(now time.Time, released []Suspect) {
 	for _, s := range released {
 		known, held := r.get(s.Fingerprint)
@@ -129,15 +129,15 @@
 	crashes := len(s.Crashes)
 	s.Cleared++
 	s.Crashes, s.Heard = nil, now
-	if r.spread.PutSuspect(s) {
-		r.note(Change{Fingerprint: f, Verdict: Cleared, Crashes: crashes, Reason: reason})
+	if r.shared.PutSuspect(s) {
+		r.onChange(Change{Fingerprint: f, Verdict: Cleared, Crashes: crashes, Reason: reason})
 	}
 	r.Refresh(now)
 }
 
-// Crashed takes the requests that ran at an endpoint when it ended.
-func (r *Register) Crashed(now time.Time, crash CrashID, ran []Fingerprint) {
-	for _, f := range ran {
+// Crashed records that an endpoint ended while it ran the given requests.
+func (r *Register) Crashed(now time.Time, crash CrashID, running []Fingerprint) {
+	for _, f := range running {
 		if r.completed.has(now, f) {
 			continue
 		}
@@ -146,23 +146,23 @@
 			s = Suspect{Fingerprint: f}
 		}
 		s.Crashes, s.Heard = Union(s.Crashes, []CrashID{crash}), now
-		if r.spread.PutSuspect(s) {
-			r.note(Change{Fingerprint: f, Verdict: Suspected, Crashes: len(s.Crashes), Reason: "an endpoint crashed while it ran"})
+		if r.shared.PutSuspect(s) {
+			r.onChange(Change{Fingerprint: f, Verdict: Suspected, Crashes: len(s.Crashes), Reason: "an endpoint crashed while it ran"})
 		}
 	}
 	r.Refresh(now)
 }
 
-// Restore takes suspects that were kept elsewhere.
-func (r *Register) Restore(now time.Time, kept []Suspect) {
-	for _, s := range kept {
+// Restore adds suspects from persistent storage.
+func (r *Register) Restore(now time.Time, suspects []Suspect) {
+	for _, s := range suspects {
 		s.Heard = now
-		r.spread.PutSuspect(s)
+		r.shared.PutSuspect(s)
 	}
 	r.Refresh(now)
 }
 
-// Entries lists the suspects that are quarantined, by fingerprint.
+// Entries returns the quarantined suspects, sorted by fingerprint.
 func (r *Register) Entries() []Suspect {
 	var out []Suspect
 	for f := range *r.quarantined.Load() {
@@ -175,11 +175,11 @@
 }
 
 func (r *Register) get(f Fingerprint) (Suspect, bool) {
-	return r.spread.Suspects().Get(string(f[:]))
+	return r.shared.Suspects().Get(string(f[:]))
 }
 
-// Refresh takes in what other daemons have told, and judges anew where anything
-// has changed.
+// Refresh applies changes received from other daemons, and evaluates the suspects
+// again if anything changed.
 func (r *Register) Refresh(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -188,24 +188,23 @@
 		return
 	}
 	r.clearCompleted(now, changed)
-	r.judge()
+	r.reevaluate()
 }
 
-// clearCompleted clears those that this daemon has seen run to their end; r.mu
-// is held.
+// clearCompleted clears suspects that this daemon has seen complete; r.mu is held.
 func (r *Register) clearCompleted(now time.Time, changed []Suspect) {
 	for _, s := range changed {
 		if len(s.Crashes) > 0 && r.completed.has(now, s.Fingerprint) {
 			s.Cleared++
 			s.Crashes, s.Heard = nil, now
-			r.spread.PutSuspect(s)
+			r.shared.PutSuspect(s)
 		}
 	}
 }
 
-// judge replaces the verdicts; r.mu is held.
-func (r *Register) judge() {
-	all := slices.Collect(r.spread.Suspects().All())
+// reevaluate replaces the set of quarantined requests; r.mu is held.
+func (r *Register) reevaluate() {
+	all := slices.Collect(r.shared.Suspects().All())
 	before, next := *r.quarantined.Load(), make(map[Fingerprint]struct{})
 	for _, f := range Evaluate(all) {
 		next[f] = struct{}{}
@@ -224,37 +223,39 @@
 		default:
 			continue
 		}
-		r.note(c)
+		r.onChange(c)
 	}
 }
 
-// Tick forgets what is too old or too much; call it about once a second.
+// Tick drops suspects that are too old or exceed maxSuspects; call it about once a
+// second.
 func (r *Register) Tick(now time.Time) {
-	table := r.spread.Suspects()
+	table := r.shared.Suspects()
 	all := slices.Collect(table.All())
-	slices.SortFunc(all, moreOf)
+	slices.SortFunc(all, compareRetention)
 	removed := false
 	for i := range all {
-		if i < maxSuspects && now.Sub(all[i].Heard) < Memory {
+		if i < maxSuspects && now.Sub(all[i].Heard) < SuspectRetention {
 			continue
 		}
 		table.Remove(string(all[i].Fingerprint[:]))
 		removed = true
 		if _, quarantined := (*r.quarantined.Load())[all[i].Fingerprint]; quarantined {
-			r.note(Change{Fingerprint: all[i].Fingerprint, Verdict: Forgotten, Crashes: len(all[i].Crashes), Reason: "nothing was heard of it for long"})
+			r.onChange(Change{Fingerprint: all[i].Fingerprint, Verdict: Forgotten, Crashes: len(all[i].Crashes), Reason: "nothing was heard of it for long"})
 		}
 	}
 	r.Refresh(now)
 	if removed {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.judge()
+		r.reevaluate()
 	}
 }
 
-// moreOf puts those first that must not be forgotten for want of room. All
-// daemons drop the same ones.
-func moreOf(a, b Suspect) int {
+// compareRetention sorts the suspects with the most crashes first; those at the end
+// are dropped when there are too many. The order is total, so that all daemons drop
+// the same ones.
+func compareRetention(a, b Suspect) int {
 	if c := len(b.Crashes) - len(a.Crashes); c != 0 {
 		return c
 	}
--- a/internal/core/quarantine/register_test.go
+++ b/internal/core/quarantine/register_test.go
@@ -21,15 +21,15 @@
 	return f
 }
 
-// daemons are registers whose nodes are linked in a line.
+// daemons is a set of registers whose nodes are linked in a line.
 type daemons struct {
-	nodes     []*node.Node
-	registers []*quarantine.Register
-	links     [][2]*node.Link
-	changes   [][]quarantine.Change
-	now       time.Time
-	transit   time.Duration
-	crashes   int
+	nodes       []*node.Node
+	registers   []*quarantine.Register
+	links       [][2]*node.Link
+	changes     [][]quarantine.Change
+	now         time.Time
+	transitTime time.Duration
+	crashes     int
 }
 
 func newDaemons(count int) *daemons {
@@ -47,8 +47,8 @@
 	return d
 }
 
-// pass carries one message each way over a link.
-func (d *daemons) pass(link int) {
+// exchange carries one message in each direction over a link.
+func (d *daemons) exchange(link int) {
 	ends := d.links[link]
 	for _, at := range []int{0, 1} {
 		m := ends[at].Next()
@@ -56,9 +56,9 @@
 			return !quarantine.Acceptable(d.now.Sub(s.Heard))
 		})
 		for i := range m.Suspects.Entries {
-			// The way of a message is no part of the age that it tells.
+			// The transit time of a message is not part of the age that it carries.
 			s := &m.Suspects.Entries[i]
-			s.Heard = s.Heard.Add(min(d.transit, d.now.Sub(s.Heard)))
+			s.Heard = s.Heard.Add(min(d.transitTime, d.now.Sub(s.Heard)))
 		}
 		ends[1-at].Receive(&m)
 	}
@@ -66,19 +66,19 @@
 	d.registers[link+1].Refresh(d.now)
 }
 
-// settle passes messages until all have heard everything.
-func (d *daemons) settle() {
+// converge exchanges messages until all nodes have the same state.
+func (d *daemons) converge() {
 	const rounds = 16
 	for range rounds * len(d.nodes) {
 		for i := range d.links {
 			d.links[i][0].Tick()
 			d.links[i][1].Tick()
-			d.pass(i)
+			d.exchange(i)
 		}
 	}
 }
 
-// crash ends an endpoint at which a daemon had requests.
+// crash ends an endpoint at which a daemon ran the given requests.
 func (d *daemons) crash(at int, ran ...fingerprint) {
 	d.crashes++
 	d.registers[at].Crashed(d.now, quarantine.CrashID(d.crashes), ran)
@@ -99,116 +99,117 @@
 	return out
 }
 
-// Guards against a fatal request that each daemon alone has seen too seldom.
-func TestCrashesSeenByDifferentDaemonsAddUp(t *testing.T) {
+// Guards against a fatal request of which each daemon alone has seen too few crashes.
+func TestCrashesOfDifferentDaemonsAddUp(t *testing.T) {
 	d := newDaemons(4)
 	fatal, other := requestOf(1), requestOf(2)
 	for at := range 3 {
 		d.crash(at, fatal, requestOf(10+at))
 	}
 	d.crash(0, other)
-	d.settle()
+	d.converge()
 	for at := range 4 {
 		if !d.quarantined(at, fatal) || d.quarantined(at, other) || d.quarantined(at, requestOf(10)) {
 			t.Errorf("daemon %d: %v", at, d.changes[at])
 		}
 	}
 	if got := d.verdicts(3, fatal); !slices.Equal(got, []quarantine.Verdict{quarantine.Quarantined}) {
-		t.Errorf("logged %v", got)
+		t.Errorf("logged verdicts %v", got)
 	}
 }
 
-// Guards against refusing a small request that is repeated and runs at every endpoint that ends.
-func TestRequestSeenToRunToItsEndStaysServed(t *testing.T) {
+// Guards against quarantining a harmless request that is repeated so often that it
+// runs at every endpoint that ends.
+func TestCompletedRequestIsNotQuarantined(t *testing.T) {
 	d := newDaemons(3)
 	repeated := requestOf(1)
 	d.registers[2].Completed(d.now, repeated)
 	for range 6 {
 		d.crash(0, repeated)
 	}
-	d.settle()
+	d.converge()
 	for at := range 3 {
 		if d.quarantined(at, repeated) {
-			t.Errorf("daemon %d refuses it", at)
+			t.Errorf("daemon %d quarantines the request", at)
 		}
 	}
 	before := d.nodes[2].Suspects().Digest()
 	d.crash(2, repeated)
 	if d.nodes[2].Suspects().Digest() != before {
-		t.Error("the daemon that saw it run to its end tells of it at each crash")
+		t.Error("a daemon that saw the request complete publishes it as a suspect")
 	}
 }
 
-// Guards against a quarantine that outlives the proof that a request is harmless.
-func TestRunToItsEndReleases(t *testing.T) {
+// Guards against a quarantine that remains after the request has completed.
+func TestCompletionReleasesQuarantinedRequest(t *testing.T) {
 	d := newDaemons(3)
 	f := requestOf(1)
 	for range 3 {
 		d.crash(0, f)
 	}
 	if !d.quarantined(0, f) || d.quarantined(2, f) {
-		t.Fatal("not as set up")
+		t.Fatal("want the request quarantined at daemon 0 and not yet at daemon 2")
 	}
 	d.registers[2].Completed(d.now, f)
-	d.settle()
+	d.converge()
 	for at := range 3 {
 		if d.quarantined(at, f) {
-			t.Errorf("daemon %d refuses it", at)
+			t.Errorf("daemon %d quarantines the request", at)
 		}
 	}
 	if got := d.verdicts(0, f); got[len(got)-1] != quarantine.Released {
-		t.Errorf("logged %v", got)
+		t.Errorf("logged verdicts %v", got)
 	}
 }
 
-// Guards against news of a crash that waits for the next comparison of digests.
-func TestNewsOfACrashIsPassedOnAtOnce(t *testing.T) {
+// Guards against a crash report that waits for the next comparison of digests.
+func TestCrashIsForwardedImmediately(t *testing.T) {
 	d := newDaemons(4)
-	d.settle()
+	d.converge()
 	for range 3 {
 		d.crash(0, requestOf(1))
 	}
 	for link := range d.links {
-		d.pass(link)
+		d.exchange(link)
 	}
 	if !d.quarantined(3, requestOf(1)) {
-		t.Fatal("the last daemon has not heard")
+		t.Fatal("the last daemon has not received the crashes")
 	}
 }
 
-// Guards against suspects of which daemons remind each other for ever.
-func TestSuspectsAreForgottenInTime(t *testing.T) {
+// Guards against suspects that daemons keep restoring for each other forever.
+func TestSuspectsExpire(t *testing.T) {
 	d := newDaemons(3)
-	d.transit = 20 * time.Second
+	d.transitTime = 20 * time.Second
 	old, sent := requestOf(1), requestOf(2)
 	for range 3 {
 		d.crash(0, old)
 		d.crash(1, sent)
 	}
 	d.now = d.now.Add(time.Minute)
-	d.settle()
+	d.converge()
 	const step = 10 * time.Second
-	for end := d.now.Add(quarantine.Memory + 9*step); d.now.Before(end); d.now = d.now.Add(step) {
+	for end := d.now.Add(quarantine.SuspectRetention + 9*step); d.now.Before(end); d.now = d.now.Add(step) {
 		for at := range 3 {
 			d.registers[at].Tick(d.now.Add(time.Duration(at) * time.Second))
 		}
 		if !d.quarantined(2, sent) {
-			t.Fatal("what is still sent was forgotten")
+			t.Fatal("a request that is still being sent was forgotten")
 		}
-		d.settle()
+		d.converge()
 	}
 	for at := range 3 {
 		if d.quarantined(at, old) || !d.quarantined(at, sent) {
 			t.Errorf("daemon %d: %v", at, d.changes[at])
 		}
 		if n := d.nodes[at].Suspects().Len(); n != 1 {
-			t.Errorf("daemon %d remembers %d suspects", at, n)
+			t.Errorf("daemon %d remembers %d suspects, want 1", at, n)
 		}
 	}
 }
 
-// Guards against unbounded memory, and against forgetting quarantined requests first.
-func TestSuspectsAreBoundedInNumber(t *testing.T) {
+// Guards against unbounded memory, and against dropping quarantined requests first.
+func TestSuspectCountIsBounded(t *testing.T) {
 	d := newDaemons(1)
 	fatal := requestOf(1)
 	for range 3 {
@@ -224,15 +225,16 @@
 	}
 	d.registers[0].Tick(d.now)
 	if n := d.nodes[0].Suspects().Len(); n > 4096 {
-		t.Errorf("%d suspects", n)
+		t.Errorf("%d suspects are remembered, want at most 4096", n)
 	}
 	if !d.quarantined(0, fatal) {
-		t.Error("a request that is refused was forgotten")
+		t.Error("a quarantined request was forgotten")
 	}
 }
 
-// Guards against daemons that refuse different requests after hearing the same in another order.
-func TestDaemonsAgreeOnWhatTheyRefuse(t *testing.T) {
+// Guards against daemons that quarantine different requests because they received
+// the same updates in another order.
+func TestDaemonsAgreeOnQuarantine(t *testing.T) {
 	const count, requests = 3, 4
 	rapid.Check(t, func(t *rapid.T) {
 		d := newDaemons(count)
@@ -252,27 +254,27 @@
 				}
 				d.crash(at, ran...)
 			case "complete":
-				// The last one never runs to its end.
+				// The last request never completes.
 				n := rapid.IntRange(0, requests-2).Draw(t, "request")
 				d.registers[at].Completed(d.now, requestOf(n))
 				completed[n], lastCompleted[n] = true, true
 			case "pass":
-				d.pass(min(at, count-2))
+				d.exchange(min(at, count-2))
 			}
 		}
-		d.settle()
+		d.converge()
 		for n := range requests {
 			is := d.quarantined(0, requestOf(n))
 			for at := range count {
 				if d.quarantined(at, requestOf(n)) != is {
-					t.Fatalf("daemons disagree on request %d", n)
+					t.Fatalf("daemons disagree on whether request %d is quarantined", n)
 				}
 			}
 			if is && lastCompleted[n] {
-				t.Fatalf("request %d is refused though it ran to its end since", n)
+				t.Fatalf("request %d is quarantined although it completed after its last crash", n)
 			}
 			if !is && !completed[n] && crashed[n] >= 5 {
-				t.Fatalf("request %d crashed %d endpoints and is not refused", n, crashed[n])
+				t.Fatalf("request %d crashed %d endpoints and is not quarantined", n, crashed[n])
 			}
 		}
 	})
--- a/internal/core/quarantine/suspect.go
+++ b/internal/core/quarantine/suspect.go
@@ -10,10 +10,10 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/core/spread"
 )
 
-// CrashID names one crash: an incarnation of an endpoint ends once.
+// CrashID identifies one crash: an incarnation of an endpoint ends only once.
 type CrashID uint64
 
-// CrashOf returns the id of an incarnation's crash.
+// CrashOf returns the ID of the crash of an incarnation.
 func CrashOf(endpointID string, incarnation uint64) CrashID {
 	h := xxhash.NewWithSeed(incarnation)
 	// A Digest's Write never fails.
@@ -21,34 +21,35 @@
 	return CrashID(h.Sum64())
 }
 
-// maxCrashes bounds the crashes kept of one suspect. More than quarantineAfter say
-// nothing more.
+// maxCrashes bounds the crashes kept for one suspect. Crashes beyond the thresholds
+// of Evaluate add no information.
 const maxCrashes = 8
 
-// Suspect is a request under which endpoints have crashed.
+// Suspect is a request during which endpoints have crashed.
 type Suspect struct {
 	Fingerprint Fingerprint
-	// Cleared counts how often the request was found harmless: it ran to its end,
-	// or an operator released it. What was held against it before is forgotten.
+	// Cleared counts how often the request was found harmless, because it
+	// completed or an operator released it. Earlier crashes no longer count.
 	Cleared uint32
-	// Crashes are those while it ran, since it was cleared last, in ascending order.
+	// Crashes are the crashes while the request ran, since it was last cleared,
+	// in ascending order.
 	Crashes []CrashID
-	// Renewals grows while the request keeps being sent, so that it is remembered
-	// for longer.
+	// Renewals increases while the request keeps being sent, which extends how long
+	// it is remembered.
 	Renewals uint32
-	// Heard is when this daemon last learned something of it, by its steady
-	// clock. It is no part of the state that daemons agree on.
+	// Heard is when this daemon last received an update of the suspect, by its
+	// monotonic clock. It is not part of the replicated state.
 	Heard time.Time
 }
 
-// Order is the semilattice of suspects: the later clearing wins, and forgets
-// all crashes before; of one clearing, crashes add up.
+// Order is the join semilattice of suspects: the higher Cleared wins and discards
+// the crashes of the lower one; with equal Cleared the crashes are united.
 type Order struct{}
 
-// Key is the fingerprint's bytes.
+// Key returns the bytes of the fingerprint.
 func (Order) Key(s Suspect) string { return string(s.Fingerprint[:]) }
 
-// Join returns the least upper bound.
+// Join returns the least upper bound of two states of a suspect.
 func (Order) Join(a, b Suspect) Suspect {
 	out := a
 	if b.Cleared > a.Cleared {
@@ -66,9 +67,9 @@
 	return out
 }
 
-// Union joins two lists of crashes, in ascending order. It keeps the smallest ids:
-// what it leaves out is larger than all that it keeps, and so is left out whatever
-// the result is joined with.
+// Union merges two lists of crashes in ascending order. It keeps the smallest IDs:
+// an ID that is cut off is larger than all that are kept, and so would be cut off
+// after any further merge, too.
 func Union(a, b []CrashID) []CrashID {
 	all := slices.Concat(a, b)
 	slices.Sort(all)
@@ -76,7 +77,7 @@
 	return all[:min(len(all), maxCrashes)]
 }
 
-// Hash covers all that daemons agree on.
+// Hash covers all fields that daemons agree on.
 func (Order) Hash(s Suspect) uint64 {
 	h := spread.NewHasher()
 	h.Bytes(s.Fingerprint[:])
