--- a/internal/core/admission/promise.go
+++ b/internal/core/admission/promise.go
@@ -6,7 +6,7 @@
 const (
 	minRetryAfter = time.Second
 	// maxRetryAfter caps the Retry-After time. A caller with a wait this long does
-	// better elsewhere, but is never given less than the estimate below the cap.
+	// better elsewhere; below the cap no caller is given less than the estimate.
 	maxRetryAfter = 10 * time.Minute
 	// unknownRetryAfter is used where no request was served recently, so that
 	// no rate is known.
--- a/internal/core/length/doc.go
+++ b/internal/core/length/doc.go
@@ -1,6 +1,5 @@
-// Package length estimates how long a generation will be. Nobody knows it
-// ahead; what is known is how long earlier answers of the same organisation
-// and model were, given a prompt of about that size. The estimate is a
-// survival curve, so that it sharpens with each token already seen. All
-// lengths are in tokens.
+// Package length estimates how many tokens a generation will have. The estimate is
+// learned from earlier answers of the same organisation, model and route, with
+// prompts of about the same size. It is a survival curve, so that it becomes more
+// precise with each token that has been generated. All lengths are in tokens.
 package length
--- a/internal/core/length/estimator.go
+++ b/internal/core/length/estimator.go
@@ -5,35 +5,35 @@
 	"sync"
 )
 
-// Weights of what is known, in observations.
+// Weights of the histograms, in observations.
 const (
-	// unit is one observation in the fixed-point counts; halving a count
-	// keeps the trace of a single long answer for several windows.
-	unit = 64
-	// organisationWindow and modelWindow are the observations at which
-	// older ones are halved, so that a change of behaviour shows within
-	// about one window.
+	// observationUnit is one observation in the fixed-point counts. With
+	// halving, a single long answer remains visible for several windows.
+	observationUnit = 64
+	// organisationWindow and modelWindow are the numbers of observations after
+	// which the counts are halved, so that the estimate follows a change of
+	// behaviour within about one window.
 	organisationWindow = 128
 	modelWindow        = 1000
-	// pooledWeight is how many observations the model's pooled curve counts
-	// for beside the organisation's own.
+	// pooledWeight is the weight of the pooled curve beside the observations of
+	// the organisation itself.
 	pooledWeight = 12
-	// modelWeight is the same for the curve of all routes to a model beside that
-	// of one: a route that is new, as after a split, begins with it.
+	// modelWeight is the weight of the curve of all routes to a model beside
+	// that of one route. A new route, as after a split, starts with this curve.
 	modelWeight = 4
-	// cautiousWeight is the same for the cautious curve beside the model's.
+	// cautiousWeight is the weight of the cautious curve beside that of the model.
 	cautiousWeight = 4
 )
 
-// Prompt classes: a long prompt asks for another kind of answer than a short
-// one, more than the organisation's name tells.
+// Prompt classes. Long prompts ask for other kinds of answers than short ones, a
+// difference that the organisation alone doesn't show.
 const (
 	shortPrompt  = 512
 	mediumPrompt = 2048
 	numClasses   = 3
 )
 
-func classOf(promptTokens int) int {
+func promptClass(promptTokens int) int {
 	switch {
 	case promptTokens <= shortPrompt:
 		return 0
@@ -44,18 +44,18 @@
 	}
 }
 
-// histogram counts lengths by bucket with decay.
+// histogram counts lengths by bucket; older observations decay.
 type histogram struct {
 	counts [numEdges]uint16
 	total  uint16
 }
 
 func (h *histogram) add(tokens, window int) {
-	if int(h.total) >= window*unit {
+	if int(h.total) >= window*observationUnit {
 		h.halve()
 	}
-	h.counts[bucketOf(tokens)] += unit
-	h.total += unit
+	h.counts[bucketOf(tokens)] += observationUnit
+	h.total += observationUnit
 }
 
 func (h *histogram) halve() {
@@ -66,20 +66,20 @@
 	}
 }
 
-// Subject is what an estimate depends on.
+// Subject holds the properties of a request that its estimate depends on.
 type Subject struct {
 	Model        string
 	Organisation string
-	// Route is the route that the request came by, empty where there is none.
-	// Two routes to one model may ask for a label and for a report: with one
-	// curve for both, every report looked short by half and every label long.
+	// Route is the route of the request, empty if there is none. Two routes to
+	// one model may ask for short labels and long reports. With one curve for
+	// both, reports are estimated at half their length and labels too long.
 	Route        string
 	PromptTokens int
-	// Hint is the caller's own guess of the answer's tokens, zero for none.
+	// Hint is the caller's estimate of the answer's tokens, zero for none.
 	Hint int
 }
 
-// kind is what answers are alike for.
+// kind is the group of requests that share a pooled curve.
 type kind struct {
 	model string
 	route string
@@ -87,30 +87,31 @@
 
 func (s *Subject) kind() kind { return kind{s.Model, s.Route} }
 
-// allRoutes is the kind of all requests to the model.
+// allRoutes returns the kind of all requests to the model.
 func (s *Subject) allRoutes() kind { return kind{model: s.Model} }
 
 func (s *Subject) pair() pairKey { return pairKey{s.kind(), s.Organisation} }
 
-// pairKey names what an estimate is kept for.
+// pairKey identifies the organisation and kind that a pair is kept for.
 type pairKey struct {
 	kind
 	organisation string
 }
 
-// pair is what is known of one organisation with one kind of request.
+// pair holds the observations of one organisation with one kind of request.
 type pair struct {
 	classes [numClasses]histogram
 	hints   hintErrors
-	// used is cleared by the eviction hand and set by each observation.
-	used bool
+	// recentlyUsed is set by each observation and cleared by eviction, which
+	// skips the pair once.
+	recentlyUsed bool
 }
 
-// Options bound an Estimator.
+// Options configure an Estimator.
 type Options struct {
-	// MaxPairs bounds the organisation and model pairs kept; zero takes
-	// DefaultMaxPairs. Beyond it the least recently used give way, and fall
-	// back to the model's pooled curve.
+	// MaxPairs bounds the pairs of organisation and kind that are kept; zero
+	// means DefaultMaxPairs. Beyond it the least recently used are evicted, and
+	// their organisations fall back to the pooled curve.
 	MaxPairs int
 }
 
@@ -120,13 +121,13 @@
 
 const numStripes = 16
 
-// stripe is one shard of the pairs under its own lock.
+// stripe is one shard of the pairs, with its own lock.
 type stripe struct {
 	mu    sync.Mutex
 	pairs map[pairKey]*pair
-	// hand lists the keys in insertion order for second-chance eviction.
-	hand  []pairKey
-	limit int
+	// evictionQueue holds the keys in the order of second-chance eviction.
+	evictionQueue []pairKey
+	limit         int
 }
 
 // Estimator learns the lengths of answers. It is safe for concurrent use.
@@ -138,14 +139,14 @@
 	pools   map[kind]*pool
 }
 
-// pool is what is known of a kind of request over all organisations.
+// pool holds the observations of one kind of request across all organisations.
 type pool struct {
 	mu      sync.Mutex
 	classes [numClasses]histogram
 	hints   hintErrors
 }
 
-// NewEstimator makes an estimator that has seen nothing.
+// NewEstimator returns an estimator without observations.
 func NewEstimator(o Options) *Estimator {
 	if o.MaxPairs <= 0 {
 		o.MaxPairs = DefaultMaxPairs
@@ -158,32 +159,32 @@
 	return e
 }
 
-// Observe learns from a whole answer.
-func (e *Estimator) Observe(of Subject, outputTokens int) {
-	class := classOf(of.PromptTokens)
-	e.pool(of.kind(), true).observe(class, of.Hint, outputTokens)
-	if of.Route != "" {
-		e.pool(of.allRoutes(), true).observe(class, of.Hint, outputTokens)
+// Observe records the length of a complete answer.
+func (e *Estimator) Observe(subject Subject, outputTokens int) {
+	class := promptClass(subject.PromptTokens)
+	e.pool(subject.kind(), true).observe(class, subject.Hint, outputTokens)
+	if subject.Route != "" {
+		e.pool(subject.allRoutes(), true).observe(class, subject.Hint, outputTokens)
 	}
 
-	key := of.pair()
+	key := subject.pair()
 	s := e.stripe(key)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	own := s.get(key)
 	own.classes[class].add(outputTokens, organisationWindow)
-	own.hints.add(of.Hint, outputTokens, organisationWindow)
+	own.hints.add(subject.Hint, outputTokens, organisationWindow)
 }
 
-// ObserveCut learns from an answer that was cut after seen tokens: its length
-// is only known to be larger. Leaving it out would make long answers, which
-// are cut more often, look rare; it counts as its expected median instead.
-func (e *Estimator) ObserveCut(of Subject, seen int) {
-	// The hint is left out: the length that is assumed follows from it, and it
-	// would seem better than it is.
-	of.Hint = 0
-	s := e.Estimate(of)
-	e.Observe(of, s.Quantile(seen, 0.5))
+// ObserveCut records an answer that was cut after seen tokens, so that only a lower
+// bound of its length is known. It counts as its expected median. Ignoring cut
+// answers would make long answers, which are cut more often, look rare.
+func (e *Estimator) ObserveCut(subject Subject, seen int) {
+	// Ignore the hint: the assumed length is derived from it, which would make
+	// the hint look more accurate than it is.
+	subject.Hint = 0
+	s := e.Estimate(subject)
+	e.Observe(subject, s.Quantile(seen, 0.5))
 }
 
 func (p *pool) observe(class, hint, outputTokens int) {
@@ -193,38 +194,39 @@
 	p.hints.add(hint, outputTokens, modelWindow)
 }
 
-// Estimate returns the curve for a request. An organisation without history
-// gets the pooled curve of its kind, a new route that of its model, and a model
-// without history the cautious one.
-func (e *Estimator) Estimate(of Subject) Survival {
-	class := classOf(of.PromptTokens)
+// Estimate returns the curve for a request. An organisation without history gets the
+// pooled curve of its kind, a new route that of its model, and a model without
+// history the cautious curve.
+func (e *Estimator) Estimate(subject Subject) Survival {
+	class := promptClass(subject.PromptTokens)
 	var own histogram
 	var ownHints hintErrors
-	key := of.pair()
+	key := subject.pair()
 	s := e.stripe(key)
 	s.mu.Lock()
 	if p := s.pairs[key]; p != nil {
 		own, ownHints = p.classes[class], p.hints
 	}
 	s.mu.Unlock()
-	model, modelHints := e.pool(of.allRoutes(), false).read(class)
+	model, modelHints := e.pool(subject.allRoutes(), false).snapshot(class)
 	curve := cautiousCurve()
 	curve.blend(&model, cautiousWeight)
 	hints := modelHints
-	if of.Route != "" {
+	if subject.Route != "" {
 		var pooled histogram
-		pooled, hints = e.pool(of.kind(), false).read(class)
+		pooled, hints = e.pool(subject.kind(), false).snapshot(class)
 		curve.blend(&pooled, modelWeight)
 	}
 	curve.blend(&own, pooledWeight)
-	if of.Hint > 0 {
-		curve.weigh(of.Hint, blendErrors(&ownHints, &hints))
+	if subject.Hint > 0 {
+		curve.applyHint(subject.Hint, blendErrors(&ownHints, &hints))
 	}
 	return curve
 }
 
-// read copies what the pool holds of a class; a pool that isn't there is empty.
-func (p *pool) read(class int) (histogram, hintErrors) {
+// snapshot returns copies of the histogram and hint errors of a class; they are
+// empty for a nil pool.
+func (p *pool) snapshot(class int) (histogram, hintErrors) {
 	if p == nil {
 		return histogram{}, hintErrors{}
 	}
@@ -233,7 +235,8 @@
 	return p.classes[class], p.hints
 }
 
-// cautiousCurve keeps a tail beyond all that was seen.
+// cautiousCurve returns the curve without observations. Its tail gives lengths
+// beyond all observed ones a chance.
 func cautiousCurve() Survival {
 	var s Survival
 	for i := range s.beyond {
@@ -242,18 +245,18 @@
 	return s
 }
 
-// blend weighs observed lengths with the curve so far, which counts for weight
+// blend adds observed lengths to the curve so far, which counts as weight
 // observations.
 func (s *Survival) blend(h *histogram, weight float64) {
-	total := float64(h.total) / unit
+	total := float64(h.total) / observationUnit
 	var beyond float64
 	for i := numEdges - 1; i >= 0; i-- {
-		beyond += float64(h.counts[i]) / unit
+		beyond += float64(h.counts[i]) / observationUnit
 		s.beyond[i] = float32((beyond + weight*float64(s.beyond[i])) / (total + weight))
 	}
 }
 
-// Pairs counts the pairs kept.
+// Pairs returns the number of pairs kept.
 func (e *Estimator) Pairs() int {
 	n := 0
 	for i := range e.stripes {
@@ -270,23 +273,24 @@
 	return &e.stripes[h%numStripes]
 }
 
-func (e *Estimator) pool(of kind, create bool) *pool {
+func (e *Estimator) pool(k kind, create bool) *pool {
 	e.poolsMu.RLock()
-	p := e.pools[of]
+	p := e.pools[k]
 	e.poolsMu.RUnlock()
 	if p != nil || !create {
 		return p
 	}
 	e.poolsMu.Lock()
 	defer e.poolsMu.Unlock()
-	if p = e.pools[of]; p == nil {
+	if p = e.pools[k]; p == nil {
 		p = &pool{}
-		e.pools[of] = p
+		e.pools[k] = p
 	}
 	return p
 }
 
-// get returns the key's pair, making room for it by second chance.
+// get returns the pair of a key. It creates it if needed, and evicts others to make
+// room.
 func (s *stripe) get(key pairKey) *pair {
 	p := s.pairs[key]
 	if p == nil {
@@ -295,20 +299,20 @@
 		}
 		p = &pair{}
 		s.pairs[key] = p
-		s.hand = append(s.hand, key)
+		s.evictionQueue = append(s.evictionQueue, key)
 	}
-	p.used = true
+	p.recentlyUsed = true
 	return p
 }
 
 func (s *stripe) evictOne() {
 	for {
-		oldest := s.hand[0]
-		s.hand = s.hand[1:]
+		oldest := s.evictionQueue[0]
+		s.evictionQueue = s.evictionQueue[1:]
 		p := s.pairs[oldest]
-		if p.used {
-			p.used = false
-			s.hand = append(s.hand, oldest)
+		if p.recentlyUsed {
+			p.recentlyUsed = false
+			s.evictionQueue = append(s.evictionQueue, oldest)
 			continue
 		}
 		delete(s.pairs, oldest)
--- a/internal/core/length/length_test.go
+++ b/internal/core/length/length_test.go
@@ -15,13 +15,13 @@
 	for n := 1; n < 100_000; n++ {
 		b := bucketOf(n)
 		if float64(n) <= edges[b] || (b < numEdges-1 && float64(n) > edges[b+1]) {
-			t.Fatalf("%d in bucket %d: edges %v..", n, b, edges[b])
+			t.Fatalf("length %d in bucket %d, which starts at %v", n, b, edges[b])
 		}
 	}
 }
 
-// A survival curve never rises, starts at one, keeps a tail, and its
-// quantiles agree with it, whatever was observed.
+// For any observations, the survival curve starts at one, never rises and keeps a
+// positive tail, and its quantiles agree with it.
 func TestSurvivalProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := NewEstimator(Options{})
@@ -30,18 +30,18 @@
 		}
 		s := e.Estimate(Subject{Model: "m", Organisation: "o", PromptTokens: 100})
 		seen := rapid.IntRange(0, 50_000).Draw(t, "seen")
-		last := 1.0
+		previous := 1.0
 		for ahead := 0; ahead < 100_000; ahead += 997 {
-			now := s.Given(seen, ahead)
-			if now > last+1e-6 || now <= 0 {
-				t.Fatalf("given %d ahead %d: %v after %v", seen, ahead, now, last)
+			survival := s.Given(seen, ahead)
+			if survival > previous+1e-6 || survival <= 0 {
+				t.Fatalf("Given(%d, %d) = %v after %v", seen, ahead, survival, previous)
 			}
-			last = now
+			previous = survival
 		}
 		q := rapid.Float64Range(0.05, 0.95).Draw(t, "q")
 		n := s.Quantile(seen, q)
 		if n < maxQuantile && s.Given(seen, n-seen) > 1-q+1e-6 {
-			t.Fatalf("quantile %v is %d, yet %v survive", q, n, s.Given(seen, n-seen))
+			t.Fatalf("quantile %v is %d, but the probability of more is %v", q, n, s.Given(seen, n-seen))
 		}
 	})
 }
@@ -50,44 +50,44 @@
 	return max(1, int(median*math.Exp(sigma*r.NormFloat64())))
 }
 
-// calibration returns the part of answers that stay under each promised
-// quantile, asked before each answer is learnt.
+// calibration returns the fraction of answers within each estimated quantile. Each
+// answer is estimated before it is observed.
 func calibration(e *Estimator, organisation string, draws int, quantiles []float64, draw func() int) []float64 {
-	under := make([]float64, len(quantiles))
+	coverage := make([]float64, len(quantiles))
 	for range draws {
 		n := draw()
 		s := e.Estimate(Subject{Model: "m", Organisation: organisation, PromptTokens: 100})
 		for i, q := range quantiles {
 			if n <= s.Quantile(0, q) {
-				under[i] += 1 / float64(draws)
+				coverage[i] += 1 / float64(draws)
 			}
 		}
 		e.Observe(Subject{Model: "m", Organisation: organisation, PromptTokens: 100}, n)
 	}
-	return under
+	return coverage
 }
 
-var promised = []float64{0.5, 0.8, 0.9, 0.95}
+var testQuantiles = []float64{0.5, 0.8, 0.9, 0.95}
 
-func TestCalibrated(t *testing.T) {
+func TestEstimatesAreCalibrated(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
 	draw := func() int { return lognormal(r, 400, 1.1) }
 	e := NewEstimator(Options{})
-	calibration(e, "o", 200, promised, draw)
-	got := calibration(e, "o", 4000, promised, draw)
-	t.Logf("promised %v seen %.3f", promised, got)
-	for i, q := range promised {
+	calibration(e, "o", 200, testQuantiles, draw)
+	got := calibration(e, "o", 4000, testQuantiles, draw)
+	t.Logf("quantiles %v, coverage %.3f", testQuantiles, got)
+	for i, q := range testQuantiles {
 		if math.Abs(got[i]-q) > 0.04 {
-			t.Errorf("promised %v, seen %v", q, got[i])
+			t.Errorf("coverage of quantile %v is %v", q, got[i])
 		}
 	}
 }
 
-// An organisation's first requests are placed before anything is known of
-// it. Promising too little would fill a runner with answers that overrun it;
-// the pooled curve and the cautious tail must promise at least what comes.
-func TestSafeForUnseenOrganisation(t *testing.T) {
-	for name, poolMedian := range map[string]float64{"empty pool": 0, "pool of like kind": 300} {
+// The first requests of an organisation are placed without any observations of it.
+// If their estimates were too short, their answers would overrun the room at the
+// runner. The pooled curve and the cautious tail must cover the actual lengths.
+func TestEstimateCoversUnseenOrganisation(t *testing.T) {
+	for name, poolMedian := range map[string]float64{"empty pool": 0, "pool of similar answers": 300} {
 		t.Run(name, func(t *testing.T) {
 			r := rand.New(rand.NewPCG(3, 4))
 			var total float64
@@ -106,31 +106,32 @@
 				got := calibration(fresh, fmt.Sprint("new", i), 5, []float64{0.9}, func() int { return lognormal(r, 300, 0.8) })
 				total += got[0] / organisations
 			}
-			t.Logf("promised 0.9 seen %.3f", total)
+			t.Logf("coverage of quantile 0.9: %.3f", total)
 			if total < 0.86 {
-				t.Errorf("promised 0.9, seen %.3f", total)
+				t.Errorf("coverage of quantile 0.9 is %.3f", total)
 			}
 		})
 	}
 }
 
-// An organisation starts to ask for answers eight times as long. At first
-// the promises are overrun; 256 answers later they must hold again.
-func TestFollowsChangeOfBehaviour(t *testing.T) {
+// An organisation starts to ask for answers eight times as long. The estimates are
+// too short at first; after 256 answers they must be calibrated again.
+func TestEstimateAdaptsToLongerAnswers(t *testing.T) {
 	r := rand.New(rand.NewPCG(5, 6))
 	e := NewEstimator(Options{})
-	calibration(e, "o", 1000, promised, func() int { return lognormal(r, 100, 0.7) })
+	calibration(e, "o", 1000, testQuantiles, func() int { return lognormal(r, 100, 0.7) })
 	draw := func() int { return lognormal(r, 800, 0.7) }
-	during := calibration(e, "o", 256, promised, draw)
-	after := calibration(e, "o", 300, promised, draw)
-	t.Logf("promised %v during %.3f after %.3f", promised, during, after)
+	during := calibration(e, "o", 256, testQuantiles, draw)
+	after := calibration(e, "o", 300, testQuantiles, draw)
+	t.Logf("quantiles %v: coverage %.3f during the change, %.3f after", testQuantiles, during, after)
 	if after[2] < 0.86 || after[3] < 0.91 {
-		t.Errorf("promised %v, seen %.3f after the change", promised, after)
+		t.Errorf("quantiles %v: coverage %.3f after the change", testQuantiles, after)
 	}
 }
 
-// Cut answers are the long ones. Leaving them out would halve the promise.
-func TestCutAnswersDontShortenTheEstimate(t *testing.T) {
+// Cut answers are the long ones. Ignoring them would halve the estimated
+// probability of long answers.
+func TestCutAnswersDoNotShortenEstimate(t *testing.T) {
 	r := rand.New(rand.NewPCG(7, 8))
 	e := NewEstimator(Options{})
 	for range 2000 {
@@ -143,7 +144,7 @@
 	}
 	s := e.Estimate(Subject{Model: "m", Organisation: "o", PromptTokens: 100})
 	if beyond := s.Beyond(600); math.Abs(beyond-0.34) > 0.08 {
-		t.Fatalf("beyond the cut: %v, true 0.34", beyond)
+		t.Fatalf("probability beyond the cut is %v, actually 0.34", beyond)
 	}
 }
 
@@ -153,6 +154,6 @@
 		e.Observe(Subject{Model: "m", Organisation: fmt.Sprint(i), PromptTokens: 10}, 10)
 	}
 	if n := e.Pairs(); n > 64 {
-		t.Fatalf("%d pairs", n)
+		t.Fatalf("%d pairs are kept, want at most 64", n)
 	}
 }
--- a/internal/core/length/survival.go
+++ b/internal/core/length/survival.go
@@ -2,14 +2,14 @@
 
 import "math"
 
-// The curve is kept at edges that grow by the square root of two: 0, 8, 11,
-// 16, ... 32768. A last bucket holds all that is longer.
+// A curve is stored at edges that grow by the square root of two: 0, 8, 11, 16, ...
+// 32768. A last bucket holds all longer lengths.
 const (
 	firstEdge = 8
 	numEdges  = 26
 )
 
-// edges are the lengths at which a curve is kept.
+// edges are the lengths at which a curve is stored.
 var edges = makeEdges()
 
 func makeEdges() [numEdges]float64 {
@@ -20,13 +20,13 @@
 	return e
 }
 
-// bucketOf returns the bucket of a length: bucket i lies above edge i and
-// reaches edge i+1; the last has no upper end.
+// bucketOf returns the bucket of a length. Bucket i covers lengths above edge i, up
+// to and including edge i+1; the last bucket has no upper edge.
 func bucketOf(tokens int) int {
 	if tokens <= firstEdge {
 		return 0
 	}
-	// The last edge below the length; rounding moves edges by under one.
+	// Estimate the bucket; rounding moves the edges by less than one.
 	i := int(2*math.Log2(float64(tokens)/firstEdge)) + 1
 	i = min(i, numEdges-1)
 	for i > 0 && float64(tokens) <= edges[i] {
@@ -38,15 +38,15 @@
 	return i
 }
 
-// Survival is the curve of one class of requests: the chance that an answer
-// is longer than n tokens. The zero value is the cautious curve used where
-// nothing is known. It is a value: it doesn't change with later observations.
+// Survival is the survival function of the answer length: the probability that an
+// answer is longer than n tokens. The zero value is the cautious curve, which
+// applies without observations. It is a value that later observations don't change.
 type Survival struct {
-	// beyond[i] is the chance of being longer than edges[i].
+	// beyond[i] is the probability of a length above edges[i].
 	beyond [numEdges]float32
 }
 
-// Beyond returns the chance that the answer is longer than n tokens.
+// Beyond returns the probability that the answer is longer than n tokens.
 func (s *Survival) Beyond(n int) float64 {
 	if n <= 0 {
 		return 1
@@ -59,22 +59,22 @@
 	if b == numEdges-1 {
 		return low * edges[b] / float64(n)
 	}
-	part := (float64(n) - edges[b]) / (edges[b+1] - edges[b])
-	return low + part*(float64(s.beyond[b+1])-low)
+	fraction := (float64(n) - edges[b]) / (edges[b+1] - edges[b])
+	return low + fraction*(float64(s.beyond[b+1])-low)
 }
 
-// Given returns the chance that an answer which already has seen tokens gets
-// more than ahead further ones.
+// Given returns the probability that an answer with seen tokens gets more than
+// ahead further ones.
 func (s *Survival) Given(seen, ahead int) float64 {
-	now := s.Beyond(seen)
-	if now <= 0 {
+	beyondSeen := s.Beyond(seen)
+	if beyondSeen <= 0 {
 		return 0
 	}
-	return s.Beyond(seen+ahead) / now
+	return s.Beyond(seen+ahead) / beyondSeen
 }
 
-// Quantile returns the total length that the answer doesn't exceed with
-// chance q, given the tokens seen.
+// Quantile returns the total length that the answer doesn't exceed with probability
+// q, given the tokens seen.
 func (s *Survival) Quantile(seen int, q float64) int {
 	target := (1 - q) * s.Beyond(seen)
 	low, high := seen, seen+1
@@ -92,13 +92,14 @@
 	return high
 }
 
-// maxQuantile bounds Quantile's search.
+// maxQuantile bounds the search of Quantile.
 const maxQuantile = 1 << 20
 
-// cautiousScale is the median length that the cautious curve assumes.
-const cautiousScale = 256
+// cautiousMedian is the median length of the cautious curve.
+const cautiousMedian = 256
 
-// cautiousBeyond is the heavy-tailed curve for a wholly unknown class: the
-// longer an answer already is, the longer it is expected to go on. A curve
-// with a light tail would promise room that a first long answer overruns.
-func cautiousBeyond(n float64) float64 { return cautiousScale / (cautiousScale + n) }
+// cautiousBeyond is the cautious curve, for a class without observations. It has a
+// heavy tail: the longer an answer already is, the longer it is expected to
+// continue. With a light tail, the first long answer would overrun the room that
+// was reserved for it.
+func cautiousBeyond(n float64) float64 { return cautiousMedian / (cautiousMedian + n) }
