--- a/internal/core/ratelimit/bench_test.go
+++ b/internal/core/ratelimit/bench_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// BenchmarkAdmit measures one admission, for one endpoint of so many and for all of a pool.
+// BenchmarkAdmit measures one admission, to one endpoint of a pool and to any of it.
 func BenchmarkAdmit(b *testing.B) {
 	for _, size := range []int{1, 50, 1900} {
 		b.Run(fmt.Sprintf("one of %d", size), func(b *testing.B) { benchAdmit(b, size, 1) })
@@ -15,7 +15,7 @@
 	b.Run("all of 50", func(b *testing.B) { benchAdmit(b, 50, 50) })
 }
 
-func benchAdmit(b *testing.B, size, asked int) {
+func benchAdmit(b *testing.B, size, perRequest int) {
 	l := NewLimiter()
 	asks := make([]Ask, size)
 	for i := range asks {
@@ -25,12 +25,12 @@
 	now := start
 	for i := 0; b.Loop(); i++ {
 		now = now.Add(time.Millisecond)
-		from := i % (size - asked + 1)
-		l.Admit(now, asks[from:from+asked], 0)
+		from := i % (size - perRequest + 1)
+		l.Admit(now, asks[from:from+perRequest], 0)
 	}
 }
 
-// BenchmarkMemory is the heap for each endpoint that is remembered.
+// BenchmarkMemory reports the heap per tracked endpoint.
 func BenchmarkMemory(b *testing.B) {
 	const endpoints = maxMeters
 	var before, after runtime.MemStats
--- a/internal/core/ratelimit/doc.go
+++ b/internal/core/ratelimit/doc.go
@@ -1,5 +1,6 @@
-// Package ratelimit is about endpoints that name, in their answers, the requests
-// a second that they take from all daemons together: when such a limit is
-// believed, and when a request may be sent to such an endpoint. It knows no
-// sockets and no other daemons.
+// Package ratelimit keeps daemons within the request rates of endpoints. An endpoint
+// may state in its answers how many requests per second it accepts from all daemons
+// together. The package decides when such a limit applies, and when a request may be
+// sent to such an endpoint. It does no I/O and doesn't communicate with other
+// daemons.
 package ratelimit
--- a/internal/core/ratelimit/limiter.go
+++ b/internal/core/ratelimit/limiter.go
@@ -6,74 +6,74 @@
 )
 
 const (
-	// maxMeters bounds the endpoints that are remembered. Past it a request to
-	// another one is not admitted: in a fleet in which so many are in need at
-	// once, no word on them would be kept to otherwise.
+	// maxMeters bounds the tracked endpoints. Beyond it, requests to further
+	// endpoints are not admitted: with that many limited endpoints at once, their
+	// limits could not be kept otherwise.
 	maxMeters = 8192
-	// askAgain bounds the time for which a refused daemon is told not to ask while
-	// others are ahead of it: they may use less than was promised to them.
-	askAgain = time.Second
-	// longestWait bounds it where the endpoint takes nothing for longer: another
-	// daemon may admit by then.
-	longestWait = 5 * time.Second
-	// MaxPatience bounds how far ahead requests are admitted: another daemon that
-	// takes over doesn't know of them.
+	// maxPostponement bounds how long a refused daemon is postponed behind others:
+	// they may send fewer requests than they were granted.
+	maxPostponement = time.Second
+	// maxWait bounds the wait where the endpoint accepts nothing for longer:
+	// another daemon may admit requests by then.
+	maxWait = 5 * time.Second
+	// MaxPatience bounds how far ahead requests are admitted: a daemon that takes
+	// over as coordinator doesn't know of them.
 	MaxPatience = time.Second
-	// memory is how long an endpoint is remembered after it has worked off what
-	// was admitted.
-	memory = time.Minute
+	// endpointRetention is how long an endpoint is tracked after it has processed
+	// all admitted requests.
+	endpointRetention = time.Minute
 )
 
-// Ask names an endpoint to which a request could be sent.
+// Ask is an endpoint to which a request could be sent.
 type Ask struct {
 	Endpoint string
-	// Limit is the one that the endpoint is known by.
+	// Limit is the current limit of the endpoint.
 	Limit
 }
 
-// Grant says where and when one request may be sent.
+// Grant is the decision on one request: where it may be sent, and when.
 type Grant struct {
-	// Endpoint is empty where the request may be sent to none of them.
+	// Endpoint is empty if the request was refused.
 	Endpoint string
-	// Wait is the time until it may be sent, or until it makes sense to ask
-	// again.
+	// Wait is the time until the request may be sent, or until a refused caller
+	// should ask again.
 	Wait time.Duration
 }
 
-// Limiter shares out what endpoints take among all daemons that ask it. It is
-// safe for concurrent use.
+// Limiter divides the rates of endpoints among all daemons that call it. It is safe
+// for concurrent use.
 type Limiter struct {
-	// isShare: others admit to the same endpoints meanwhile.
+	// isShare is set if other limiters admit requests to the same endpoints.
 	isShare bool
 
 	mu sync.Mutex
-	m  map[string]*metered
+	m  map[string]*endpointMeter
 }
 
-// metered is one endpoint.
-type metered struct {
+// endpointMeter is the state of one endpoint.
+type endpointMeter struct {
 	Meter
-	// told is the last time at which a refused daemon was told to ask again.
-	told time.Time
+	// lastRetry is the latest retry time given to a refused daemon.
+	lastRetry time.Time
 }
 
-// NewLimiter returns a limiter that admits for all daemons.
-func NewLimiter() *Limiter { return &Limiter{m: make(map[string]*metered)} }
+// NewLimiter returns a limiter that admits requests for all daemons.
+func NewLimiter() *Limiter { return &Limiter{m: make(map[string]*endpointMeter)} }
 
-// NewShareLimiter returns a limiter of one daemon that keeps to its share of the
-// endpoints' rates, as it can't reach the one that admits for all. It admits
-// nothing at once: all daemons together would send a burst.
-func NewShareLimiter() *Limiter { return &Limiter{isShare: true, m: make(map[string]*metered)} }
+// NewShareLimiter returns a limiter for one daemon's share of the endpoints' rates,
+// used while the daemon can't reach the coordinator that admits for all. It admits
+// nothing at the start: all daemons together would send a burst.
+func NewShareLimiter() *Limiter { return &Limiter{isShare: true, m: make(map[string]*endpointMeter)} }
 
-// Admit admits one request to the endpoint that takes it soonest, if that is
-// within the patience, of MaxPatience at most.
+// Admit admits one request to the endpoint that accepts it first, if that is within
+// the patience, which is capped at MaxPatience.
 func (l *Limiter) Admit(now time.Time, asks []Ask, patience time.Duration) Grant {
 	patience = min(patience, MaxPatience)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var best *metered
+	var best *endpointMeter
 	var chosen Ask
-	soonest := askAgain
+	soonest := maxPostponement
 	for _, a := range asks {
 		m := l.meter(now, a)
 		if m == nil {
@@ -85,7 +85,7 @@
 	}
 	switch {
 	case best == nil:
-		return Grant{Wait: askAgain}
+		return Grant{Wait: maxPostponement}
 	case soonest > patience:
 		return Grant{Wait: best.postpone(now, soonest-patience, chosen.PerSecond)}
 	}
@@ -93,23 +93,24 @@
 	return Grant{Endpoint: chosen.Endpoint, Wait: soonest}
 }
 
-// postpone spreads those that were refused over the times at which the endpoint
-// takes more. All at once would ask, and all but one be refused again.
-func (m *metered) postpone(now time.Time, least time.Duration, perSecond float64) time.Duration {
+// postpone spreads the retries of refused daemons over the times at which the
+// endpoint accepts requests. Otherwise all would ask at once, and all but one would
+// be refused again.
+func (m *endpointMeter) postpone(now time.Time, least time.Duration, perSecond float64) time.Duration {
 	next := now.Add(least)
-	if later := m.told.Add(interval(perSecond)); later.After(next) {
-		next = later
+	if spaced := m.lastRetry.Add(interval(perSecond)); spaced.After(next) {
+		next = spaced
 	}
-	if latest := now.Add(max(least, askAgain)); next.After(latest) {
+	if latest := now.Add(max(least, maxPostponement)); next.After(latest) {
 		next = latest
 	} else {
-		m.told = next
+		m.lastRetry = next
 	}
-	return min(longestWait, next.Sub(now))
+	return min(maxWait, next.Sub(now))
 }
 
-// meter returns the endpoint's, nil where there is no room for it.
-func (l *Limiter) meter(now time.Time, a Ask) *metered {
+// meter returns the meter of an endpoint, or nil if too many endpoints are tracked.
+func (l *Limiter) meter(now time.Time, a Ask) *endpointMeter {
 	m := l.m[a.Endpoint]
 	if m != nil {
 		return m
@@ -120,7 +121,7 @@
 	if len(l.m) >= maxMeters {
 		return nil
 	}
-	m = &metered{}
+	m = &endpointMeter{}
 	if l.isShare {
 		m.due = now.Add(a.burst() + interval(a.PerSecond))
 	}
@@ -128,8 +129,7 @@
 	return m
 }
 
-// Expire forgets the endpoints that nobody has asked for in a while; call it now
-// and then.
+// Expire drops endpoints without requests for endpointRetention; call it regularly.
 func (l *Limiter) Expire(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -138,13 +138,13 @@
 
 func (l *Limiter) expire(now time.Time) {
 	for id, m := range l.m {
-		if now.Sub(m.due) >= memory {
+		if now.Sub(m.due) >= endpointRetention {
 			delete(l.m, id)
 		}
 	}
 }
 
-// Len counts the endpoints that are remembered.
+// Len returns the number of tracked endpoints.
 func (l *Limiter) Len() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/core/ratelimit/meter.go
+++ b/internal/core/ratelimit/meter.go
@@ -7,25 +7,25 @@
 )
 
 const (
-	// burst is the time for which an endpoint may leave its limit unused and get
-	// that later, beside what it takes then.
+	// burst is the time for which an endpoint may leave its limit unused and still
+	// get those requests later, in addition to its rate.
 	burst = time.Second
-	// coldBurst is the same for one that is cold: what it bears within a second is
-	// little more than its rate.
+	// coldBurst is the burst of a cold endpoint, which can handle little more than
+	// its rate within any second.
 	coldBurst = 250 * time.Millisecond
 )
 
-// Limit is what an endpoint takes from all daemons together. The zero value is no
-// limit.
+// Limit is the request rate that an endpoint accepts from all daemons together. The
+// zero value is no limit.
 type Limit struct {
-	// PerSecond is in requests a second; zero is no limit.
+	// PerSecond is in requests per second; zero is no limit.
 	PerSecond float64
-	// IsCold: it is the measure of an endpoint that is cold.
+	// IsCold is set if the endpoint is cold.
 	IsCold bool
 }
 
-// Of returns the limit by which an endpoint is known: the rate that it names, that
-// of one that is cold, or the smaller of both.
+// Of returns the limit of an endpoint: the rate that it states, the rate of a cold
+// endpoint, or the lower of both.
 func Of(e *port.Endpoint) Limit {
 	l := Limit{PerSecond: e.RateLimit, IsCold: e.ColdRate > 0}
 	if l.IsCold && (l.PerSecond <= 0 || e.ColdRate < l.PerSecond) {
@@ -41,16 +41,16 @@
 	return burst
 }
 
-// Meter admits requests to one endpoint within its limit, by the generic cell
-// rate algorithm. Within any time t it admits no more than 1 + rate*(t + burst).
-// The zero value has just begun, as it does where another daemon takes over, and
-// admits one request at once and no burst.
+// Meter admits requests to one endpoint within its limit, by the generic cell rate
+// algorithm. Within any time t it admits at most 1 + rate*(t + burst) requests. The
+// zero value, which is also the state after another daemon takes over, admits one
+// request at once and no burst.
 type Meter struct {
-	// due is when the endpoint will have worked off all that was admitted.
+	// due is when the endpoint will have processed all admitted requests.
 	due time.Time
 }
 
-// Wait is the time until the next request may be sent, zero for now.
+// Wait returns the time until the next request may be sent, zero for now.
 func (m *Meter) Wait(now time.Time, l Limit) time.Duration {
 	if l.PerSecond <= 0 {
 		return 0
@@ -61,7 +61,7 @@
 	return max(0, m.due.Add(-l.burst()).Sub(now))
 }
 
-// Take admits the next request, for when Wait says.
+// Take admits the next request, at the time that Wait returns.
 func (m *Meter) Take(now time.Time, l Limit) {
 	if l.PerSecond <= 0 {
 		return
@@ -72,10 +72,10 @@
 	m.due = m.due.Add(interval(l.PerSecond))
 }
 
-// longestInterval bounds the time of one request where many daemons share a rate.
-const longestInterval = time.Hour
+// maxInterval bounds the time per request when many daemons share a rate.
+const maxInterval = time.Hour
 
-// interval is the time that an endpoint takes to work off one request.
+// interval returns the time that an endpoint takes for one request at its rate.
 func interval(perSecond float64) time.Duration {
-	return time.Duration(min(float64(longestInterval), float64(time.Second)/perSecond))
+	return time.Duration(min(float64(maxInterval), float64(time.Second)/perSecond))
 }
--- a/internal/core/ratelimit/observer.go
+++ b/internal/core/ratelimit/observer.go
@@ -9,80 +9,80 @@
 )
 
 const (
-	// LowestRate is taken in place of a smaller limit, in requests a second: with
-	// no request at all nobody would hear that the endpoint has recovered.
-	LowestRate = 0.2
-	// liftAfter is how long answers must name no limit before the last one is
-	// taken for lifted: hysteresis against an endpoint at the edge of its need.
+	// MinRate replaces a smaller limit, in requests per second: without any
+	// requests no daemon would learn that the endpoint has recovered.
+	MinRate = 0.2
+	// liftAfter is how long answers must state no limit before the last one is
+	// lifted. This hysteresis is for endpoints at the edge of overload.
 	liftAfter = time.Second
-	// tolerance is the part by which a limit must change to be passed on, and
-	// changeEvery the least time between two such changes. They bound what one
-	// endpoint costs all daemons.
-	tolerance   = 0.1
-	changeEvery = 250 * time.Millisecond
+	// tolerance is the relative change of a limit below which it is not published,
+	// and minChangeInterval the least time between two such changes. They bound the
+	// messages that one endpoint causes at all daemons.
+	tolerance         = 0.1
+	minChangeInterval = 250 * time.Millisecond
 )
 
-// Observer judges what the answers of endpoints say of their limits. It is safe
-// for concurrent use.
+// Observer derives the limits of endpoints from their answers. It is safe for
+// concurrent use.
 type Observer struct {
 	mu sync.Mutex
-	// limited are the endpoints that have a limit.
-	limited map[string]*observed
+	// limited holds the endpoints that have a limit.
+	limited map[string]*limitState
 }
 
-type observed struct {
+type limitState struct {
 	incarnation uint64
-	// changed is when this daemon last passed on a limit.
-	changed time.Time
-	// silentSince is the first answer without a limit since the last with one,
-	// zero for none.
-	silentSince time.Time
+	// lastChange is when this daemon last published a limit.
+	lastChange time.Time
+	// noLimitSince is the first answer without a limit after the last one with a
+	// limit; zero if there is none.
+	noLimitSince time.Time
 }
 
-// NewObserver returns an observer of no endpoints.
-func NewObserver() *Observer { return &Observer{limited: make(map[string]*observed)} }
+// NewObserver returns an observer without endpoints.
+func NewObserver() *Observer { return &Observer{limited: make(map[string]*limitState)} }
 
-// Answered takes the limit that an answer of an endpoint names, nil for none.
-// It returns the endpoint's limit from now on, zero for none, and whether that
-// is another than the one that the endpoint is known by.
-func (o *Observer) Answered(now time.Time, e *port.Endpoint, named *float64) (perSecond float64, changed bool) {
-	if named == nil && e.RateLimit == 0 {
+// Answered applies the limit that an answer of an endpoint states, nil for none. It
+// returns the limit of the endpoint from now on, zero for none, and whether it
+// differs from the current one in e.
+func (o *Observer) Answered(now time.Time, e *port.Endpoint, stated *float64) (perSecond float64, changed bool) {
+	if stated == nil && e.RateLimit == 0 {
 		return 0, false
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	seen := o.limited[e.ID]
-	if seen == nil || seen.incarnation != e.Incarnation {
-		seen = &observed{incarnation: e.Incarnation}
-		o.limited[e.ID] = seen
+	state := o.limited[e.ID]
+	if state == nil || state.incarnation != e.Incarnation {
+		state = &limitState{incarnation: e.Incarnation}
+		o.limited[e.ID] = state
 	}
-	if named == nil {
-		return o.unnamed(now, e, seen)
+	if stated == nil {
+		return o.answeredWithoutLimit(now, e, state)
 	}
-	seen.silentSince = time.Time{}
-	rate := max(LowestRate, *named)
+	state.noLimitSince = time.Time{}
+	rate := max(MinRate, *stated)
 	isFirst := e.RateLimit == 0
-	differs := math.Abs(rate-e.RateLimit) > tolerance*e.RateLimit && now.Sub(seen.changed) >= changeEvery
+	differs := math.Abs(rate-e.RateLimit) > tolerance*e.RateLimit && now.Sub(state.lastChange) >= minChangeInterval
 	if !isFirst && !differs {
 		return e.RateLimit, false
 	}
-	seen.changed = now
+	state.lastChange = now
 	return rate, true
 }
 
-// unnamed takes an answer without a limit; o.mu is held.
-func (o *Observer) unnamed(now time.Time, e *port.Endpoint, seen *observed) (perSecond float64, changed bool) {
-	if seen.silentSince.IsZero() {
-		seen.silentSince = now
+// answeredWithoutLimit applies an answer without a limit; o.mu is held.
+func (o *Observer) answeredWithoutLimit(now time.Time, e *port.Endpoint, state *limitState) (perSecond float64, changed bool) {
+	if state.noLimitSince.IsZero() {
+		state.noLimitSince = now
 	}
-	if now.Sub(seen.silentSince) < liftAfter {
+	if now.Sub(state.noLimitSince) < liftAfter {
 		return e.RateLimit, false
 	}
 	delete(o.limited, e.ID)
 	return 0, true
 }
 
-// Forget drops an endpoint that is gone.
+// Forget drops an endpoint that was removed.
 func (o *Observer) Forget(endpoint string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
