--- a/internal/core/length/bench_test.go
+++ b/internal/core/length/bench_test.go
@@ -14,7 +14,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		s := e.Estimate(Subject{Model: "m", Organisation: "3", PromptTokens: 100})
-		_ = s.Given(10, 100)
+		_ = s.BeyondGiven(10, 100)
 	}
 }
 
--- a/internal/core/length/length_test.go
+++ b/internal/core/length/length_test.go
@@ -32,16 +32,16 @@
 		seen := rapid.IntRange(0, 50_000).Draw(t, "seen")
 		previous := 1.0
 		for ahead := 0; ahead < 100_000; ahead += 997 {
-			survival := s.Given(seen, ahead)
+			survival := s.BeyondGiven(seen, ahead)
 			if survival > previous+1e-6 || survival <= 0 {
-				t.Fatalf("Given(%d, %d) = %v after %v", seen, ahead, survival, previous)
+				t.Fatalf("BeyondGiven(%d, %d) = %v after %v", seen, ahead, survival, previous)
 			}
 			previous = survival
 		}
 		q := rapid.Float64Range(0.05, 0.95).Draw(t, "q")
 		n := s.Quantile(seen, q)
-		if n < maxQuantile && s.Given(seen, n-seen) > 1-q+1e-6 {
-			t.Fatalf("quantile %v is %d, but the probability of more is %v", q, n, s.Given(seen, n-seen))
+		if n < maxQuantile && s.BeyondGiven(seen, n-seen) > 1-q+1e-6 {
+			t.Fatalf("quantile %v is %d, but the probability of more is %v", q, n, s.BeyondGiven(seen, n-seen))
 		}
 	})
 }
--- a/internal/core/length/survival.go
+++ b/internal/core/length/survival.go
@@ -63,9 +63,9 @@
 	return low + fraction*(float64(s.beyond[b+1])-low)
 }
 
-// Given returns the probability that an answer with seen tokens gets more than
+// BeyondGiven returns the probability that an answer with seen tokens gets more than
 // ahead further ones.
-func (s *Survival) Given(seen, ahead int) float64 {
+func (s *Survival) BeyondGiven(seen, ahead int) float64 {
 	beyondSeen := s.Beyond(seen)
 	if beyondSeen <= 0 {
 		return 0
