--- a/internal/core/outcome/outcome.go
+++ b/internal/core/outcome/outcome.go
@@ -1,40 +1,41 @@
-// Package outcome decides what may be said of a request, and whether it may
-// be tried again, from what is known of its attempts.
+// Package outcome derives the outcome of a request, and whether it may be retried,
+// from the fates of its attempts.
 package outcome
 
 import "github.com/dragonflyrail/dragonflyrail/internal/core/stream"
 
-// Outcome is what a caller is told.
+// Outcome is the result of a request as reported to the caller.
 type Outcome string
 
 // The outcomes.
 const (
-	// Done: the caller has its whole answer.
+	// Done: the caller has the complete answer.
 	Done Outcome = "done"
-	// NotRun: nothing reached an endpoint, or each one itself said so.
+	// NotRun: no attempt reached an endpoint, or each endpoint that was reached
+	// reported that it did not run the request.
 	NotRun Outcome = "not_run"
-	// Failed: it ran, and its answer is not whole.
+	// Failed: the request ran, and the answer is incomplete.
 	Failed Outcome = "failed"
-	// Unknown: it may have run.
+	// Unknown: the request may have run.
 	Unknown Outcome = "unknown"
 )
 
-// Ledger gathers the fates of a request's attempts. The zero value is a
-// request that was not tried.
+// Ledger collects the fates of the attempts of a request. The zero value is a
+// request without attempts.
 type Ledger struct {
-	// Idempotent: a second run does no harm.
+	// Idempotent is set if running the request twice does no harm.
 	Idempotent bool
 
-	attempts  int
-	done      bool
-	ran       bool
-	maybe     bool
-	delivered bool
-	rejected  bool
+	attempts   int
+	done       bool
+	ran        bool
+	mayHaveRun bool
+	delivered  bool
+	rejected   bool
 }
 
-// Add takes the fate of one attempt; delivered tells whether a token or byte
-// of it reached the caller.
+// Add records the fate of one attempt; delivered tells whether a token or byte of
+// it reached the caller.
 func (l *Ledger) Add(f stream.Fate, delivered bool) {
 	l.attempts++
 	l.delivered = l.delivered || delivered
@@ -47,32 +48,32 @@
 	case stream.FateRan:
 		l.ran = true
 	default:
-		l.maybe = true
+		l.mayHaveRun = true
 	}
 }
 
-// Attempts counts the attempts added.
+// Attempts returns the number of recorded attempts.
 func (l *Ledger) Attempts() int { return l.attempts }
 
-// MayRetry reports whether another attempt keeps every promise: no second
-// generation once the caller has a token, no round through the engines with a
-// request that is wrong, and no second run of a call that
-// is not idempotent unless each earlier attempt is known not to have run.
+// MayRetry reports whether another attempt is allowed. There is no second generation
+// once the caller has a token, no retry of a request that an endpoint rejected as
+// invalid, and no second run of a request that is not idempotent unless each earlier
+// attempt is known not to have run.
 func (l *Ledger) MayRetry() bool {
 	if l.done || l.delivered || l.rejected {
 		return false
 	}
-	return l.Idempotent || !(l.ran || l.maybe)
+	return l.Idempotent || !(l.ran || l.mayHaveRun)
 }
 
-// Outcome is the truth about the request as far as it is known.
+// Outcome returns the outcome of the request as far as it is known.
 func (l *Ledger) Outcome() Outcome {
 	switch {
 	case l.done:
 		return Done
-	case l.delivered, l.ran && !l.maybe:
+	case l.delivered, l.ran && !l.mayHaveRun:
 		return Failed
-	case l.maybe:
+	case l.mayHaveRun:
 		return Unknown
 	default:
 		return NotRun
--- a/internal/core/outcome/simulation_test.go
+++ b/internal/core/outcome/simulation_test.go
@@ -13,43 +13,44 @@
 
 const (
 	maxAttempts = 3
-	// stepLimit bounds the steps of a run that makes no end.
-	stepLimit = 5000
-	// wantSteps is the least work of one pass of the fuzzer.
-	wantSteps        = 10_000
+	// maxSteps bounds the steps of a run that doesn't end.
+	maxSteps = 5000
+	// minSteps is the least number of steps in one run of the test.
+	minSteps         = 10_000
 	requestsPerCheck = 40
 )
 
-// world carries out a machine's commands as a faulty network and engine would.
-type world struct {
+// simulation executes the commands of a stream machine like an unreliable network
+// and engine.
+type simulation struct {
 	t *rapid.T
 	h *history
 	r *run
 	m *stream.Machine
-	// at is the next frame of the open connection.
-	at int
-	// calm makes faults rare, so that long streams end as well.
-	calm bool
-	// adopted: the caller has come back at another router.
+	// nextFrame is the index of the next frame on the open connection.
+	nextFrame int
+	// fewFaults makes faults rare, so that long streams complete as well.
+	fewFaults bool
+	// adopted is set when the caller has resumed at another router.
 	adopted bool
-	// cut: no call reaches the engine.
-	cut   bool
-	steps int
+	// unreachable is set while no call reaches the engine.
+	unreachable bool
+	steps       int
 }
 
-// fault draws whether something goes wrong now.
-func (w *world) fault(name string) bool {
+// fault draws whether the named fault occurs.
+func (w *simulation) fault(name string) bool {
 	limit := 3
-	if w.calm {
+	if w.fewFaults {
 		limit = 30
 	}
 	return rapid.IntRange(0, limit).Draw(w.t, name) == 0
 }
 
-// passing is what happens at the engine while the router does something else.
-func (w *world) passing() {
+// advanceEngine simulates the progress of the engine during one router step.
+func (w *simulation) advanceEngine() {
 	r := w.r
-	if r.pending && rapid.Bool().Draw(w.t, "arrives") {
+	if r.inTransit && rapid.Bool().Draw(w.t, "arrives") {
 		r.arrive()
 	}
 	if r.running() {
@@ -60,17 +61,17 @@
 		r.forgotten = r.forgotten || r.arrived
 		r.stopped = r.stopped || r.arrived
 		r.barred = false
-		// A connection to the old process can't deliver to the new one, and
-		// nothing sends the dispatch again.
-		r.pending = false
+		// A connection to the old process can't deliver to the new one, and the
+		// dispatch is not sent again.
+		r.inTransit = false
 	}
 }
 
-func (w *world) known() bool { return w.r.arrived && !w.r.forgotten }
+func (w *simulation) knownToEngine() bool { return w.r.arrived && !w.r.forgotten }
 
-func (w *world) dispatch() stream.Event {
+func (w *simulation) dispatch() stream.Event {
 	if len(w.h.delivered) > 0 {
-		w.h.afterToken++
+		w.h.dispatchesAfterToken++
 	}
 	switch rapid.IntRange(0, 9).Draw(w.t, "dispatch") {
 	case 0:
@@ -78,7 +79,7 @@
 	case 1:
 		return stream.Event{Kind: stream.EventRefused}
 	case 2:
-		w.r.sent, w.r.pending = true, true
+		w.r.sent, w.r.inTransit = true, true
 		return stream.Event{Kind: stream.EventLost}
 	case 3:
 		w.r.sent, w.r.arrived = true, true
@@ -89,11 +90,11 @@
 		return stream.Event{Kind: stream.EventRejected}
 	}
 	w.r.sent, w.r.arrived = true, true
-	w.at = 0
+	w.nextFrame = 0
 	return stream.Event{Kind: stream.EventOpened}
 }
 
-func (w *world) frame(i int) stream.Event {
+func (w *simulation) frame(i int) stream.Event {
 	f := port.Frame{Generation: w.r.generation, Index: i}
 	if i == w.r.total {
 		f.FinishReason, f.TokenCount = "stop", w.r.total
@@ -101,39 +102,39 @@
 	return stream.Event{Kind: stream.EventFrame, Frame: f}
 }
 
-func (w *world) read() stream.Event {
+func (w *simulation) read() stream.Event {
 	if w.fault("read fault") {
 		return w.readFault()
 	}
-	ready := w.at < w.r.produced || (w.at == w.r.total && w.r.produced == w.r.total)
-	if !ready || !w.known() {
+	ready := w.nextFrame < w.r.produced || (w.nextFrame == w.r.total && w.r.produced == w.r.total)
+	if !ready || !w.knownToEngine() {
 		return stream.Event{Kind: stream.EventSilent}
 	}
-	e := w.frame(w.at)
-	w.at++
+	e := w.frame(w.nextFrame)
+	w.nextFrame++
 	return e
 }
 
-func (w *world) readFault() stream.Event {
+func (w *simulation) readFault() stream.Event {
 	switch rapid.IntRange(0, 7).Draw(w.t, "kind of fault") {
-	case 0: // a frame is lost on the way
-		w.at = min(w.at+1, w.r.total)
-		if w.at >= w.r.produced || !w.known() {
+	case 0: // a frame is lost in transit
+		w.nextFrame = min(w.nextFrame+1, w.r.total)
+		if w.nextFrame >= w.r.produced || !w.knownToEngine() {
 			return stream.Event{Kind: stream.EventSilent}
 		}
-		w.at++
-		return w.frame(w.at - 1)
-	case 1: // an old frame comes once more
-		return w.frame(rapid.IntRange(0, max(w.at-1, 0)).Draw(w.t, "old"))
-	case 2: // a token or the end of another generation
-		f := port.Frame{Generation: "other", Index: w.at}
+		w.nextFrame++
+		return w.frame(w.nextFrame - 1)
+	case 1: // an old frame is repeated
+		return w.frame(rapid.IntRange(0, max(w.nextFrame-1, 0)).Draw(w.t, "old"))
+	case 2: // a token or the last frame of another generation
+		f := port.Frame{Generation: "other", Index: w.nextFrame}
 		if rapid.Bool().Draw(w.t, "end") {
-			f.FinishReason, f.TokenCount = "stop", w.at
+			f.FinishReason, f.TokenCount = "stop", w.nextFrame
 		}
 		return stream.Event{Kind: stream.EventFrame, Frame: f}
 	case 3, 4:
 		return stream.Event{Kind: stream.EventClosed}
-	case 5: // the end overtakes the tokens
+	case 5: // the last frame arrives before the tokens
 		return w.frame(w.r.total)
 	case 6:
 		if rapid.IntRange(0, 3).Draw(w.t, "leaves") > 0 {
@@ -148,9 +149,9 @@
 	}
 }
 
-func (w *world) status() port.GenerationStatus {
+func (w *simulation) status() port.GenerationStatus {
 	switch {
-	case !w.known():
+	case !w.knownToEngine():
 		return port.GenerationUnknown
 	case w.r.stopped:
 		return port.GenerationCancelled
@@ -163,57 +164,56 @@
 	}
 }
 
-func (w *world) probe() stream.Event {
-	if w.cut || w.fault("probe lost") {
+func (w *simulation) probe() stream.Event {
+	if w.unreachable || w.fault("probe lost") {
 		return stream.Event{Kind: stream.EventLost}
 	}
 	return stream.Event{Kind: stream.EventStatus, Status: w.status()}
 }
 
-func (w *world) resume(from int) stream.Event {
-	if w.cut || w.fault("resume lost") {
+func (w *simulation) resume(from int) stream.Event {
+	if w.unreachable || w.fault("resume lost") {
 		return stream.Event{Kind: stream.EventLost}
 	}
-	if !w.known() {
+	if !w.knownToEngine() {
 		return stream.Event{Kind: stream.EventNoGeneration}
 	}
-	w.at = from
+	w.nextFrame = from
 	return stream.Event{Kind: stream.EventOpened}
 }
 
-// cancel takes effect unless the call is lost on its way there; the answer
-// may be lost on its way back.
-func (w *world) cancel() stream.Event {
+// cancel takes effect unless the call is lost; its answer may be lost, too.
+func (w *simulation) cancel() stream.Event {
 	r := w.r
 	if w.adopted {
-		w.t.Fatalf("a router cancels a run that it didn't dispatch")
+		w.t.Fatalf("a router cancels a run that it did not dispatch")
 	}
 	if w.fault("cancel lost") {
-		r.doubt = true
+		r.answerLost = true
 		return stream.Event{Kind: stream.EventLost}
 	}
-	was := w.status()
+	before := w.status()
 	r.stopped = r.stopped || r.arrived
 	r.barred = true
-	if w.fault("cancel's answer lost") {
-		r.doubt = true
+	if w.fault("cancel answer lost") {
+		r.answerLost = true
 		return stream.Event{Kind: stream.EventLost}
 	}
-	if was == port.GenerationUnknown && r.restarted {
-		r.doubt = true
+	if before == port.GenerationUnknown && r.restarted {
+		r.answerLost = true
 		return stream.Event{Kind: stream.EventForgotten}
 	}
-	return stream.Event{Kind: stream.EventStatus, Status: was}
+	return stream.Event{Kind: stream.EventStatus, Status: before}
 }
 
-// attempt drives one run to its end.
-func (w *world) attempt(o stream.Options) stream.Command {
+// attempt executes one run to its end.
+func (w *simulation) attempt(o stream.Options) stream.Command {
 	w.m = stream.New(o)
 	event := stream.Event{Kind: stream.EventBegin}
-	for range stepLimit {
+	for range maxSteps {
 		c := w.m.Step(event)
 		w.steps++
-		w.passing()
+		w.advanceEngine()
 		switch c.Kind {
 		case stream.CommandDispatch:
 			event = w.dispatch()
@@ -232,22 +232,22 @@
 			return c
 		}
 	}
-	w.t.Fatalf("no end after %d steps", stepLimit)
+	w.t.Fatalf("the run did not end after %d steps", maxSteps)
 	return stream.Command{}
 }
 
-// resumeElsewhere is the caller that comes back at routers which have never
-// seen its run, until it has the end.
-func (w *world) resumeElsewhere(t *rapid.T) {
+// resumeElsewhere simulates a caller that resumes at routers without any state of
+// its run, until it has the end.
+func (w *simulation) resumeElsewhere(t *rapid.T) {
 	w.adopted = true
 	for range maxAttempts {
-		w.cut = rapid.IntRange(0, 3).Draw(t, "cut off") == 0
+		w.unreachable = rapid.IntRange(0, 3).Draw(t, "cut off") == 0
 		c := w.attempt(stream.Options{
 			Generation: w.r.generation, Mode: stream.ModeAdopted, From: len(w.h.delivered),
 			Resumable: true, Limits: stream.DefaultLimits(),
 		})
 		if c.Fate == stream.FateDone && len(w.h.delivered) != w.r.total {
-			t.Fatalf("done elsewhere with %d of %d tokens", len(w.h.delivered), w.r.total)
+			t.Fatalf("done after resuming at another router with %d of %d tokens", len(w.h.delivered), w.r.total)
 		}
 		if c.Fate != stream.FateLeft {
 			return
@@ -255,12 +255,12 @@
 	}
 }
 
-// request serves one request as the router does and checks its history.
-func request(t *rapid.T) int {
+// serveRequest processes one request as a router does and checks its history.
+func serveRequest(t *rapid.T) int {
 	h := &history{idempotent: rapid.Bool().Draw(t, "idempotent")}
 	h.ledger.Idempotent = h.idempotent
 	resumable := rapid.Bool().Draw(t, "resumable")
-	w := &world{t: t, h: h, calm: rapid.Bool().Draw(t, "calm")}
+	w := &simulation{t: t, h: h, fewFaults: rapid.Bool().Draw(t, "few faults")}
 	for n := 1; n <= maxAttempts; n++ {
 		w.r = &run{
 			generation: fmt.Sprintf("r.%d", n),
@@ -273,7 +273,7 @@
 		w.r.fate = c.Fate
 		h.ledger.Add(c.Fate, w.m.Delivered())
 		if c.CancelPending {
-			// The router repeats it until it is seen.
+			// The router repeats the cancel until it is acknowledged.
 			w.r.stopped = w.r.stopped || w.r.arrived
 			w.r.barred = true
 		}
@@ -289,18 +289,19 @@
 	return w.steps
 }
 
-// What callers are promised, whatever frames, connections, calls and engines
-// do: tokens once, in order, from one generation; done only when whole; not
-// run only when it never ran and never will; at most one run where it must.
-func TestStreamsAndOutcomesAgainstTheOracle(t *testing.T) {
+// For any behaviour of frames, connections, calls and engines: a caller gets each
+// token once, in order, from one generation. A request is done only if its answer is
+// complete, not_run only if it never ran and never will, and runs at most once if it
+// is not idempotent.
+func TestStreamsAndOutcomesAgainstOracle(t *testing.T) {
 	steps := 0
 	rapid.Check(t, func(rt *rapid.T) {
 		for range requestsPerCheck {
-			steps += request(rt)
+			steps += serveRequest(rt)
 		}
 	})
-	if !t.Failed() && steps < wantSteps {
-		t.Fatalf("%d steps, want at least %d", steps, wantSteps)
+	if !t.Failed() && steps < minSteps {
+		t.Fatalf("%d steps, want at least %d", steps, minSteps)
 	}
 	t.Logf("%d steps", steps)
 }
