--- a/internal/core/balance/balance.go
+++ b/internal/core/balance/balance.go
@@ -1,7 +1,7 @@
-// Package balance chooses among the endpoints of a plain service by their
-// load, which is reported late. Two endpoints are drawn at random and the one
-// with less load takes the call, so that routers that share the same old
-// report don't all choose the same endpoint.
+// Package balance chooses among the endpoints of a plain service by their load,
+// which is reported with delay. It draws two endpoints at random and takes the one
+// with less load, so that routers with the same outdated report don't all choose the
+// same endpoint.
 package balance
 
 import (
@@ -11,38 +11,38 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// Draw returns a number from 0 up to n, which it never reaches.
+// Draw returns a random number in [0, n).
 type Draw func(n int) int
 
 // Options of a Balancer.
 type Options struct {
 	Draw Draw
-	// ReportMaxAge is the age past which a report says nothing any more.
+	// ReportMaxAge is the age beyond which a load report is ignored.
 	ReportMaxAge time.Duration
 }
 
-// Balancer keeps the load of endpoints. It is safe for concurrent use.
+// Balancer tracks the load of endpoints. It is safe for concurrent use.
 type Balancer struct {
-	o  Options
-	mu sync.Mutex
-	m  map[string]*load
+	o     Options
+	mu    sync.Mutex
+	loads map[string]*load
 }
 
 type load struct {
-	// outstanding calls of this router.
+	// outstanding is the number of open calls of this router.
 	outstanding int
 	reported    int
-	// begun and ended count this router's calls since the report.
-	begun    int
-	ended    int
-	received time.Time
+	// started and ended count this router's calls since the report.
+	started    int
+	ended      int
+	reportedAt time.Time
 }
 
 // New returns an empty balancer.
-func New(o Options) *Balancer { return &Balancer{o: o, m: make(map[string]*load)} }
+func New(o Options) *Balancer { return &Balancer{o: o, loads: make(map[string]*load)} }
 
-// Choose picks an endpoint and counts a call to it. End must follow. It
-// returns false where there is no candidate.
+// Choose picks an endpoint and counts a call to it; the caller must call End when
+// the call is over. It returns false if there are no candidates.
 func (b *Balancer) Choose(now time.Time, candidates []port.Endpoint) (port.Endpoint, []port.CandidateScore, bool) {
 	if len(candidates) == 0 {
 		return port.Endpoint{}, nil, false
@@ -64,11 +64,11 @@
 	}
 	l := b.entry(best.ID)
 	l.outstanding++
-	l.begun++
+	l.started++
 	return best, scores, true
 }
 
-// End counts the end of a call that Choose began.
+// End records the end of a call that Choose counted.
 func (b *Balancer) End(endpoint string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -77,62 +77,63 @@
 	l.ended++
 }
 
-// Report takes an endpoint's own word.
+// Report records the load that an endpoint reports.
 func (b *Balancer) Report(now time.Time, r *port.LoadReport) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	l := b.entry(r.EndpointID)
 	l.reported = r.Running + r.Waiting
-	l.begun, l.ended = 0, 0
-	l.received = now
+	l.started, l.ended = 0, 0
+	l.reportedAt = now
 }
 
-// Keep forgets the endpoints that are not among those known.
+// Keep drops all endpoints except the known ones and those with open calls.
 func (b *Balancer) Keep(known map[string]bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for id, l := range b.m {
+	for id, l := range b.loads {
 		if !known[id] && l.outstanding == 0 {
-			delete(b.m, id)
+			delete(b.loads, id)
 		}
 	}
 }
 
-// Forget drops an endpoint that is gone, unless calls to it are still open.
+// Forget drops an endpoint that was removed, unless calls to it are still open.
 func (b *Balancer) Forget(endpoint string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if l := b.m[endpoint]; l != nil && l.outstanding == 0 {
-		delete(b.m, endpoint)
+	if l := b.loads[endpoint]; l != nil && l.outstanding == 0 {
+		delete(b.loads, endpoint)
 	}
 }
 
-// Len counts the endpoints that are remembered.
+// Len returns the number of tracked endpoints.
 func (b *Balancer) Len() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return len(b.m)
+	return len(b.loads)
 }
 
 func (b *Balancer) entry(id string) *load {
-	l := b.m[id]
+	l := b.loads[id]
 	if l == nil {
 		l = &load{}
-		b.m[id] = l
+		b.loads[id] = l
 	}
 	return l
 }
 
-// score is the number of calls thought to be at the endpoint: its last report
-// corrected by this router's calls since, and never below this router's own.
+// score returns the estimated number of calls at the endpoint: its last report,
+// corrected by the calls of this router since then, and at least the open calls of
+// this router.
 func (b *Balancer) score(now time.Time, e port.Endpoint) port.CandidateScore {
-	l := b.m[e.ID]
+	l := b.loads[e.ID]
 	if l == nil {
 		return port.CandidateScore{Endpoint: e.ID}
 	}
 	n := l.outstanding
-	if !l.received.IsZero() && now.Sub(l.received) <= b.o.ReportMaxAge {
-		n = max(n, l.reported+l.begun-l.ended)
+	if !l.reportedAt.IsZero() && now.Sub(l.reportedAt) <= b.o.ReportMaxAge {
+		n = max(n, l.reported+l.started-l.ended)
 	}
 	return port.CandidateScore{Endpoint: e.ID, Score: float64(n)}
 }
--- a/internal/core/balance/balance_test.go
+++ b/internal/core/balance/balance_test.go
@@ -22,16 +22,16 @@
 	return New(Options{Draw: r.IntN, ReportMaxAge: time.Second})
 }
 
-// One endpoint reports a long queue: with two endpoints both are always drawn,
-// so it gets nothing until the report is too old to say anything.
-func TestReportedLoadIsAvoidedWhileItIsFresh(t *testing.T) {
+// One of two endpoints reports a long queue. As both are always drawn, it gets no
+// calls until its report is too old.
+func TestLoadedEndpointIsAvoidedWhileReportIsFresh(t *testing.T) {
 	b := newBalancer(1)
 	now := time.Unix(0, 0)
 	b.Report(now, &port.LoadReport{EndpointID: "0", Running: 5, Waiting: 100})
 	for range 50 {
 		e, _, ok := b.Choose(now, endpoints(2))
 		if !ok || e.ID != "1" {
-			t.Fatalf("got %q", e.ID)
+			t.Fatalf("chose endpoint %q, want 1", e.ID)
 		}
 		b.End(e.ID)
 	}
@@ -42,12 +42,12 @@
 		chosen[e.ID] = true
 	}
 	if !chosen["0"] {
-		t.Fatal("an old report shuts an endpoint out")
+		t.Fatal("an outdated report keeps the endpoint from being chosen")
 	}
 }
 
-// The report says idle, but this router has just sent many calls there.
-func TestOwnCallsSinceTheReportCount(t *testing.T) {
+// Both endpoints report no load; the calls of this router since then must count.
+func TestOwnCallsSinceReportCount(t *testing.T) {
 	b := newBalancer(1)
 	now := time.Unix(0, 0)
 	b.Report(now, &port.LoadReport{EndpointID: "0"})
@@ -58,12 +58,12 @@
 		counts[e.ID]++
 	}
 	if counts["0"] != 50 || counts["1"] != 50 {
-		t.Fatalf("got %v", counts)
+		t.Fatalf("calls per endpoint %v, want 50 each", counts)
 	}
 }
 
-// Six routers with the same old report each send three calls to ten endpoints.
-// Choosing the least would send all of them to the one that was idle.
+// Six routers with the same outdated report each send three calls to ten endpoints.
+// With a choice of the least load, all calls would go to the idle endpoint.
 func TestRoutersWithTheSameReportDoNotHerd(t *testing.T) {
 	now := time.Unix(0, 0)
 	counts := make(map[string]int)
@@ -85,24 +85,24 @@
 
 func TestNoCandidate(t *testing.T) {
 	if _, _, ok := newBalancer(1).Choose(time.Unix(0, 0), nil); ok {
-		t.Fatal("chose from none")
+		t.Fatal("Choose picked an endpoint without candidates")
 	}
 }
 
-// Endpoints come and go: those unknown are forgotten, but for those with a
-// call under way, whose end is still to come.
-func TestKeepForgets(t *testing.T) {
+// Unknown endpoints are dropped, except for one with an open call, which has still
+// to be counted by End.
+func TestKeepRemovesUnknownIdleEndpoints(t *testing.T) {
 	b := newBalancer(1)
 	now := time.Unix(0, 0)
 	b.Report(now, &port.LoadReport{EndpointID: "idle"})
 	e, _, _ := b.Choose(now, []port.Endpoint{{ID: "busy"}})
 	b.Keep(nil)
-	if len(b.m) != 1 {
-		t.Fatalf("%d kept", len(b.m))
+	if len(b.loads) != 1 {
+		t.Fatalf("%d endpoints are tracked", len(b.loads))
 	}
 	b.End(e.ID)
 	b.Keep(nil)
-	if len(b.m) != 0 {
-		t.Fatalf("%d kept", len(b.m))
+	if len(b.loads) != 0 {
+		t.Fatalf("%d endpoints are tracked", len(b.loads))
 	}
 }
