--- a/internal/core/breaker/breaker.go
+++ b/internal/core/breaker/breaker.go
@@ -1,6 +1,6 @@
-// Package breaker keeps retries from making an overload worse: a breaker per
-// endpoint, and a budget that bounds retries to a share of first tries. Both
-// take the time from their caller.
+// Package breaker keeps retries from making an overload worse. It has a circuit
+// breaker per endpoint, and a budget that bounds retries to a share of first tries.
+// Both take the current time from the caller.
 package breaker
 
 import (
@@ -10,52 +10,53 @@
 
 // Options of a Set.
 type Options struct {
-	// Failures in a row that open a breaker.
+	// Failures is the number of consecutive failures that opens a breaker.
 	Failures int
-	// OpenFor is the first time that it stays open; it doubles with each
+	// OpenFor is how long a breaker stays open at first; it doubles with each
 	// failed trial, up to MaxOpenFor.
 	OpenFor    time.Duration
 	MaxOpenFor time.Duration
-	// MaxEndpoints bounds the memory; endpoints past it are not watched.
+	// MaxEndpoints bounds the memory; further endpoints have no breaker.
 	MaxEndpoints int
 }
 
 // Set holds a breaker per endpoint. It is safe for concurrent use.
 type Set struct {
-	o  Options
-	mu sync.Mutex
-	m  map[string]*state
+	o      Options
+	mu     sync.Mutex
+	states map[string]*state
 }
 
 type state struct {
 	failures  int
 	openFor   time.Duration
 	openUntil time.Time
-	// trial: one call is let through to see whether the endpoint is back.
+	// trial is set while one call tests whether the endpoint has recovered.
 	trial bool
 }
 
-// NewSet returns a set with every breaker closed.
-func NewSet(o Options) *Set { return &Set{o: o, m: make(map[string]*state)} }
+// NewSet returns a set in which all breakers are closed.
+func NewSet(o Options) *Set { return &Set{o: o, states: make(map[string]*state)} }
 
-// Open reports whether calls to the endpoint should be spared.
+// Open reports whether the endpoint's breaker is open, so that calls should be
+// avoided.
 func (s *Set) Open(now time.Time, endpoint string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	st := s.m[endpoint]
+	st := s.states[endpoint]
 	if st == nil || st.openUntil.IsZero() {
 		return false
 	}
 	return now.Before(st.openUntil)
 }
 
-// Begin notes that a call goes to the endpoint. After the open time it is the
-// one trial: the others are spared again until Success or Failure tells how
-// it went, or the open time is over once more.
+// Begin records that a call goes to the endpoint. After the open time this call is
+// the trial: the breaker opens again for the other calls until Success or Failure
+// reports its result, or until the open time has passed once more.
 func (s *Set) Begin(now time.Time, endpoint string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	st := s.m[endpoint]
+	st := s.states[endpoint]
 	if st == nil || st.openUntil.IsZero() {
 		return
 	}
@@ -67,30 +68,30 @@
 func (s *Set) Success(endpoint string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.m, endpoint)
+	delete(s.states, endpoint)
 }
 
-// Len counts the endpoints that are remembered.
+// Len returns the number of endpoints with recorded failures.
 func (s *Set) Len() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.m)
+	return len(s.states)
 }
 
-// Forget drops an endpoint that is gone.
+// Forget drops an endpoint that was removed.
 func (s *Set) Forget(endpoint string) { s.Success(endpoint) }
 
-// Failure counts a call that the endpoint did not answer.
+// Failure records a call that the endpoint did not answer.
 func (s *Set) Failure(now time.Time, endpoint string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	st := s.m[endpoint]
+	st := s.states[endpoint]
 	if st == nil {
-		if len(s.m) >= s.o.MaxEndpoints {
+		if len(s.states) >= s.o.MaxEndpoints {
 			return
 		}
 		st = &state{openFor: s.o.OpenFor}
-		s.m[endpoint] = st
+		s.states[endpoint] = st
 	}
 	st.failures++
 	if st.trial {
--- a/internal/core/breaker/breaker_test.go
+++ b/internal/core/breaker/breaker_test.go
@@ -13,29 +13,29 @@
 	return Options{Failures: 3, OpenFor: time.Second, MaxOpenFor: 4 * time.Second, MaxEndpoints: 2}
 }
 
-// An endpoint dies: after three failures calls are spared, then one trial at a
-// time finds out whether it is back, at growing distances.
+// After three failures of an endpoint its breaker opens. Then one trial at a time
+// tests whether it has recovered, at increasing intervals.
 func TestBreakerOpensTriesAndCloses(t *testing.T) {
 	s := NewSet(options())
 	now := time.Unix(0, 0)
 	for i := range 3 {
 		if s.Open(now, "e") {
-			t.Fatalf("open after %d failures", i)
+			t.Fatalf("breaker open after %d failures, want 3", i)
 		}
 		s.Begin(now, "e")
 		s.Failure(now, "e")
 	}
 	for _, pause := range []time.Duration{time.Second, 2 * time.Second, 4 * time.Second, 4 * time.Second} {
 		if !s.Open(now.Add(pause-time.Millisecond), "e") {
-			t.Fatalf("closed before %s", pause)
+			t.Fatalf("breaker not open just before the end of %s", pause)
 		}
 		now = now.Add(pause)
 		if s.Open(now, "e") {
-			t.Fatalf("no trial after %s", pause)
+			t.Fatalf("no trial allowed after %s", pause)
 		}
 		s.Begin(now, "e")
 		if !s.Open(now, "e") {
-			t.Fatal("two trials at once")
+			t.Fatal("a second trial is allowed while one is open")
 		}
 		s.Failure(now, "e")
 	}
@@ -43,12 +43,12 @@
 	s.Begin(now, "e")
 	s.Success("e")
 	if s.Open(now, "e") {
-		t.Fatal("open after a success")
+		t.Fatal("breaker open after a success")
 	}
 }
 
-// A trial whose end is never told must not shut the endpoint out for good.
-func TestForgottenTrialIsTriedAgain(t *testing.T) {
+// A trial whose result is never reported must not keep the breaker open for good.
+func TestAbandonedTrialAllowsAnother(t *testing.T) {
 	s := NewSet(options())
 	now := time.Unix(0, 0)
 	for range 3 {
@@ -57,7 +57,7 @@
 	now = now.Add(time.Second)
 	s.Begin(now, "e")
 	if s.Open(now.Add(time.Second), "e") {
-		t.Fatal("shut out by a trial without an end")
+		t.Fatal("breaker still open after a trial without a result")
 	}
 }
 
@@ -69,14 +69,14 @@
 			s.Failure(now, e)
 		}
 	}
-	if len(s.m) != 2 || s.Open(now, "c") {
-		t.Fatalf("%d endpoints watched", len(s.m))
+	if len(s.states) != 2 || s.Open(now, "c") {
+		t.Fatalf("%d endpoints have breakers, want 2, and none for c", len(s.states))
 	}
 }
 
-// Whatever the mix of first tries and retries, retries stay within the burst
-// and the share of first tries.
-func TestBudgetHoldsItsShare(t *testing.T) {
+// For any sequence of first tries and retries, retries stay within the limit plus the
+// share of first tries.
+func TestBudgetBoundsRetries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		share := rapid.Float64Range(0, 1).Draw(t, "share")
 		limit := rapid.IntRange(0, 20).Draw(t, "limit")
--- a/internal/core/breaker/budget.go
+++ b/internal/core/breaker/budget.go
@@ -2,9 +2,8 @@
 
 import "sync"
 
-// Budget bounds retries to a share of first tries, so that a fault that makes
-// every call fail at most adds that share to the load. It is safe for
-// concurrent use.
+// Budget bounds retries to a share of first tries, so that a fault that makes every
+// call fail adds at most that share to the load. It is safe for concurrent use.
 type Budget struct {
 	share float64
 	limit float64
@@ -13,14 +12,14 @@
 	tokens float64
 }
 
-// NewBudget returns a budget that gains share of a retry with each first try
-// and holds at most limit. It starts full, for the first faults after a start.
+// NewBudget returns a budget that earns share of a retry with each first try and
+// holds at most limit. It starts full, to allow for failures right after a start.
 func NewBudget(share, limit float64) *Budget {
 	return &Budget{share: share, limit: limit, tokens: limit}
 }
 
-// Set changes the share and what the budget may hold, as when the number of
-// those who share it changes.
+// Set changes the share and the limit, for example when the number of processes that
+// divide the budget changes.
 func (b *Budget) Set(share, limit float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -28,14 +27,14 @@
 	b.tokens = min(b.tokens, limit)
 }
 
-// FirstTry adds the share of one first try.
+// FirstTry adds the share of a retry that one first try earns.
 func (b *Budget) FirstTry() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tokens = min(b.tokens+b.share, b.limit)
 }
 
-// Retry takes one retry, or reports that the budget is spent.
+// Retry takes one retry from the budget; it returns false if the budget is spent.
 func (b *Budget) Retry() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
