--- a/internal/core/coldstart/coldstart.go
+++ b/internal/core/coldstart/coldstart.go
@@ -1,6 +1,6 @@
-// Package coldstart knows which endpoints are cold: they have just started, or
-// have lost what they had warmed, and take few requests for a while. It knows no
-// sockets and no other daemons.
+// Package coldstart tracks which endpoints are cold: they have just started, or have
+// lost their warm state, and accept few requests for a while. It does no I/O and
+// doesn't communicate with other daemons.
 package coldstart
 
 import (
@@ -11,134 +11,133 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// Longest bounds how long an endpoint is held for cold by one word of it. One that
-// stays cold for longer says so again.
+// Longest bounds how long one announcement marks an endpoint as cold. An endpoint
+// that stays cold for longer announces it again.
 const Longest = time.Minute
 
-// Tracker follows the endpoints that are cold. It is safe for concurrent use.
+// Tracker tracks the cold endpoints. It is safe for concurrent use.
 type Tracker struct {
-	// n is the number of endpoints that are followed.
-	n atomic.Int64
+	// count is the number of tracked endpoints.
+	count atomic.Int64
 
-	mu sync.Mutex
-	m  map[string]*tracked
+	mu        sync.Mutex
+	endpoints map[string]*endpointState
 }
 
-// tracked is one endpoint.
-type tracked struct {
+// endpointState is the state of one endpoint.
+type endpointState struct {
 	incarnation uint64
-	// revision and said are those of the last entry that was taken.
-	revision port.StoreRevision
-	said     time.Duration
-	// until is the end of its coldness by all that it said.
-	until time.Time
-	// warmed: that end has come and was told. What the endpoint said stays known,
-	// as the same entry is heard of again.
-	warmed bool
+	// revision and announced are those of the last entry that was applied.
+	revision  port.StoreRevision
+	announced time.Duration
+	// coldUntil is when the endpoint becomes warm, by its latest announcement.
+	coldUntil time.Time
+	// reportedWarm is set when Warmed has returned the endpoint. The state is
+	// kept, as the same registry entry may be received again.
+	reportedWarm bool
 }
 
-// NewTracker returns a tracker of no endpoints.
-func NewTracker() *Tracker { return &Tracker{m: make(map[string]*tracked)} }
+// NewTracker returns a tracker without endpoints.
+func NewTracker() *Tracker { return &Tracker{endpoints: make(map[string]*endpointState)} }
 
-// Listed takes what the registry's entry says of an endpoint. An entry counts
-// from when it was first heard of: its age isn't known, and an endpoint that is
-// held for cold too long is only spared.
+// Listed applies the registry entry of an endpoint. The cold time counts from when
+// the entry was first received, as the age of an entry is unknown; an endpoint that
+// is taken for cold too long only gets fewer requests.
 func (t *Tracker) Listed(now time.Time, e *port.Endpoint) {
-	if e.ColdFor <= 0 && t.n.Load() == 0 {
+	if e.ColdFor <= 0 && t.count.Load() == 0 {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	known := t.m[e.ID]
+	known := t.endpoints[e.ID]
 	switch {
-	case known != nil && (e.Incarnation < known.incarnation || known.hasTaken(e)):
+	case known != nil && (e.Incarnation < known.incarnation || known.alreadyApplied(e)):
 	case e.ColdFor <= 0:
 		t.drop(e.ID)
 	default:
 		next := t.entry(e)
-		next.revision, next.said = e.Revision, e.ColdFor
-		next.until, next.warmed = now.Add(min(Longest, e.ColdFor)), false
+		next.revision, next.announced = e.Revision, e.ColdFor
+		next.coldUntil, next.reportedWarm = now.Add(min(Longest, e.ColdFor)), false
 	}
 }
 
-// hasTaken reports whether an entry was taken before.
-func (k *tracked) hasTaken(e *port.Endpoint) bool {
-	return k.incarnation == e.Incarnation && k.revision == e.Revision && k.said == e.ColdFor
+// alreadyApplied reports whether an entry was applied before.
+func (k *endpointState) alreadyApplied(e *port.Endpoint) bool {
+	return k.incarnation == e.Incarnation && k.revision == e.Revision && k.announced == e.ColdFor
 }
 
-// Answered takes what an endpoint says of itself beside an answer, nil for
-// nothing. It reports whether the endpoint is held for cold from now on and was
-// not before, or the other way round.
-func (t *Tracker) Answered(now time.Time, e *port.Endpoint, left *time.Duration) (changed bool) {
-	if left == nil || *left <= 0 && t.n.Load() == 0 {
+// Answered applies the remaining cold time that an endpoint states with an answer,
+// nil for none. It reports whether the endpoint changed between cold and warm.
+func (t *Tracker) Answered(now time.Time, e *port.Endpoint, remaining *time.Duration) (changed bool) {
+	if remaining == nil || *remaining <= 0 && t.count.Load() == 0 {
 		return false
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	known := t.m[e.ID]
+	known := t.endpoints[e.ID]
 	if known != nil && e.Incarnation < known.incarnation {
 		return false
 	}
-	was := known != nil && known.incarnation == e.Incarnation && now.Before(known.until)
-	if *left <= 0 {
+	wasCold := known != nil && known.incarnation == e.Incarnation && now.Before(known.coldUntil)
+	if *remaining <= 0 {
 		if known != nil {
-			known.until = now
+			known.coldUntil = now
 		}
-		return was
+		return wasCold
 	}
 	next := t.entry(e)
-	next.until, next.warmed = now.Add(min(Longest, *left)), false
-	return !was
+	next.coldUntil, next.reportedWarm = now.Add(min(Longest, *remaining)), false
+	return !wasCold
 }
 
-// entry returns what is held of an incarnation; t.mu is held.
-func (t *Tracker) entry(e *port.Endpoint) *tracked {
-	known := t.m[e.ID]
+// entry returns the state of an incarnation, creating it if needed; t.mu is held.
+func (t *Tracker) entry(e *port.Endpoint) *endpointState {
+	known := t.endpoints[e.ID]
 	if known == nil || known.incarnation != e.Incarnation {
-		known = &tracked{incarnation: e.Incarnation, revision: e.Revision, said: e.ColdFor}
-		t.m[e.ID] = known
-		t.n.Store(int64(len(t.m)))
+		known = &endpointState{incarnation: e.Incarnation, revision: e.Revision, announced: e.ColdFor}
+		t.endpoints[e.ID] = known
+		t.count.Store(int64(len(t.endpoints)))
 	}
 	return known
 }
 
-// drop forgets an endpoint; t.mu is held.
+// drop removes the state of an endpoint; t.mu is held.
 func (t *Tracker) drop(id string) {
-	delete(t.m, id)
-	t.n.Store(int64(len(t.m)))
+	delete(t.endpoints, id)
+	t.count.Store(int64(len(t.endpoints)))
 }
 
-// IsCold reports whether an endpoint is held for cold.
+// IsCold reports whether an endpoint is cold.
 func (t *Tracker) IsCold(now time.Time, e *port.Endpoint) bool {
-	if t.n.Load() == 0 {
+	if t.count.Load() == 0 {
 		return false
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	known := t.m[e.ID]
-	return known != nil && known.incarnation == e.Incarnation && now.Before(known.until)
+	known := t.endpoints[e.ID]
+	return known != nil && known.incarnation == e.Incarnation && now.Before(known.coldUntil)
 }
 
-// Warmed names the endpoints whose coldness has ended since it was last called.
+// Warmed returns the endpoints that have become warm since the last call.
 func (t *Tracker) Warmed(now time.Time) []string {
-	if t.n.Load() == 0 {
+	if t.count.Load() == 0 {
 		return nil
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []string
-	for id, known := range t.m {
-		if !known.warmed && !now.Before(known.until) {
-			known.warmed = true
+	for id, known := range t.endpoints {
+		if !known.reportedWarm && !now.Before(known.coldUntil) {
+			known.reportedWarm = true
 			out = append(out, id)
 		}
 	}
 	return out
 }
 
-// Forget drops an endpoint that is gone.
+// Forget drops an endpoint that was removed.
 func (t *Tracker) Forget(id string) {
-	if t.n.Load() == 0 {
+	if t.count.Load() == 0 {
 		return
 	}
 	t.mu.Lock()
--- a/internal/core/coldstart/coldstart_test.go
+++ b/internal/core/coldstart/coldstart_test.go
@@ -16,8 +16,8 @@
 	return &port.Endpoint{ID: "e", Incarnation: incarnation, Revision: revision, ColdFor: cold}
 }
 
-// Guards against coldness that never ends, as the same entry is heard of again and again.
-func TestOneEntryCountsOnce(t *testing.T) {
+// Guards against endpoints that stay cold because the same entry is received again.
+func TestRepeatedEntryIsAppliedOnce(t *testing.T) {
 	tr := NewTracker()
 	e := listed(1, 5, time.Second)
 	now := start
@@ -29,35 +29,36 @@
 		now = now.Add(50 * time.Millisecond)
 	}
 	if got := tr.Warmed(now); len(got) != 1 {
-		t.Fatalf("warmed %v", got)
+		t.Fatalf("Warmed returned %v, want one endpoint", got)
 	}
 	tr.Listed(now, e)
 	if got := tr.Warmed(now); len(got) != 0 || tr.IsCold(now, e) {
-		t.Fatalf("warmed once more: %v", got)
+		t.Fatalf("Warmed returned %v again, or the endpoint is cold again", got)
 	}
 	tr.Listed(now, listed(2, 5, time.Second))
 	if !tr.IsCold(now, listed(2, 5, time.Second)) {
-		t.Fatal("the next incarnation isn't cold")
+		t.Fatal("the new incarnation is not cold")
 	}
 	if tr.IsCold(now, listed(3, 5, 0)) {
-		t.Fatal("another incarnation is cold")
+		t.Fatal("an incarnation without an entry is cold")
 	}
 }
 
-// Guards against a word that keeps an endpoint cold for good.
-func TestOneWordIsBounded(t *testing.T) {
+// Guards against an announcement that keeps an endpoint cold for too long.
+func TestColdTimeIsBounded(t *testing.T) {
 	tr := NewTracker()
-	for _, left := range []time.Duration{24 * time.Hour, -time.Second} {
-		tr.Listed(start, listed(1, 5, left))
-		tr.Answered(start, listed(1, 5, 0), &left)
+	for _, remaining := range []time.Duration{24 * time.Hour, -time.Second} {
+		tr.Listed(start, listed(1, 5, remaining))
+		tr.Answered(start, listed(1, 5, 0), &remaining)
 		if tr.IsCold(start.Add(Longest), listed(1, 5, 0)) {
-			t.Errorf("%v keeps it cold", left)
+			t.Errorf("a cold time of %v is not bounded", remaining)
 		}
 	}
 }
 
-// Guards against a tracker that differs from the plain rule: cold until the end named last, by entry or answer.
-func TestTrackerFollowsTheLastWord(t *testing.T) {
+// Guards against deviations from the rule that an endpoint is cold until the end
+// stated by its latest entry or answer.
+func TestTrackerUsesLatestAnnouncement(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tr := NewTracker()
 		now, until := start, time.Time{}
@@ -65,30 +66,30 @@
 		e := listed(1, 0, 0)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(1, 800).Draw(t, "pause")) * time.Millisecond)
-			left := time.Duration(rapid.IntRange(0, 1500).Draw(t, "left")) * time.Millisecond
+			remaining := time.Duration(rapid.IntRange(0, 1500).Draw(t, "left")) * time.Millisecond
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0:
 				revision++
-				e = listed(1, revision, left)
-				until = now.Add(left)
+				e = listed(1, revision, remaining)
+				until = now.Add(remaining)
 				tr.Listed(now, e)
 			case 1:
 				tr.Listed(now, e)
 			case 2:
-				until = now.Add(left)
-				tr.Answered(now, e, &left)
+				until = now.Add(remaining)
+				tr.Answered(now, e, &remaining)
 			default:
 				warmed := tr.Warmed(now)
 				if len(warmed) > 0 && now.Before(until) {
-					t.Fatalf("warmed %v before its end", until.Sub(now))
+					t.Fatalf("endpoint reported warm %v too early", until.Sub(now))
 				}
 			}
 			if got := tr.IsCold(now, e); got != now.Before(until) {
-				t.Fatalf("cold %v, %v before the end that was named last", got, until.Sub(now))
+				t.Fatalf("cold is %v, %v before the latest stated end", got, until.Sub(now))
 			}
 		}
 		if tr.Warmed(now.Add(Longest)); len(tr.Warmed(now.Add(Longest))) != 0 {
-			t.Fatal("its end is told twice")
+			t.Fatal("the endpoint is reported warm twice")
 		}
 	})
 }
