--- a/internal/core/continuity/move.go
+++ b/internal/core/continuity/move.go
@@ -1,95 +1,97 @@
-// Package continuity decides how a running generation survives the runner
-// that leaves under it: whether it is moved, and when a copy of its tokens is
-// fresh enough to stop it for the last part. It knows no sockets and no clock.
+// Package continuity decides how a running generation is kept when its runner shuts
+// down: whether the run is moved to another runner, and when the copy of its tokens
+// is recent enough to stop the run for the last part. It does no I/O and has no clock
+// of its own.
 package continuity
 
 import "time"
 
 // Bounds of a move.
 const (
-	// quietPass is the time of a copy at which nothing else waits for the
-	// link: a run whose tokens grow by a hundred a second has grown by some
-	// tens of megabytes since the last pass, which take a few milliseconds.
-	// Stopping the run while others' copies wait would pause it for them all.
-	quietPass = 60 * time.Millisecond
-	// maxPasses bounds the copies before the run is stopped: a link that is
-	// still busy after as many won't be quiet before the runner is gone.
+	// idleLinkCopyTime is the copy time at which no other copies use the link. At
+	// a hundred tokens per second a run has grown by some tens of megabytes since
+	// the last pass, which take a few milliseconds. Stopping the run while other
+	// copies wait would pause it until they are done.
+	idleLinkCopyTime = 60 * time.Millisecond
+	// maxPasses bounds the copies before the run is stopped: a link that is still
+	// busy after that many won't be idle before the runner shuts down.
 	maxPasses = 6
-	// lastMoment is kept free before the runner's end, for the last part and
-	// the first token at the new runner.
-	lastMoment = 250 * time.Millisecond
-	// maxDestinations bounds the runners that are asked to take a copy.
+	// finalCopyReserve is the time kept free before the runner shuts down, for
+	// the last part and the first token at the new runner.
+	finalCopyReserve = 250 * time.Millisecond
+	// maxDestinations bounds the runners that are tried as destinations.
 	maxDestinations = 3
 )
 
-// Step is what to do next with a run.
+// Step is the next action for a run.
 type Step int
 
 // The steps of a move.
 const (
-	// StepCopy copies what is new, while the run goes on.
+	// StepCopy copies the new tokens while the run continues.
 	StepCopy Step = iota + 1
 	// StepStop stops the run and copies its last part.
 	StepStop
-	// StepElsewhere chooses another runner, and copies all.
+	// StepElsewhere chooses another destination and copies everything.
 	StepElsewhere
-	// StepLeave leaves the run where it is.
-	StepLeave
+	// StepStay leaves the run at its runner.
+	StepStay
 )
 
-// Result is what came of a copy.
+// Result is the result of one copy.
 type Result int
 
 // The results of copies.
 const (
-	// Copied: the copy is complete up to what the run had made.
+	// Copied: the copy has everything that the run had generated.
 	Copied Result = iota + 1
-	// Full: the destination has no room or can't be reached.
+	// Full: the destination has no room or is unreachable.
 	Full
-	// Ended: there is no such run at the runner.
+	// Ended: the run doesn't exist at the runner any more.
 	Ended
-	// Failed: the runner gave no answer.
+	// Failed: the runner did not answer.
 	Failed
 )
 
-// Move follows the copies of one run. It is not safe for concurrent use.
+// Move tracks the copies of one run. It is not safe for concurrent use.
 type Move struct {
-	// ends is when the runner is expected to be gone.
-	ends         time.Time
+	// deadline is when the runner is expected to shut down.
+	deadline     time.Time
 	passes       int
 	destinations int
 	failures     int
 }
 
-// NewMove begins a move away from a runner that is gone at ends.
-func NewMove(ends time.Time) *Move { return &Move{ends: ends, destinations: 1} }
+// NewMove starts a move away from a runner that shuts down at the deadline.
+func NewMove(deadline time.Time) *Move { return &Move{deadline: deadline, destinations: 1} }
 
-// Next takes the result of a copy that began and ended at the times.
-func (m *Move) Next(r Result, began, now time.Time) Step {
+// Next records the result of a copy, with the times at which it started and ended,
+// and returns the next step.
+func (m *Move) Next(r Result, started, now time.Time) Step {
 	switch r {
 	case Copied:
-		return m.copied(now.Sub(began), now)
+		return m.copied(now.Sub(started), now)
 	case Full:
-		return m.elsewhere(now)
+		return m.nextDestination(now)
 	case Failed:
 		return m.failed(now)
 	default:
-		return StepLeave
+		return StepStay
 	}
 }
 
-func (m *Move) copied(took time.Duration, now time.Time) Step {
+func (m *Move) copied(elapsed time.Duration, now time.Time) Step {
 	m.passes++
-	late := now.Add(lastMoment).After(m.ends)
-	if took <= quietPass && m.passes > 1 || m.passes >= maxPasses || late {
+	outOfTime := now.Add(finalCopyReserve).After(m.deadline)
+	if elapsed <= idleLinkCopyTime && m.passes > 1 || m.passes >= maxPasses || outOfTime {
 		return StepStop
 	}
 	return StepCopy
 }
 
-func (m *Move) elsewhere(now time.Time) Step {
-	if m.destinations >= maxDestinations || now.After(m.ends) {
-		return StepLeave
+func (m *Move) nextDestination(now time.Time) Step {
+	if m.destinations >= maxDestinations || now.After(m.deadline) {
+		return StepStay
 	}
 	m.destinations++
 	m.passes = 0
@@ -101,8 +103,8 @@
 
 func (m *Move) failed(now time.Time) Step {
 	m.failures++
-	if m.failures >= maxFailures || now.After(m.ends) {
-		return StepLeave
+	if m.failures >= maxFailures || now.After(m.deadline) {
+		return StepStay
 	}
 	return StepCopy
 }
