--- a/internal/core/evacuation/evacuation.go
+++ b/internal/core/evacuation/evacuation.go
@@ -1,6 +1,7 @@
-// Package evacuation is about failure domains whose endpoints get no new work
-// until an operator takes that back. It knows no sockets and no other daemons:
-// evacuations come as records, and what follows for an endpoint is decided here.
+// Package evacuation implements the evacuation of failure domains: their endpoints
+// get no new work until an operator withdraws the order. Orders arrive as records;
+// this package decides their effect on endpoints. It does no I/O and doesn't
+// communicate with other daemons.
 package evacuation
 
 import (
@@ -13,25 +14,25 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// RetryAfter is promised to callers where all endpoints are evacuated: operators
-// take that back after minutes, so nobody is held for it.
+// RetryAfter is sent to callers when all endpoints are evacuated. Operators withdraw
+// an evacuation after minutes, so requests are not held until then.
 const RetryAfter = 5 * time.Second
 
-// Evacuation is the order that the endpoints of a failure domain get nothing
-// more. What runs there goes on.
+// Evacuation is an order to send no new work to the endpoints of a failure domain.
+// Work that runs there continues.
 type Evacuation struct {
 	FailureDomain string `json:"failure_domain"`
-	// Reason, RequestedBy and Since are empty where the order doesn't say.
+	// Reason, RequestedBy and Since are empty if the order doesn't state them.
 	Reason      string     `json:"reason,omitempty"`
 	RequestedBy string     `json:"requested_by,omitempty"`
 	Since       *time.Time `json:"since,omitempty"`
-	// Kind is the kind of record that gives the order, Version its version.
+	// Kind and Version are the kind and the version of the record with the order.
 	Kind    string `json:"kind"`
 	Version uint64 `json:"version"`
 }
 
-// text says who gave the order, and why.
-func (e *Evacuation) text() string {
+// description returns who gave the order, and why.
+func (e *Evacuation) description() string {
 	text := "by " + cmp.Or(e.RequestedBy, "an operator") + " through " + e.Kind
 	if e.Reason != "" {
 		text += ": " + e.Reason
@@ -39,14 +40,14 @@
 	return text
 }
 
-// Set holds the evacuations in force by failure domain. The zero value holds
-// none.
+// Set holds the evacuations in force by failure domain. The zero value is an empty
+// set.
 type Set struct {
 	domains map[string][]Evacuation
 }
 
-// NewSet returns the set of some evacuations. A domain may be evacuated by
-// several orders, and is until the last one is taken back.
+// NewSet returns a set of evacuations. A failure domain may be evacuated by several
+// orders; it is evacuated until the last one is withdrawn.
 func NewSet(in []Evacuation) Set {
 	s := Set{domains: make(map[string][]Evacuation, len(in))}
 	for _, e := range in {
@@ -58,10 +59,10 @@
 // Has reports whether the failure domain is evacuated.
 func (s Set) Has(domain string) bool { return len(s.domains[domain]) > 0 }
 
-// Domains lists the evacuated failure domains.
+// Domains returns the evacuated failure domains in order.
 func (s Set) Domains() []string { return slices.Sorted(maps.Keys(s.domains)) }
 
-// All lists the evacuations in force, by failure domain and kind.
+// All returns the evacuations in force, sorted by failure domain and kind.
 func (s Set) All() []Evacuation {
 	out := []Evacuation{}
 	for _, es := range s.domains {
@@ -76,13 +77,13 @@
 	return out
 }
 
-// Changes are the failure domains that two sets hold differently.
+// Changes lists the failure domains whose state differs between two sets.
 type Changes struct {
 	Evacuated []string
-	TakenBack []string
+	Withdrawn []string
 }
 
-// ChangesTo compares the set with the one that follows it.
+// ChangesTo returns the changes from this set to the next one.
 func (s Set) ChangesTo(next Set) Changes {
 	var c Changes
 	for domain := range next.domains {
@@ -92,33 +93,33 @@
 	}
 	for domain := range s.domains {
 		if !next.Has(domain) {
-			c.TakenBack = append(c.TakenBack, domain)
+			c.Withdrawn = append(c.Withdrawn, domain)
 		}
 	}
 	slices.Sort(c.Evacuated)
-	slices.Sort(c.TakenBack)
+	slices.Sort(c.Withdrawn)
 	return c
 }
 
 // Any reports whether there are changes.
-func (c *Changes) Any() bool { return len(c.Evacuated)+len(c.TakenBack) > 0 }
+func (c *Changes) Any() bool { return len(c.Evacuated)+len(c.Withdrawn) > 0 }
 
-// Concerns reports whether a domain's state changes.
+// Concerns reports whether the state of a failure domain changes.
 func (c *Changes) Concerns(domain string) bool {
-	return slices.Contains(c.Evacuated, domain) || slices.Contains(c.TakenBack, domain)
+	return slices.Contains(c.Evacuated, domain) || slices.Contains(c.Withdrawn, domain)
 }
 
-// Decisions are what to log of the changes to the set that followed.
+// Decisions returns the log records of the changes to the next set.
 func (c *Changes) Decisions(next Set) []*port.DecisionRecord {
 	var out []*port.DecisionRecord
 	for _, domain := range c.Evacuated {
 		for _, e := range next.domains[domain] {
 			out = append(out, &port.DecisionRecord{
-				Subject: subject, SubjectID: domain, Verdict: "evacuate", Reason: e.text(), ConfigurationVersion: e.Version,
+				Subject: subject, SubjectID: domain, Verdict: "evacuate", Reason: e.description(), ConfigurationVersion: e.Version,
 			})
 		}
 	}
-	for _, domain := range c.TakenBack {
+	for _, domain := range c.Withdrawn {
 		out = append(out, &port.DecisionRecord{
 			Subject: subject, SubjectID: domain, Verdict: "use_again", Reason: "the evacuation was taken back",
 		})
@@ -126,10 +127,10 @@
 	return out
 }
 
-// subject is that of decisions on failure domains.
+// subject is the subject of log records on failure domains.
 const subject = "failure-domain"
 
-// Mark notes on an endpoint whether its failure domain is evacuated.
+// Mark sets whether the failure domain of an endpoint is evacuated.
 func (s Set) Mark(e port.Endpoint) port.Endpoint {
 	e.Evacuated = s.Has(e.FailureDomain)
 	return e
--- a/internal/core/evacuation/evacuation_test.go
+++ b/internal/core/evacuation/evacuation_test.go
@@ -12,23 +12,23 @@
 
 func order(domain, kind string) Evacuation { return Evacuation{FailureDomain: domain, Kind: kind} }
 
-// Guards against using a failure domain again while another order still evacuates it.
-func TestDomainIsEvacuatedUntilItsLastOrderIsTakenBack(t *testing.T) {
+// Guards against using a failure domain while another order still evacuates it.
+func TestDomainIsEvacuatedUntilLastOrderIsWithdrawn(t *testing.T) {
 	both := NewSet([]Evacuation{order("a", "x"), order("a", "y"), order("b", "x")})
 	one := NewSet([]Evacuation{order("a", "y")})
-	if c := both.ChangesTo(one); !slices.Equal(c.TakenBack, []string{"b"}) || len(c.Evacuated) != 0 {
+	if c := both.ChangesTo(one); !slices.Equal(c.Withdrawn, []string{"b"}) || len(c.Evacuated) != 0 {
 		t.Fatalf("%+v", c)
 	}
 	if !one.Mark(port.Endpoint{FailureDomain: "a"}).Evacuated || one.Mark(port.Endpoint{FailureDomain: "b", Evacuated: true}).Evacuated {
-		t.Fatal("an endpoint doesn't follow its failure domain")
+		t.Fatal("Mark doesn't match the state of the failure domain")
 	}
 	if got := both.All(); len(got) != 3 || got[0].FailureDomain != "a" || got[0].Kind != "x" || got[2].FailureDomain != "b" {
 		t.Fatalf("%+v", got)
 	}
 }
 
-// Guards against changes that miss a domain or name one whose state stays.
-func TestChangesAreTheDomainsThatDiffer(t *testing.T) {
+// Guards against changes that miss a domain or list one whose state is the same.
+func TestChangesListDomainsThatDiffer(t *testing.T) {
 	draw := rapid.Custom(func(t *rapid.T) Set {
 		var in []Evacuation
 		for _, domain := range []string{"a", "b", "c"} {
@@ -45,10 +45,10 @@
 		changes := before.ChangesTo(next)
 		for _, domain := range []string{"a", "b", "c"} {
 			if changes.Concerns(domain) != (before.Has(domain) != next.Has(domain)) {
-				t.Fatalf("%q: %+v, from %v to %v", domain, changes, before, next)
+				t.Fatalf("domain %q: changes %+v, from %v to %v", domain, changes, before, next)
 			}
 			if slices.Contains(changes.Evacuated, domain) != (next.Has(domain) && !before.Has(domain)) {
-				t.Fatalf("%q: %+v", domain, changes)
+				t.Fatalf("domain %q: changes %+v", domain, changes)
 			}
 		}
 	})
