--- a/internal/core/admission/lateness_test.go
+++ b/internal/core/admission/lateness_test.go
@@ -45,14 +45,14 @@
 				Cost: 1, Enqueued: start,
 			}
 			if rapid.Bool().Draw(t, "objective") {
-				i.OnTime = at(time.Duration(rapid.IntRange(0, 5000).Draw(t, "until")) * time.Millisecond)
+				i.OnTime = at(time.Duration(rapid.IntRange(0, 5000).Draw(t, "latest time")) * time.Millisecond)
 			}
 			waiting[i.ID] = i
 			q.Push(i)
 		}
 		now := start
 		for len(waiting) > 0 {
-			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "passed")) * time.Millisecond)
+			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "elapsed")) * time.Millisecond)
 			timely := 0
 			for _, i := range waiting {
 				if !i.late(now) {
--- a/internal/core/coldstart/coldstart.go
+++ b/internal/core/coldstart/coldstart.go
@@ -49,15 +49,15 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	known := t.endpoints[e.ID]
+	state := t.endpoints[e.ID]
 	switch {
-	case known != nil && (e.Incarnation < known.incarnation || known.alreadyApplied(e)):
+	case state != nil && (e.Incarnation < state.incarnation || state.alreadyApplied(e)):
 	case e.ColdFor <= 0:
 		t.drop(e.ID)
 	default:
-		next := t.entry(e)
-		next.revision, next.announced = e.Revision, e.ColdFor
-		next.coldUntil, next.reportedWarm = now.Add(min(Longest, e.ColdFor)), false
+		updated := t.entry(e)
+		updated.revision, updated.announced = e.Revision, e.ColdFor
+		updated.coldUntil, updated.reportedWarm = now.Add(min(Longest, e.ColdFor)), false
 	}
 }
 
@@ -74,31 +74,31 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	known := t.endpoints[e.ID]
-	if known != nil && e.Incarnation < known.incarnation {
+	state := t.endpoints[e.ID]
+	if state != nil && e.Incarnation < state.incarnation {
 		return false
 	}
-	wasCold := known != nil && known.incarnation == e.Incarnation && now.Before(known.coldUntil)
+	wasCold := state != nil && state.incarnation == e.Incarnation && now.Before(state.coldUntil)
 	if *remaining <= 0 {
-		if known != nil {
-			known.coldUntil = now
+		if state != nil {
+			state.coldUntil = now
 		}
 		return wasCold
 	}
-	next := t.entry(e)
-	next.coldUntil, next.reportedWarm = now.Add(min(Longest, *remaining)), false
+	updated := t.entry(e)
+	updated.coldUntil, updated.reportedWarm = now.Add(min(Longest, *remaining)), false
 	return !wasCold
 }
 
 // entry returns the state of an incarnation, creating it if needed; t.mu is held.
 func (t *Tracker) entry(e *port.Endpoint) *endpointState {
-	known := t.endpoints[e.ID]
-	if known == nil || known.incarnation != e.Incarnation {
-		known = &endpointState{incarnation: e.Incarnation, revision: e.Revision, announced: e.ColdFor}
-		t.endpoints[e.ID] = known
+	state := t.endpoints[e.ID]
+	if state == nil || state.incarnation != e.Incarnation {
+		state = &endpointState{incarnation: e.Incarnation, revision: e.Revision, announced: e.ColdFor}
+		t.endpoints[e.ID] = state
 		t.count.Store(int64(len(t.endpoints)))
 	}
-	return known
+	return state
 }
 
 // drop removes the state of an endpoint; t.mu is held.
@@ -114,8 +114,8 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	known := t.endpoints[e.ID]
-	return known != nil && known.incarnation == e.Incarnation && now.Before(known.coldUntil)
+	state := t.endpoints[e.ID]
+	return state != nil && state.incarnation == e.Incarnation && now.Before(state.coldUntil)
 }
 
 // Warmed returns the endpoints that have become warm since the last call.
@@ -126,9 +126,9 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []string
-	for id, known := range t.endpoints {
-		if !known.reportedWarm && !now.Before(known.coldUntil) {
-			known.reportedWarm = true
+	for id, state := range t.endpoints {
+		if !state.reportedWarm && !now.Before(state.coldUntil) {
+			state.reportedWarm = true
 			out = append(out, id)
 		}
 	}
--- a/internal/core/coldstart/coldstart_test.go
+++ b/internal/core/coldstart/coldstart_test.go
@@ -66,7 +66,7 @@
 		e := listed(1, 0, 0)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(1, 800).Draw(t, "pause")) * time.Millisecond)
-			remaining := time.Duration(rapid.IntRange(0, 1500).Draw(t, "left")) * time.Millisecond
+			remaining := time.Duration(rapid.IntRange(0, 1500).Draw(t, "remaining")) * time.Millisecond
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0:
 				revision++
--- a/internal/core/continuity/move.go
+++ b/internal/core/continuity/move.go
@@ -8,10 +8,10 @@
 
 // Bounds of a move.
 const (
-	// idleLinkCopyTime is the copy time at which no other copies use the link. At
-	// a hundred tokens per second a run has grown by some tens of megabytes since
-	// the last pass, which take a few milliseconds. Stopping the run while other
-	// copies wait would pause it until they are done.
+	// idleLinkCopyTime is the copy time at which no other copies wait for the
+	// link. At a hundred tokens per second a run has grown by some tens of
+	// megabytes since the last pass, and copying these takes a few milliseconds.
+	// Stopping the run while other copies wait would pause it until they are done.
 	idleLinkCopyTime = 60 * time.Millisecond
 	// maxPasses bounds the copies before the run is stopped: a link that is still
 	// busy after that many won't be idle before the runner shuts down.
--- a/internal/core/continuity/move_test.go
+++ b/internal/core/continuity/move_test.go
@@ -68,11 +68,11 @@
 // destination has a copy of it.
 func TestMoveTerminatesAndStopsOnlyAfterCopy(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := NewMove(at(rapid.IntRange(0, 3000).Draw(t, "ends")))
+		m := NewMove(at(rapid.IntRange(0, 3000).Draw(t, "deadline")))
 		now, copied := 0, false
 		for range maxDestinations*maxPasses + maxFailures {
 			r := rapid.SampledFrom([]Result{Copied, Full, Ended, Failed}).Draw(t, "result")
-			took := rapid.IntRange(1, 600).Draw(t, "took")
+			took := rapid.IntRange(1, 600).Draw(t, "copy time")
 			step := m.Next(r, at(now), at(now+took))
 			now += took
 			copied = r == Copied || copied && r == Failed
--- a/internal/core/length/estimator.go
+++ b/internal/core/length/estimator.go
@@ -7,8 +7,8 @@
 
 // Weights of the histograms, in observations.
 const (
-	// observationUnit is one observation in the fixed-point counts. With
-	// halving, a single long answer remains visible for several windows.
+	// observationUnit is the fixed-point value of one observation. It leaves a
+	// trace of a single long answer for several windows of halving.
 	observationUnit = 64
 	// organisationWindow and modelWindow are the numbers of observations after
 	// which the counts are halved, so that the estimate follows a change of
@@ -130,7 +130,8 @@
 	limit         int
 }
 
-// Estimator learns the lengths of answers. It is safe for concurrent use.
+// Estimator estimates the lengths of answers from observations. It is safe for
+// concurrent use.
 type Estimator struct {
 	seed    maphash.Seed
 	stripes [numStripes]stripe
--- a/internal/core/outcome/simulation_test.go
+++ b/internal/core/outcome/simulation_test.go
@@ -125,7 +125,7 @@
 		w.nextFrame++
 		return w.frame(w.nextFrame - 1)
 	case 1: // an old frame is repeated
-		return w.frame(rapid.IntRange(0, max(w.nextFrame-1, 0)).Draw(w.t, "old"))
+		return w.frame(rapid.IntRange(0, max(w.nextFrame-1, 0)).Draw(w.t, "old frame"))
 	case 2: // a token or the last frame of another generation
 		f := port.Frame{Generation: "other", Index: w.nextFrame}
 		if rapid.Bool().Draw(w.t, "end") {
@@ -137,12 +137,12 @@
 	case 5: // the last frame arrives before the tokens
 		return w.frame(w.r.total)
 	case 6:
-		if rapid.IntRange(0, 3).Draw(w.t, "leaves") > 0 {
+		if rapid.IntRange(0, 3).Draw(w.t, "caller leaves") > 0 {
 			return stream.Event{Kind: stream.EventSilent}
 		}
 		return stream.Event{Kind: stream.EventCallerGone}
 	default:
-		if rapid.IntRange(0, 3).Draw(w.t, "hands over") > 0 {
+		if rapid.IntRange(0, 3).Draw(w.t, "handover") > 0 {
 			return stream.Event{Kind: stream.EventSilent}
 		}
 		return stream.Event{Kind: stream.EventHandover}
@@ -241,7 +241,7 @@
 func (w *simulation) resumeElsewhere(t *rapid.T) {
 	w.adopted = true
 	for range maxAttempts {
-		w.unreachable = rapid.IntRange(0, 3).Draw(t, "cut off") == 0
+		w.unreachable = rapid.IntRange(0, 3).Draw(t, "unreachable") == 0
 		c := w.attempt(stream.Options{
 			Generation: w.r.generation, Mode: stream.ModeAdopted, From: len(w.h.delivered),
 			Resumable: true, Limits: stream.DefaultLimits(),
--- a/internal/core/quarantine/evaluate_test.go
+++ b/internal/core/quarantine/evaluate_test.go
@@ -27,7 +27,7 @@
 		{"others share some of the crashes", []Suspect{suspect(1, 10, 11, 12), suspect(2, 10, 11), suspect(3, 12)}, []int{1}},
 		{"two with the same three crashes are ambiguous", []Suspect{suspect(1, 10, 11, 12), suspect(2, 10, 11, 12)}, nil},
 		{"a fourth crash of one resolves the ambiguity", []Suspect{suspect(1, 10, 11, 12, 13), suspect(2, 10, 11, 12)}, []int{1}},
-		{"one also has a crash of its own", []Suspect{suspect(1, 10, 11, 12), suspect(2, 11, 12, 20)}, nil},
+		{"two that also have a crash of their own are ambiguous", []Suspect{suspect(1, 10, 11, 12), suspect(2, 11, 12, 20)}, nil},
 		{"one with a crash of its own is not quarantined once the other has four", []Suspect{suspect(1, 10, 11, 12, 13), suspect(2, 11, 12, 20)}, []int{1}},
 		{"two with separate crashes", []Suspect{suspect(1, 10, 11, 12), suspect(2, 20, 21, 22)}, []int{1, 2}},
 		{"two with the same five crashes", []Suspect{suspect(1, 10, 11, 12, 13, 14), suspect(2, 10, 11, 12, 13, 14)}, []int{1, 2}},
@@ -57,7 +57,8 @@
 	lastCrash       CrashID
 }
 
-// runTogether runs requests at one endpoint at the same time.
+// runTogether runs requests at the same time at one endpoint, which crashes if one
+// of them is fatal.
 func (f *fleet) runTogether(requests []int) {
 	crash := slices.ContainsFunc(requests, func(n int) bool { return f.fatal[n] })
 	f.lastCrash++
--- a/internal/core/quarantine/flights_test.go
+++ b/internal/core/quarantine/flights_test.go
@@ -57,7 +57,7 @@
 		var unexplained []Fingerprint
 		probing, next := false, 0
 		takeOpen := func() *Flight {
-			i := rapid.IntRange(0, len(open)-1).Draw(t, "which")
+			i := rapid.IntRange(0, len(open)-1).Draw(t, "attempt")
 			flight := open[i]
 			open = slices.Delete(open, i, i+1)
 			return flight
--- a/internal/core/quarantine/register.go
+++ b/internal/core/quarantine/register.go
@@ -113,9 +113,9 @@
 // operator has not seen is not cleared.
 func (r *Register) Release(now time.Time, released []Suspect) {
 	for _, s := range released {
-		known, held := r.get(s.Fingerprint)
+		current, held := r.get(s.Fingerprint)
 		unseen := func(c CrashID) bool { return !slices.Contains(s.Crashes, c) }
-		if held && !slices.ContainsFunc(known.Crashes, unseen) {
+		if held && !slices.ContainsFunc(current.Crashes, unseen) {
 			r.clear(now, s.Fingerprint, "released by an operator")
 		}
 	}
--- a/internal/core/ratelimit/limiter_test.go
+++ b/internal/core/ratelimit/limiter_test.go
@@ -37,7 +37,7 @@
 		limits := []float64{rapid.Float64Range(MinRate, 50).Draw(t, "limit 0"), rapid.Float64Range(MinRate, 50).Draw(t, "limit 1")}
 		sent := make([][]time.Time, len(limits))
 		takeovers := 1
-		for range rapid.IntRange(1, 200).Draw(t, "asks") {
+		for range rapid.IntRange(1, 200).Draw(t, "calls") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "pause")) * time.Millisecond)
 			if rapid.IntRange(0, 50).Draw(t, "takeover") == 0 {
 				l = NewLimiter()
@@ -168,7 +168,7 @@
 		l, now := NewLimiter(), start
 		limit := Limit{PerSecond: rapid.Float64Range(1, 200).Draw(t, "limit"), IsCold: true}
 		var sent []time.Time
-		for range rapid.IntRange(1, 400).Draw(t, "asks") {
+		for range rapid.IntRange(1, 400).Draw(t, "calls") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 40).Draw(t, "pause")) * time.Millisecond)
 			if g := l.Admit(now, []Ask{{Endpoint: "e", Limit: limit}}, 0); g.Endpoint != "" {
 				sent = append(sent, now)
--- a/internal/core/ratelimit/observer_test.go
+++ b/internal/core/ratelimit/observer_test.go
@@ -61,10 +61,10 @@
 		since := now
 		for range rapid.IntRange(20, 200).Draw(t, "answers") {
 			now = now.Add(time.Duration(rapid.IntRange(1, 300).Draw(t, "pause")) * time.Millisecond)
-			if rapid.IntRange(0, 9).Draw(t, "turn") == 0 {
+			if rapid.IntRange(0, 9).Draw(t, "change limit") == 0 {
 				stated, since = nil, now
 				toggles++
-				if rapid.Bool().Draw(t, "in need") {
+				if rapid.Bool().Draw(t, "has limit") {
 					stated = rate(rapid.SampledFrom([]float64{0, 0.5, 3, 3.1, 40}).Draw(t, "limit"))
 				}
 			}
