--- a/internal/core/routing/adopt.go
+++ b/internal/core/routing/adopt.go
@@ -6,8 +6,8 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// Adopt implements port.Relocator. A run that is known, or whose runner isn't,
-// changes nothing.
+// Adopt implements port.Relocator. It does nothing if the run is already
+// known or its runner isn't.
 func (s *Scheduler) Adopt(now time.Time, r *port.RunningRequest) {
 	runner := s.runner(r.EndpointID)
 	if runner == nil || s.find(r.Request.RequestID) != nil {
@@ -16,7 +16,7 @@
 	runner.shard.adopt(now, runner, r)
 }
 
-// Placed counts the runs that are placed.
+// Placed returns the number of placed runs.
 func (s *Scheduler) Placed() int {
 	n := 0
 	for _, sh := range s.allShards() {
@@ -32,15 +32,16 @@
 	defer s.mu.Unlock()
 	s.now = now
 	request := run.Request
-	// It was counted as asked for where it was placed.
+	// The scheduler that placed the request already counted its first
+	// attempt: don't add it to the organisation's demand again.
 	request.Attempt = max(2, request.Attempt)
 	e := s.newEntry(now, &request)
-	// Its limits were checked there too.
+	// That scheduler also checked the organisation's limits.
 	e.org.limiter.Reopen()
-	e.seen = run.Tokens
-	e.progressed = now
-	e.print.set(&e.survival, request.PromptTokens, e.seen, request.MaxTokens)
-	s.count(now, e, r)
+	e.generated = run.Tokens
+	e.progressedAt = now
+	e.print.set(&e.survival, request.PromptTokens, e.generated, request.MaxTokens)
+	s.countRun(now, e, r)
 	e.state = entryRunning
 	s.scheduler.insert(e)
 }
--- a/internal/core/routing/bench_test.go
+++ b/internal/core/routing/bench_test.go
@@ -10,7 +10,7 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// candidateCounts are the pool sizes over which costs are tabled.
+// candidateCounts are the pool sizes that the benchmarks run with.
 var candidateCounts = []int{8, 16, 32, 64, 128, 256, 512}
 
 func loadedScheduler(b *testing.B, runners int) *Scheduler {
@@ -19,12 +19,13 @@
 		s.lengths.Observe(length.Subject{Model: "m", Organisation: "o", PromptTokens: 100}, 20+i)
 	}
 	for i := range runners {
-		settle(s, start, i, 300+i%100, 8)
+		reportUntilSmoothed(s, start, i, 300+i%100, 8)
 	}
 	return s
 }
 
-// BenchmarkDecision is one placement and its end, at many candidates.
+// BenchmarkDecision measures one placement and its end for several numbers
+// of candidates.
 func BenchmarkDecision(b *testing.B) {
 	for _, n := range candidateCounts {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -33,7 +34,8 @@
 			now := start
 			b.ReportAllocs()
 			for b.Loop() {
-				// Time goes on, or all would count as one burst.
+				// Advance the time, so that the decisions don't count as one
+				// burst.
 				now = now.Add(10 * time.Second)
 				if d := s.Submit(now, r); d.Verdict != port.VerdictPlace {
 					b.Fatal(d.Reason)
@@ -44,7 +46,7 @@
 	}
 }
 
-// BenchmarkRank is the choice alone: scoring all candidates.
+// BenchmarkRank measures the scoring of all candidates alone.
 func BenchmarkRank(b *testing.B) {
 	for _, n := range candidateCounts {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -57,7 +59,7 @@
 				var k ranking
 				sh.rank(start, &q, sh.byModel["m"], &k)
 				if k.chosen() == nil {
-					b.Fatal("no choice")
+					b.Fatal("no runner chosen")
 				}
 			}
 		})
@@ -84,8 +86,8 @@
 	}
 }
 
-// slope reports the heap that n of something take, per one.
-func slope(b *testing.B, unit string, sizes []int, fill func(n int) any) {
+// benchmarkHeap reports the heap bytes per unit that fill(n) allocates.
+func benchmarkHeap(b *testing.B, unit string, sizes []int, fill func(n int) any) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for b.Loop() {
@@ -106,14 +108,14 @@
 }
 
 func BenchmarkRunnerMemory(b *testing.B) {
-	slope(b, "runner", []int{100, 475, 950, 1900}, func(n int) any { return newTestScheduler(b, n, nil) })
+	benchmarkHeap(b, "runner", []int{100, 475, 950, 1900}, func(n int) any { return newTestScheduler(b, n, nil) })
 }
 
 func BenchmarkHeldMemory(b *testing.B) {
-	slope(b, "held", []int{250, 500, 1000, 2000}, func(n int) any {
+	benchmarkHeap(b, "held", []int{250, 500, 1000, 2000}, func(n int) any {
 		s := newTestScheduler(b, 1, nil)
 		s.SetPolicy(port.Policy{Weights: map[string]port.Weights{"": {QueueLimit: 10 * n, HoldLimit: time.Minute}}})
-		settle(s, start, 0, 990, 5)
+		reportUntilSmoothed(s, start, 0, 990, 5)
 		for i := range n {
 			if d := s.Submit(start, request(fmt.Sprint(i), 3000)); d.Verdict != port.VerdictHold {
 				b.Fatal(d.Reason)
@@ -124,7 +126,7 @@
 }
 
 func BenchmarkRunningMemory(b *testing.B) {
-	slope(b, "running", []int{1000, 2000, 4000, 8000}, func(n int) any {
+	benchmarkHeap(b, "running", []int{1000, 2000, 4000, 8000}, func(n int) any {
 		s := newTestScheduler(b, n, nil)
 		for i := range n {
 			if d := s.Submit(start, request(fmt.Sprint(i), 100)); d.Verdict != port.VerdictPlace {
@@ -136,7 +138,7 @@
 }
 
 func BenchmarkOrganisationMemory(b *testing.B) {
-	slope(b, "organisation", []int{250, 525, 1050, 2100}, func(n int) any {
+	benchmarkHeap(b, "organisation", []int{250, 525, 1050, 2100}, func(n int) any {
 		s := newTestScheduler(b, 8, nil)
 		for i := range n {
 			id := fmt.Sprint(i)
--- a/internal/core/routing/breaker_test.go
+++ b/internal/core/routing/breaker_test.go
@@ -8,14 +8,15 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// Two of twelve runners go down and up by turns, a second each, while a prompt
-// comes every 50 ms. A runner that is down is empty and looks best: three
-// prompts were lost to it at each turn, before three failures in a row had shown
-// it.
-func TestRunnersThatFlapFailOnePromptATurn(t *testing.T) {
+// Guards against losing several prompts in each outage of a flapping runner.
+// Two of twelve runners alternate between up and down every second while a
+// prompt arrives every 50 ms. A runner that is down is empty and gets the
+// best score; a breaker that opens after three consecutive failures lost
+// three prompts per outage.
+func TestFlappingRunnerFailsOnePromptPerOutage(t *testing.T) {
 	const (
 		runners = 12
-		turns   = 8
+		outages = 8
 		every   = 50 * time.Millisecond
 		fails   = 5 * time.Millisecond
 		takes   = 2 * time.Second
@@ -31,7 +32,7 @@
 	}
 	var running []placed
 	lost := 0
-	for now := time.Duration(0); now < 2*turns*time.Second; now += every {
+	for now := time.Duration(0); now < 2*outages*time.Second; now += every {
 		running = append([]placed(nil), running...)
 		for len(running) > 0 && now-running[0].at >= takes {
 			s.Progress(at(now), running[0].id, 4)
@@ -41,7 +42,7 @@
 		id := fmt.Sprint(now)
 		d := s.Submit(at(now), request(id, 500))
 		if d.Verdict != port.VerdictPlace {
-			t.Fatalf("%v at %v: %s", d.Verdict, now, d.Reason)
+			t.Fatalf("verdict %v at %v (reason %s), want a placement", d.Verdict, now, d.Reason)
 		}
 		if down(d.Endpoint.ID, now) {
 			lost++
@@ -51,14 +52,14 @@
 		s.Progress(at(now+fails), id, 4)
 		running = append(running, placed{id, now})
 	}
-	if lost > 2*turns {
-		t.Fatalf("%d prompts lost in %d turns of two runners, want one each at most", lost, turns)
+	if lost > 2*outages {
+		t.Fatalf("%d prompts lost in %d outages of two runners, want at most one per outage and runner", lost, outages)
 	}
 }
 
-// The links of some daemons are cut, and each runner loses a stream of theirs at
-// the same moment. Kept from work for it, the whole pool would stand still.
-func TestCutLinksDontStopThePool(t *testing.T) {
+// Guards against excluding the whole pool when the links of some daemons are
+// cut and each runner loses one of their streams at the same moment.
+func TestSimultaneousFailuresDontStopPool(t *testing.T) {
 	const runners = 10
 	s := newTestScheduler(t, runners, nil)
 	for i := range runners {
@@ -74,23 +75,24 @@
 	}
 }
 
-// A run that was placed before a runner failed ends well: it tells nothing of
-// the runner since. Taken for a recovery, it let the next prompts be lost.
-func TestOldSuccessClosesNoBreaker(t *testing.T) {
+// Guards against closing a breaker because a run placed before the failure
+// ends well: it doesn't show that the runner has recovered, and the next
+// prompts would be lost.
+func TestEarlierRunDoesntCloseBreaker(t *testing.T) {
 	var b breaker
 	b.failed(at(2 * time.Second))
 	b.succeeded(at(time.Second))
 	b.answered(at(time.Second))
 	if b.allows(at(2500*time.Millisecond), false) {
-		t.Fatal("closed by a run from before the failure")
+		t.Fatal("a run placed before the failure closed the breaker")
 	}
 	b.dispatched()
 	b.answered(at(3100 * time.Millisecond))
 	if !b.allows(at(3200*time.Millisecond), false) {
-		t.Fatal("a runner that answers is kept from work until a whole run has ended")
+		t.Fatal("the breaker stays open after the first token of a probe")
 	}
 	b.failed(at(4 * time.Second))
 	if b.allows(at(5500*time.Millisecond), false) {
-		t.Fatal("the pause does not grow while runs break off")
+		t.Fatal("the pause didn't grow after another failure")
 	}
 }
--- a/internal/core/routing/doc.go
+++ b/internal/core/routing/doc.go
@@ -1,10 +1,11 @@
-// Package routing decides which runner takes a generation, and when. It holds
-// for each pool of runners one shard of state under its own lock, keeps no
-// clock, and starts no goroutine: times and randomness are passed in.
+// Package routing decides which runner gets a generation, and when. It keeps
+// one shard of state per pool of runners, each under its own lock. It reads
+// no clock and starts no goroutine: the caller passes in times and
+// randomness.
 //
-// A decision asks of each runner how likely its cache is to overflow once
-// everything that runs there, and the new request, has grown (footprint.go),
-// from the last load report corrected by what this router did since
-// (runner.go). What fits nowhere is held in fair order (held.go) or refused
-// with a promise (see package admission).
+// For each runner a decision estimates the probability that its cache
+// overflows once all its runs and the new request have grown (footprint.go).
+// The estimate uses the last load report, corrected by what this router has
+// done since (runner.go). A request that fits no runner is held in fair
+// order (held.go), or refused with a retry time (package admission).
 package routing
--- a/internal/core/routing/endpoints.go
+++ b/internal/core/routing/endpoints.go
@@ -9,70 +9,73 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// SetEndpoints implements port.Scheduler. An endpoint that is known under a
-// larger incarnation, or as leaving under the same one, stays so: the list of
-// hosts lags and may name an earlier state again.
+// SetEndpoints implements port.Scheduler. The list of hosts lags and may
+// repeat an earlier state, so a known endpoint with a larger incarnation
+// keeps it, and one that is leaving stays so within its incarnation until
+// the list has a later revision.
 func (s *Scheduler) SetEndpoints(now time.Time, es []port.Endpoint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	named := make(map[string]bool, len(es))
+	listed := make(map[string]bool, len(es))
 	for i := range es {
-		named[es[i].ID] = es[i].Kind == port.KindRunner
+		listed[es[i].ID] = es[i].Kind == port.KindRunner
 	}
 	touched := make(changes)
 	s.runners.Range(func(id, known any) bool {
-		if !named[id.(string)] {
+		if !listed[id.(string)] {
 			s.runners.Delete(id)
 			touched.drop(known.(*runner))
 		}
 		return true
 	})
-	s.takeEndpoints(touched, es)
+	s.applyEndpoints(touched, es)
 	s.relist(now, touched)
 }
 
-// ChangeEndpoints takes what is new of some endpoints; the others stay as they
-// are. Its cost is that of the pools that change. Each state must be newer than
-// the one before: then endpoints that are gone can be forgotten, which would
-// otherwise be kept by the thousand where hosts are reclaimed every few seconds.
+// ChangeEndpoints updates some endpoints and leaves the others as they are.
+// Its cost depends only on the pools that change. Each state must be newer
+// than the previous one of that endpoint: this allows endpoints that are
+// gone to be forgotten. Otherwise thousands would accumulate where hosts are
+// reclaimed every few seconds.
 func (s *Scheduler) ChangeEndpoints(now time.Time, es []port.Endpoint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	touched := make(changes)
-	s.takeEndpoints(touched, es)
+	s.applyEndpoints(touched, es)
 	s.relist(now, touched)
 	s.forgetGone(touched)
 }
 
-// forgetGone forgets the runners that are gone once nothing is counted there.
-// One that is entered again with runs under way still counts them: taken for
-// empty it would be chosen until it refuses.
+// forgetGone removes the runners that are gone and have no runs left. A
+// runner with runs keeps its entry, because it may be listed again: if it
+// were then taken for empty, it would be chosen until it refuses requests.
 func (s *Scheduler) forgetGone(touched changes) {
 	for _, runners := range touched {
 		for _, r := range runners {
-			s.gone[r] = struct{}{}
+			s.goneRunners[r] = struct{}{}
 		}
 	}
-	for r := range s.gone {
-		left, gone := r.shard.leftAt(r)
-		if gone && left {
+	for r := range s.goneRunners {
+		hasRuns, gone := r.shard.runnerStatus(r)
+		if gone && hasRuns {
 			continue
 		}
-		delete(s.gone, r)
+		delete(s.goneRunners, r)
 		if gone && s.runner(r.endpoint.ID) == r {
 			s.runners.Delete(r.endpoint.ID)
 		}
 	}
 }
 
-// leftAt reports whether runs are left at the runner, and whether it is gone.
-func (s *shard) leftAt(r *runner) (left, gone bool) {
+// runnerStatus reports whether the runner has runs, and whether it is gone.
+func (s *shard) runnerStatus(r *runner) (hasRuns, gone bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return r.ownCount > 0, r.endpoint.State == port.EndpointGone
 }
 
-// changes are the runners of each pool that may have come, gone or changed.
+// changes holds, for each pool, the runners that may have been added,
+// removed or changed.
 type changes map[*shard][]*runner
 
 func (c changes) add(r *runner) { c[r.shard] = append(c[r.shard], r) }
@@ -82,7 +85,7 @@
 	c.add(r)
 }
 
-func (s *Scheduler) takeEndpoints(touched changes, es []port.Endpoint) {
+func (s *Scheduler) applyEndpoints(touched changes, es []port.Endpoint) {
 	for i := range es {
 		e := &es[i]
 		if e.Kind != port.KindRunner {
@@ -103,7 +106,7 @@
 	}
 }
 
-// relist puts the changes of each pool in force.
+// relist applies the changes of each pool.
 func (s *Scheduler) relist(now time.Time, touched changes) {
 	changed := false
 	for sh, runners := range touched {
@@ -117,7 +120,8 @@
 	}
 }
 
-// listModels lists the pools of each model in one order at all routers.
+// listModels rebuilds the list of pools that serve each model. All routers
+// list the pools in the same order.
 func (s *Scheduler) listModels() {
 	next := make(map[string][]*shard)
 	for _, pool := range slices.Sorted(maps.Keys(s.shards)) {
@@ -129,7 +133,7 @@
 	s.byModel.Store(&next)
 }
 
-// runner returns what is known under the id, or nil.
+// runner returns the runner with the given endpoint id, or nil.
 func (s *Scheduler) runner(id string) *runner {
 	r, known := s.runners.Load(id)
 	if !known {
@@ -138,39 +142,40 @@
 	return r.(*runner)
 }
 
-// relist takes runners in or out as their state says, and reports whether the
-// models that the pool serves changed.
+// relist adds or removes runners according to their state, and reports
+// whether the models that the pool serves changed.
 func (s *shard) relist(now time.Time, touched []*runner) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.now = now
-	leave := false
+	removed := false
 	for _, r := range touched {
-		wanted := !r.dropped && r.endpoint.State != port.EndpointGone
-		if wanted && !r.listed {
+		eligible := !r.dropped && r.endpoint.State != port.EndpointGone
+		if eligible && !r.listed {
 			s.runners = append(s.runners, r)
 		}
-		leave = leave || r.listed && !wanted
-		r.listed = wanted
+		removed = removed || r.listed && !eligible
+		r.listed = eligible
 	}
-	if leave {
+	if removed {
 		s.runners = slices.DeleteFunc(s.runners, func(r *runner) bool { return !r.listed })
 	}
-	// In one order at all routers, or they would deal themselves the same homes.
+	// All routers must use the same order: assignPreferred splits the
+	// runners among the routers by their position.
 	slices.SortFunc(s.runners, func(a, b *runner) int { return strings.Compare(a.endpoint.ID, b.endpoint.ID) })
-	s.ordinal, s.routers = s.scheduler.rank()
+	s.routerRank, s.routers = s.scheduler.routerRank()
 	before := s.models
 	s.rebuild()
 	return !slices.Equal(before, s.models)
 }
 
-// rebuild lists the runners that take work by model. Those that leave, or are
-// evacuated, keep their generations but are not looked at.
+// rebuild lists the runners that accept new work by model. Runners that are
+// leaving or evacuated keep their generations but are no candidates.
 func (s *shard) rebuild() {
 	byModel := make(map[string][]*runner, len(s.byModel))
 	served := make(map[string]struct{}, len(s.byModel))
 	live := int64(0)
-	s.assignHomes()
+	s.assignPreferred()
 	for _, r := range s.runners {
 		if r.endpoint.State != port.EndpointLive {
 			continue
@@ -188,11 +193,12 @@
 	}
 	s.byModel = byModel
 	s.models = slices.Sorted(maps.Keys(served))
-	s.live.Store(live)
+	s.liveRunners.Store(live)
 }
 
-// unserved is why no runner takes requests for a model.
-func (s *shard) unserved(model string) string {
+// unservedReason returns the reason why no runner takes requests for a
+// model.
+func (s *shard) unservedReason(model string) string {
 	if slices.Contains(s.models, model) {
 		return ReasonRefusedEvacuated
 	}
@@ -205,7 +211,7 @@
 	return s.models
 }
 
-// refresh takes over what a list says of a known runner.
+// refresh updates a known runner from a list entry.
 func (s *shard) refresh(r *runner, e *port.Endpoint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -217,5 +223,5 @@
 		state = laterState(r.endpoint.State, e.State)
 	}
 	r.endpoint = *e
-	r.endpoint.State = laterState(state, r.said)
+	r.endpoint.State = laterState(state, r.reportedState)
 }
--- a/internal/core/routing/endpoints_test.go
+++ b/internal/core/routing/endpoints_test.go
@@ -11,7 +11,7 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// knownRunners lists the runners by endpoint id.
+// knownRunners returns the runners by endpoint id.
 func knownRunners(s *Scheduler) map[string]*runner {
 	out := make(map[string]*runner)
 	s.runners.Range(func(id, r any) bool {
@@ -21,27 +21,28 @@
 	return out
 }
 
-// choices is what decisions see of the runners.
-func choices(s *Scheduler) map[string][]string {
+// candidateRunners returns the runners that decisions can choose from, by
+// model and pool.
+func candidateRunners(s *Scheduler) map[string][]string {
 	out := make(map[string][]string)
 	for model, pools := range *s.byModel.Load() {
 		for _, sh := range pools {
 			key := model + " in " + sh.pool
 			for _, r := range sh.byModel[model] {
-				out[key] = append(out[key], fmt.Sprint(r.endpoint.ID, r.endpoint.Incarnation, r.home))
+				out[key] = append(out[key], fmt.Sprint(r.endpoint.ID, r.endpoint.Incarnation, r.preferred))
 			}
 		}
 	}
 	return out
 }
 
-// One daemon hears of each change by itself, another reads the whole list
-// when all is over. A caller must get the same choice at both: a runner that
-// one of them missed takes no work, one that it kept gets work after its end.
-func TestChangesOneByOneEqualTheWholeList(t *testing.T) {
+// One scheduler gets each change separately, another the full list at the
+// end. Both must have the same candidates: a runner missing from one gets no
+// work, and one that should have been removed gets work after its end.
+func TestIncrementalChangesMatchFullList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		place := ranked{rapid.IntRange(0, 2).Draw(t, "rank"), 3}
-		changing := NewScheduler(Options{RouterID: "a", Routers: &place})
+		rank := ranked{rapid.IntRange(0, 2).Draw(t, "rank"), 3}
+		incremental := NewScheduler(Options{RouterID: "a", Routers: &rank})
 		list := make(map[string]port.Endpoint)
 		for range rapid.IntRange(1, 40).Draw(t, "changes") {
 			e := endpoint(rapid.IntRange(0, 5).Draw(t, "runner"))
@@ -60,18 +61,19 @@
 				}).Draw(t, "state")
 			}
 			list[e.ID] = e
-			changing.ChangeEndpoints(start, []port.Endpoint{e})
+			incremental.ChangeEndpoints(start, []port.Endpoint{e})
 		}
-		whole := NewScheduler(Options{RouterID: "b", Routers: &place})
-		whole.SetEndpoints(start, slices.Collect(maps.Values(list)))
-		if got, want := choices(changing), choices(whole); !maps.EqualFunc(got, want, slices.Equal) {
-			t.Fatalf("by changes %v\nby the list %v", got, want)
+		full := NewScheduler(Options{RouterID: "b", Routers: &rank})
+		full.SetEndpoints(start, slices.Collect(maps.Values(list)))
+		if got, want := candidateRunners(incremental), candidateRunners(full); !maps.EqualFunc(got, want, slices.Equal) {
+			t.Fatalf("candidates after single changes: %v\nafter the full list: %v", got, want)
 		}
 	})
 }
 
-// Hosts are reclaimed every few seconds, and each comes back under another id.
-// A scheduler that remembers them all is killed for its memory after some days.
+// Guards against memory growth. Hosts are reclaimed every few seconds and
+// each returns under another id; a scheduler that kept them all would run
+// out of memory after some days.
 func TestGoneRunnersAreForgotten(t *testing.T) {
 	s := NewScheduler(Options{RouterID: "r"})
 	for i := range 1000 {
@@ -81,21 +83,22 @@
 		wantVerdict(t, s.Submit(start, running), port.VerdictPlace, ReasonPlaced)
 		e.State, e.Revision = port.EndpointGone, e.Revision+1
 		s.ChangeEndpoints(start, []port.Endpoint{e})
-		// Its run is still counted out, wherever it ends.
+		// The run's end must still be counted, on whichever runner it ends.
 		s.Finished(start, running.RequestID, 10, port.FinishDone)
 	}
 	s.ChangeEndpoints(start, nil)
 	if n := len(knownRunners(s)); n != 0 {
-		t.Fatalf("%d runners are remembered, all are gone", n)
+		t.Fatalf("%d runners known, want 0: all are gone", n)
 	}
 	if n := s.Placed(); n != 0 {
-		t.Fatalf("%d runs are counted, all have ended", n)
+		t.Fatalf("%d runs counted, want 0: all have ended", n)
 	}
 }
 
-// A runner's entry lapses for a moment while it is full. Entered again it must
-// still count as full, or requests are sent there only to be refused.
-func TestLapsedRunnerKeepsItsCount(t *testing.T) {
+// A runner's entry lapses for a moment while the runner is full. When it is
+// listed again its runs must still count, or it gets requests that it
+// refuses.
+func TestRelistedRunnerKeepsItsRunCount(t *testing.T) {
 	s := NewScheduler(Options{RouterID: "r"})
 	e := endpoint(0)
 	s.ChangeEndpoints(start, []port.Endpoint{e})
@@ -105,6 +108,6 @@
 	e.State, e.Revision = port.EndpointLive, e.Revision+1
 	s.ChangeEndpoints(start, []port.Endpoint{e})
 	if n := s.runner(e.ID).ownCount; n != 1 {
-		t.Fatalf("%d runs counted, want the one under way", n)
+		t.Fatalf("%d runs counted after the runner was listed again, want 1", n)
 	}
 }
--- a/internal/core/routing/evacuations_test.go
+++ b/internal/core/routing/evacuations_test.go
@@ -10,8 +10,8 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// evacuated are n runners, of which the first so many are evacuated.
-func evacuated(n, first int) []port.Endpoint {
+// withEvacuated returns n runners, of which the first ones are evacuated.
+func withEvacuated(n, first int) []port.Endpoint {
 	es := inDomains(n, "a")
 	for i := range first {
 		es[i].Evacuated = true
@@ -19,75 +19,77 @@
 	return es
 }
 
-// Guards against prompts and moves that go to evacuated runners.
-func TestEvacuatedRunnersGetNothing(t *testing.T) {
+// Guards against placing or relocating runs to evacuated runners.
+func TestEvacuatedRunnersGetNoWork(t *testing.T) {
 	s := newTestScheduler(t, 0, nil)
-	s.SetEndpoints(start, evacuated(4, 0))
+	s.SetEndpoints(start, withEvacuated(4, 0))
 	for i := range 8 {
 		wantVerdict(t, s.Submit(start, request(fmt.Sprint("before", i), 100)), port.VerdictPlace, ReasonPlaced)
 	}
-	s.ChangeEndpoints(start, evacuated(4, 3))
+	s.ChangeEndpoints(start, withEvacuated(4, 3))
 	for i := range 8 {
 		d := s.Submit(start, request(fmt.Sprint("after", i), 100))
 		if d.Verdict != port.VerdictPlace || d.Endpoint.ID != "runner-3" {
-			t.Fatalf("%v at %q", d.Verdict, d.Endpoint.ID)
+			t.Fatalf("verdict %v at %q, want a placement on runner-3", d.Verdict, d.Endpoint.ID)
 		}
 	}
 	for i := range 8 {
 		d := s.Relocate(start, fmt.Sprint("before", i), port.Relocation{})
 		if d.Verdict == port.VerdictPlace && d.Endpoint.ID != "runner-3" {
-			t.Fatalf("moved to %q", d.Endpoint.ID)
+			t.Fatalf("run moved to the evacuated runner %q", d.Endpoint.ID)
 		}
 	}
-	s.ChangeEndpoints(start, evacuated(4, 0))
+	s.ChangeEndpoints(start, withEvacuated(4, 0))
 	d := s.Submit(start, request("again", 100))
 	if d.Verdict != port.VerdictPlace || d.Endpoint.ID == "runner-3" {
-		t.Fatalf("%v at %q once the evacuation is taken back", d.Verdict, d.Endpoint.ID)
+		t.Fatalf("verdict %v at %q after the evacuation ended, want a placement on another runner than runner-3", d.Verdict, d.Endpoint.ID)
 	}
 }
 
-// Guards against callers that are held, or told of an unknown model, while all runners are evacuated.
-func TestCallersOfAnEvacuatedPoolAreRefusedAtOnce(t *testing.T) {
+// Guards against holding callers, or refusing them for an unknown model,
+// while all runners are evacuated.
+func TestEvacuatedPoolRefusesAtOnce(t *testing.T) {
 	s := newTestScheduler(t, 0, func(o *Options) { o.UnreadLimit = 100 })
-	s.SetEndpoints(start, evacuated(1, 0))
+	s.SetEndpoints(start, withEvacuated(1, 0))
 	wantVerdict(t, s.Submit(start, request("runs", 500)), port.VerdictPlace, ReasonPlaced)
-	wantVerdict(t, s.Submit(start, request("held", 500)), port.VerdictHold, ReasonHeldReading)
-	s.ChangeEndpoints(start, evacuated(1, 1))
+	wantVerdict(t, s.Submit(start, request("held", 500)), port.VerdictHold, ReasonHeldPrefill)
+	s.ChangeEndpoints(start, withEvacuated(1, 1))
 	select {
 	case <-s.Ready("held"):
 	default:
-		t.Fatal("a held request waits on")
+		t.Fatal("request is still held although all runners are evacuated")
 	}
 	wantVerdict(t, s.Submit(start, request("held", 500)), port.VerdictRefuse, ReasonRefusedEvacuated)
 	d := s.Submit(start, request("new", 500))
 	wantVerdict(t, d, port.VerdictRefuse, ReasonRefusedEvacuated)
 	if d.RetryAfter <= 0 {
-		t.Error("no time to come back")
+		t.Error("refusal has no retry time")
 	}
 	other := request("other", 500)
 	other.Model = "nobody's"
 	wantVerdict(t, s.Submit(start, other), port.VerdictRefuse, ReasonRefusedModel)
 	s.Progress(start, "runs", 4)
-	s.ChangeEndpoints(start, evacuated(1, 0))
+	s.ChangeEndpoints(start, withEvacuated(1, 0))
 	wantVerdict(t, s.Submit(start, request("back", 50)), port.VerdictPlace, ReasonPlaced)
 }
 
-// Guards against any way by which an evacuated runner gets work, in any order of events.
-func TestNoEventPlacesAtEvacuatedRunners(t *testing.T) {
+// Guards against placing work on an evacuated runner after any order of
+// events.
+func TestEvacuatedRunnersGetNoWorkInAnyEventOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const runners = 4
 		s := newTestScheduler(nopTB{}, 0, func(o *Options) { o.UnreadLimit = 1000 })
-		state := evacuated(runners, 0)
+		state := withEvacuated(runners, 0)
 		s.SetEndpoints(start, state)
 		now := start
 		var ids, held []string
-		check := func(d port.Decision, again bool) {
-			if d.Verdict != port.VerdictPlace || again {
+		check := func(d port.Decision, alreadyPlaced bool) {
+			if d.Verdict != port.VerdictPlace || alreadyPlaced {
 				return
 			}
 			for _, e := range state {
 				if e.ID == d.Endpoint.ID && e.Evacuated {
-					t.Fatalf("placed at %s: %s", e.ID, d.Reason)
+					t.Fatalf("placed on the evacuated runner %s, reason %s", e.ID, d.Reason)
 				}
 			}
 		}
@@ -125,8 +127,9 @@
 	})
 }
 
-// collect asks again for those that are ready. What was released before its
-// runner was evacuated is the caller's to give back.
+// collect submits again each held request that is ready. A request that was
+// released before its runner was evacuated keeps that placement; its caller
+// has to give it back.
 func collect(s *Scheduler, now time.Time, held []string, check func(port.Decision, bool)) (waiting []string) {
 	for _, id := range held {
 		select {
--- a/internal/core/routing/flood_test.go
+++ b/internal/core/routing/flood_test.go
@@ -9,8 +9,9 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// floodedPool is over half used by eight others' requests; one organisation
-// has asked for forty long ones, rounds times, and what was placed has ended.
+// floodedPool returns a pool that is more than half used, with one request
+// of each of the other organisations. One organisation has submitted forty
+// long requests in each round, and those that were placed have ended.
 func floodedPool(t *testing.T, others, rounds int) *Scheduler {
 	s := newTestScheduler(t, 4, nil)
 	for i := range 4 {
@@ -38,38 +39,40 @@
 	return s
 }
 
-// The others' reports wait longer while one organisation floods. It asks for
-// far more than its share and has had it; none of its long requests runs just
-// now, and each of many routers would grant it one more at once.
-func TestSurgeIsHeldThoughNoneOfItRuns(t *testing.T) {
+// Guards against longer waits of other organisations during a surge. The
+// organisation asks for far more than its share and has had its share. None
+// of its long requests runs at this moment, so without the surge limit each
+// of many routers would place one more at once.
+func TestSurgeIsHeldWithoutRunningRequests(t *testing.T) {
 	s := floodedPool(t, 8, 1)
-	if o := s.shards["pool"].organisations["flood"]; o.long != 0 {
-		t.Fatalf("%d of the flood run, want none", o.long)
+	if o := s.shards["pool"].organisations["flood"]; o.longRunning != 0 {
+		t.Fatalf("%d long requests of the flooding organisation are running, want 0", o.longRunning)
 	}
 	wantVerdict(t, s.Submit(start, organisationRequest("again", "flood")), port.VerdictHold, ReasonHeldShare)
 	wantVerdict(t, s.Submit(start, organisationRequest("late", "other-late")), port.VerdictPlace, ReasonReleased)
 }
 
-// The same surge is nobody's harm where nobody else is active.
-func TestSurgeAloneIsPlaced(t *testing.T) {
+// A surge is placed if no other organisation is active.
+func TestSurgeOfOnlyActiveOrganisationIsPlaced(t *testing.T) {
 	s := floodedPool(t, 0, 8)
 	wantVerdict(t, s.Submit(start, organisationRequest("again", "flood")), port.VerdictPlace, ReasonPlaced)
 }
 
-// Where generations end within seconds an operator lets the pool be full before
-// an organisation waits for others: the same surge is placed while there is
-// room, and its callers don't wait beside caches that stand half empty.
-func TestSurgeIsPlacedBelowTheBusyUse(t *testing.T) {
+// Where generations end within seconds, an operator can set BusyUse to 1: an
+// organisation waits for others only when the pool is full. Its requests
+// must then not wait while half of the cache is free.
+func TestSurgeIsPlacedBelowBusyUse(t *testing.T) {
 	s := floodedPool(t, 8, 1)
 	s.options.BusyUse = 1
-	if use := s.shards["pool"].use; use < DefaultBusyUse || use >= 1 {
-		t.Fatalf("the pool is used to %v, want a busy one with room", use)
+	if use := s.shards["pool"].utilisation; use < DefaultBusyUse || use >= 1 {
+		t.Fatalf("pool utilisation %v, want at least DefaultBusyUse and below 1", use)
 	}
 	wantVerdict(t, s.Submit(start, organisationRequest("again", "flood")), port.VerdictPlace, ReasonPlaced)
 }
 
-// A surging organisation isn't starved: what it had fades, and its turn comes.
-func TestSurgeIsServedInTime(t *testing.T) {
+// Guards against starvation of a surging organisation: its past use decays,
+// and its request is released within the hold limit.
+func TestSurgeIsReleasedWithinHoldLimit(t *testing.T) {
 	s := floodedPool(t, 8, 1)
 	wantVerdict(t, s.Submit(start, organisationRequest("again", "flood")), port.VerdictHold, ReasonHeldShare)
 	for now := start; now.Before(at(DefaultWeights().HoldLimit)); now = now.Add(time.Second) {
@@ -82,15 +85,16 @@
 		default:
 		}
 	}
-	t.Fatal("held for the whole limit")
+	t.Fatal("request wasn't released within the hold limit")
 }
 
-// A full pool refuses most of a flood, with promises. Its callers come back
-// as told and fill the queue; then every other organisation's caller is
-// refused at once, though it has nothing held.
-func TestReturnedCallersLeaveRoomForOthers(t *testing.T) {
+// A full pool refuses most of a flood and gives retry times. The callers
+// return at those times. Guards against letting them fill the queue: every
+// other organisation's requests would be refused at once although it has
+// none held.
+func TestRetryingCallersLeaveQueueRoomForOthers(t *testing.T) {
 	s := newTestScheduler(t, 1, nil)
-	settle(s, start, 0, 995, 48)
+	reportUntilSmoothed(s, start, 0, 995, 48)
 	w := DefaultWeights()
 	for i := range w.QueueLimit {
 		s.Submit(start, organisationRequest(fmt.Sprint("other", i), fmt.Sprint("other", i%8)))
--- a/internal/core/routing/footprint.go
+++ b/internal/core/routing/footprint.go
@@ -6,24 +6,24 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/core/length"
 )
 
-// horizons are the steps ahead, in tokens per generation, at which a cache is
-// looked at. All generations of a batch grow by one token a step, so a step
-// count is a common time for them.
+// horizons are the numbers of decoding steps ahead for which cache use is
+// estimated. All generations of a batch grow by one token per step, so the
+// step count serves as their common time.
 var horizons = [...]int{0, 128, 384, 768, 1536, 3072, 6144}
 
 const numHorizons = len(horizons)
 
-// footprint is the cache that generations will use at each horizon, in
-// tokens: the expectation, and the variance, which tells a sum of many short
-// answers from one that may end soon or go on for thousands of tokens.
+// footprint is the estimated cache use of generations at each horizon, in
+// tokens. The variance distinguishes a sum of many short answers from one
+// answer that may end soon or continue for thousands of tokens.
 type footprint struct {
 	mean     [numHorizons]float64
 	variance [numHorizons]float64
 }
 
-// alive is the chance that a generation of so many tokens now still runs at
-// each horizon.
-func (f *footprint) alive(context float64) [numHorizons]float64 {
+// aliveChance returns the probability that a generation that now has the
+// given number of context tokens still runs at each horizon.
+func (f *footprint) aliveChance(context float64) [numHorizons]float64 {
 	var out [numHorizons]float64
 	for k, ahead := range horizons {
 		out[k] = f.mean[k] / (context + float64(ahead))
@@ -31,17 +31,17 @@
 	return out
 }
 
-// set computes one generation's footprint. It uses its context plus growth
-// while it lives, and nothing once it has ended.
-func (f *footprint) set(s *length.Survival, promptTokens, seen, maxTokens int) {
-	context := float64(promptTokens + seen)
-	now := s.Beyond(seen)
+// set computes the footprint of one generation. While it runs it uses its
+// context plus growth; after its end it uses nothing.
+func (f *footprint) set(s *length.Survival, promptTokens, generated, maxTokens int) {
+	context := float64(promptTokens + generated)
+	aliveNow := s.Beyond(generated)
 	for k, ahead := range horizons {
 		alive := 1.0
-		if ahead > 0 && now > 0 {
-			alive = s.Beyond(seen+ahead) / now
+		if ahead > 0 && aliveNow > 0 {
+			alive = s.Beyond(generated+ahead) / aliveNow
 		}
-		if maxTokens > 0 && seen+ahead >= maxTokens {
+		if maxTokens > 0 && generated+ahead >= maxTokens {
 			alive = 0
 		}
 		use := context + float64(ahead)
@@ -64,7 +64,7 @@
 	}
 }
 
-// peak is the largest expected use over the horizons.
+// peak returns the largest expected use over the horizons.
 func (f *footprint) peak() float64 {
 	top := f.mean[0]
 	for _, m := range f.mean[1:] {
@@ -73,7 +73,8 @@
 	return top
 }
 
-// work is the cache held times the steps held: what a generation costs.
+// work returns the cost of a generation: the expected cache use, summed over
+// the decoding steps.
 func (f *footprint) work() float64 {
 	var sum float64
 	for k := 1; k < numHorizons; k++ {
@@ -82,8 +83,8 @@
 	return sum
 }
 
-// The chance of overflow is read from a table: a decision needs it several
-// times for each candidate.
+// Overflow probabilities are read from a table, because a decision needs
+// several for each candidate.
 const (
 	certainDeviations = 5
 	chanceSteps       = 64
@@ -99,8 +100,9 @@
 	return t
 }
 
-// overflowChance is the chance that a normal use of the given distance to
-// the capacity, in standard deviations, exceeds it.
+// overflowChance returns the probability that a normally distributed cache
+// use exceeds the capacity, given the distance of its mean from the capacity
+// in standard deviations.
 func overflowChance(deviations float64) float64 {
 	if deviations >= certainDeviations {
 		return 0
--- a/internal/core/routing/fuzz_test.go
+++ b/internal/core/routing/fuzz_test.go
@@ -20,16 +20,17 @@
 	fuzzConcurrency = 5
 )
 
-// world is the oracle of the stateful test: what was asked and answered.
-type world struct {
-	s       *Scheduler
-	now     time.Time
-	n       int
-	held    map[string]*port.GenerationRequest
-	placed  map[string]port.Endpoint
-	org     map[string]string
-	state   [fuzzRunners]port.Endpoint
-	leaving map[string]bool
+// oracle records the requests, decisions and endpoint states of the stateful
+// test.
+type oracle struct {
+	s         *Scheduler
+	now       time.Time
+	submitted int
+	held      map[string]*port.GenerationRequest
+	placed    map[string]port.Endpoint
+	org       map[string]string
+	state     [fuzzRunners]port.Endpoint
+	leaving   map[string]bool
 }
 
 func fuzzPolicy() port.Policy {
@@ -42,8 +43,8 @@
 	}
 }
 
-func newWorld() *world {
-	w := &world{
+func newOracle() *oracle {
+	w := &oracle{
 		s: NewScheduler(Options{RouterID: "router-1"}), now: start,
 		held: map[string]*port.GenerationRequest{}, placed: map[string]port.Endpoint{},
 		org: map[string]string{}, leaving: map[string]bool{},
@@ -56,14 +57,14 @@
 	return w
 }
 
-func key(e *port.Endpoint) string { return fmt.Sprint(e.ID, "/", e.Incarnation) }
+func incarnationKey(e *port.Endpoint) string { return fmt.Sprint(e.ID, "/", e.Incarnation) }
 
-// check compares one decision with what is allowed.
-func (w *world) check(t *rapid.T, r *port.GenerationRequest, d port.Decision) {
+// check checks one decision and records it.
+func (w *oracle) check(t *rapid.T, r *port.GenerationRequest, d port.Decision) {
 	switch d.Verdict {
 	case port.VerdictPlace:
 		if slices.Contains(r.Excluded, d.Endpoint.ID) {
-			t.Fatalf("%s placed on %s, which it excluded", r.RequestID, d.Endpoint.ID)
+			t.Fatalf("request %s placed on %s, which it excluded", r.RequestID, d.Endpoint.ID)
 		}
 		delete(w.held, r.RequestID)
 		w.placed[r.RequestID] = d.Endpoint
@@ -72,17 +73,17 @@
 	case port.VerdictRefuse:
 		delete(w.held, r.RequestID)
 	default:
-		t.Fatalf("%s got no verdict", r.RequestID)
+		t.Fatalf("request %s got no verdict", r.RequestID)
 	}
 	if len(d.Candidates) > maxCandidates {
-		t.Fatalf("%d candidates", len(d.Candidates))
+		t.Fatalf("%d candidates in a decision, want at most maxCandidates", len(d.Candidates))
 	}
 }
 
-func (w *world) submit(t *rapid.T) {
-	w.n++
+func (w *oracle) submit(t *rapid.T) {
+	w.submitted++
 	r := &port.GenerationRequest{
-		RequestID:    fmt.Sprint(w.n),
+		RequestID:    fmt.Sprint(w.submitted),
 		Organisation: rapid.SampledFrom([]string{"limited", "a", "b"}).Draw(t, "organisation"),
 		Model:        "m", Attempt: 1, Arrived: w.now,
 		PromptTokens: rapid.SampledFrom([]int{1, 100, 2000, 6000}).Draw(t, "prompt"),
@@ -96,27 +97,27 @@
 	}
 	w.org[r.RequestID] = r.Organisation
 	d := w.s.Submit(w.now, r)
-	if d.Verdict == port.VerdictPlace && w.leaving[key(&d.Endpoint)] {
-		t.Fatalf("%s placed on %s, which is leaving", r.RequestID, d.Endpoint.ID)
+	if d.Verdict == port.VerdictPlace && w.leaving[incarnationKey(&d.Endpoint)] {
+		t.Fatalf("request %s placed on %s, which is leaving", r.RequestID, d.Endpoint.ID)
 	}
 	w.check(t, r, d)
 }
 
-// collect asks again for every held request whose turn has come.
-func (w *world) collect(t *rapid.T) {
+// collect submits again every held request that is ready.
+func (w *oracle) collect(t *rapid.T) {
 	for id, r := range w.held {
 		select {
 		case <-w.s.Ready(id):
 			w.check(t, r, w.s.Submit(w.now, r))
 			if w.held[id] != nil {
-				t.Fatalf("%s was ready, yet is held again", id)
+				t.Fatalf("request %s was ready but is held again", id)
 			}
 		default:
 		}
 	}
 }
 
-func (w *world) anyPlaced(t *rapid.T) (string, bool) {
+func (w *oracle) anyPlaced(t *rapid.T) (string, bool) {
 	ids := make([]string, 0, len(w.placed))
 	for id := range w.placed {
 		ids = append(ids, id)
@@ -128,40 +129,40 @@
 	return rapid.SampledFrom(ids).Draw(t, "placed"), true
 }
 
-func (w *world) bounds(t *rapid.T) {
+func (w *oracle) checkBounds(t *rapid.T) {
 	perRunner, perOrganisation := map[string]int{}, map[string]int{}
 	for id, e := range w.placed {
-		perRunner[key(&e)]++
+		perRunner[incarnationKey(&e)]++
 		perOrganisation[w.org[id]]++
 	}
 	for runner, n := range perRunner {
 		if n > fuzzBatch {
-			t.Fatalf("%d generations on %s", n, runner)
+			t.Fatalf("%d generations on %s, want at most fuzzBatch", n, runner)
 		}
 	}
 	for id := range w.held {
 		perOrganisation[w.org[id]]++
 	}
 	if n := perOrganisation["limited"]; n > fuzzConcurrency {
-		t.Fatalf("%d open requests of the limited organisation", n)
+		t.Fatalf("%d open requests of the limited organisation, want at most fuzzConcurrency", n)
 	}
 	if len(w.held) > fuzzQueue {
-		t.Fatalf("%d held", len(w.held))
+		t.Fatalf("%d requests held, want at most fuzzQueue", len(w.held))
 	}
 	for _, sh := range w.s.shards {
 		if sh.queue.Len() > fuzzQueue {
-			t.Fatalf("%d in the queue", sh.queue.Len())
+			t.Fatalf("%d requests in the queue, want at most fuzzQueue", sh.queue.Len())
 		}
 	}
 }
 
-// Whatever order requests, ends, reports, leaving endpoints and new
-// incarnations come in: each request is placed, refused or withdrawn, none is
-// lost; no bound is passed; nothing goes to an endpoint that leaves or that
-// the request excluded; and at the end nothing is left behind.
+// Requests, ends, reports, leaving endpoints and new incarnations arrive in
+// any order. Each request must be placed, refused or withdrawn, and none
+// lost. No bound may be exceeded, nothing may be placed on an endpoint that
+// is leaving or excluded by the request, and no state may remain at the end.
 func TestSchedulerAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld()
+		w := newOracle()
 		t.Repeat(map[string]func(*rapid.T){
 			"submit": w.submit,
 			"flood": func(t *rapid.T) {
@@ -182,7 +183,7 @@
 				}
 			},
 			"withdraw": func(t *rapid.T) {
-				id := fmt.Sprint(rapid.IntRange(1, w.n+1).Draw(t, "id"))
+				id := fmt.Sprint(rapid.IntRange(1, w.submitted+1).Draw(t, "id"))
 				if w.held[id] != nil {
 					w.s.Withdraw(w.now, id)
 					delete(w.held, id)
@@ -195,7 +196,7 @@
 				r.TakenUnixMillis = w.now.UnixMilli()
 				if rapid.IntRange(0, 9).Draw(t, "leaves") == 0 {
 					r.State = port.EndpointLeaving
-					w.leaving[key(&w.state[i])] = true
+					w.leaving[incarnationKey(&w.state[i])] = true
 				}
 				w.s.Report(w.now, r)
 			},
@@ -204,7 +205,7 @@
 				switch rapid.IntRange(0, 2).Draw(t, "change") {
 				case 0:
 					w.state[i].State = port.EndpointLeaving
-					w.leaving[key(&w.state[i])] = true
+					w.leaving[incarnationKey(&w.state[i])] = true
 				case 1:
 					w.state[i].State = port.EndpointLive
 				default:
@@ -220,45 +221,46 @@
 			},
 			"": func(t *rapid.T) {
 				w.collect(t)
-				w.bounds(t)
+				w.checkBounds(t)
 			},
 		})
 		w.finishAll(t)
 	})
 }
 
-// finishAll ends the run and checks that nothing is left.
-func (w *world) finishAll(t *rapid.T) {
+// finishAll ends all requests and checks that no state remains.
+func (w *oracle) finishAll(t *rapid.T) {
 	w.collect(t)
 	w.now = w.now.Add(11 * time.Second)
 	w.s.Tick(w.now)
 	w.collect(t)
 	if len(w.held) != 0 {
-		t.Fatalf("held past the limit: %v", w.held)
+		t.Fatalf("requests held past the hold limit: %v", w.held)
 	}
 	for id := range w.placed {
 		w.s.Finished(w.now, id, 10, port.FinishDone)
 	}
-	w.s.Tick(w.now.Add(2 * collectWithin))
+	w.s.Tick(w.now.Add(2 * collectTimeout))
 	for i := range w.s.stripes {
 		if n := len(w.s.stripes[i].entries); n != 0 {
-			t.Fatalf("%d requests left behind", n)
+			t.Fatalf("%d requests remain in the index, want 0", n)
 		}
 	}
 	for _, sh := range w.s.shards {
-		if sh.ownCount != 0 || sh.ownContext != 0 || sh.queue.Len() != 0 || len(sh.waiting) != 0 {
-			t.Fatalf("left behind: %d running of %v tokens, %d held", sh.ownCount, sh.ownContext, sh.queue.Len())
+		if sh.ownCount != 0 || sh.ownContext != 0 || sh.queue.Len() != 0 || len(sh.uncollected) != 0 {
+			t.Fatalf("state remains: %d running with %v tokens, %d held", sh.ownCount, sh.ownContext, sh.queue.Len())
 		}
 		for _, o := range sh.organisations {
-			if o.limiter.Open() != 0 || o.running != 0 || o.long != 0 {
-				t.Fatalf("%s has %d open", o.name, o.limiter.Open())
+			if o.limiter.Open() != 0 || o.running != 0 || o.longRunning != 0 {
+				t.Fatalf("counts of organisation %s remain; %d requests open", o.name, o.limiter.Open())
 			}
 		}
 	}
 }
 
-// A stream of short requests keeps the only runner just full. A long one must
-// not wait for ever: it is placed, or refused by the hold limit.
+// Guards against starvation: a stream of short requests keeps the only
+// runner just full. A long request must be placed, or refused at the hold
+// limit.
 func TestLongRequestDoesNotStarve(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := NewScheduler(Options{RouterID: "router-1"})
@@ -277,7 +279,7 @@
 		}
 		long := request("long", 9000)
 		if d := s.Submit(start, long); d.Verdict != port.VerdictHold {
-			t.Fatalf("%v", d.Verdict)
+			t.Fatalf("verdict %v for the long request, want a hold", d.Verdict)
 		}
 		step := time.Duration(rapid.IntRange(20, 400).Draw(t, "step")) * time.Millisecond
 		for i := 0; ; i++ {
@@ -294,7 +296,7 @@
 			default:
 			}
 			if now.Sub(start) > 10*time.Second+step {
-				t.Fatalf("still held after %v", now.Sub(start))
+				t.Fatalf("long request still held after %v", now.Sub(start))
 			}
 		}
 	})
@@ -311,7 +313,7 @@
 				d := s.Submit(start, r)
 				s.Report(start, report(i%4, i, i%5))
 				if d.Verdict == port.VerdictHold {
-					<-closed
+					<-closedChannel
 					s.Withdraw(start, id)
 					continue
 				}
@@ -328,7 +330,7 @@
 	wait.Wait()
 	for i := range s.stripes {
 		if n := len(s.stripes[i].entries); n != 0 {
-			t.Fatalf("%d requests left behind", n)
+			t.Fatalf("%d requests remain in the index, want 0", n)
 		}
 	}
 }
@@ -338,8 +340,9 @@
 func (r ranked) LiveRouters() int       { return r.routers }
 func (r ranked) RouterRank() (int, int) { return r.rank, r.routers }
 
-// Six routers hold the same stale report, in which one runner looks best, and
-// each gets four requests. Without care all go to that runner.
+// Guards against herding. Six routers have the same stale report, in which
+// one runner has the best score, and each gets four requests. If routers
+// didn't prefer different runners, all would choose that one.
 func TestRoutersWithOneStaleReportDontHerd(t *testing.T) {
 	const routers, runners, each = 6, 12, 4
 	counts := map[string]int{}
@@ -362,35 +365,35 @@
 	for _, n := range counts {
 		worst = max(worst, n)
 	}
-	t.Logf("%v", counts)
+	t.Logf("requests by runner: %v", counts)
 	if worst > each+1 {
-		t.Fatalf("%d of %d on one runner: %v", worst, routers*each, counts)
+		t.Fatalf("%d of %d requests on one runner: %v", worst, routers*each, counts)
 	}
 }
 
-// A router dies. The others must take over its home runners, and its part of
-// the limits, at the next tick, without any change of the endpoints.
-func TestRoutersThatComeAndGoAreNoticed(t *testing.T) {
-	place := ranked{0, 2}
-	s := NewScheduler(Options{RouterID: "router-1", Routers: &place})
+// A router fails. The others must take over its preferred runners and its
+// part of the limits at the next tick, without any change of the endpoints.
+func TestPreferredRunnersFollowRouterCount(t *testing.T) {
+	rank := ranked{0, 2}
+	s := NewScheduler(Options{RouterID: "router-1", Routers: &rank})
 	s.SetPolicy(port.Policy{Organisations: map[string]port.OrganisationLimits{"o": {Concurrency: 4}}})
 	s.SetEndpoints(start, endpoints(2))
-	if r := s.runner("runner-1"); r.home {
-		t.Fatal("home to both routers")
+	if r := s.runner("runner-1"); r.preferred {
+		t.Fatal("runner-1 is preferred by router 0, want router 1 only")
 	}
-	place = ranked{0, 1}
+	rank = ranked{0, 1}
 	s.Tick(start)
-	if r := s.runner("runner-1"); !r.home {
-		t.Fatal("home to nobody")
+	if r := s.runner("runner-1"); !r.preferred {
+		t.Fatal("runner-1 isn't preferred by the only router")
 	}
 	for i := range 4 {
 		wantVerdict(t, s.Submit(start, request(fmt.Sprint(i), 10)), port.VerdictPlace, ReasonPlaced)
 	}
 }
 
-// Two routers learn of the runners in different orders. They must still split
-// them, or both would crowd the same ones.
-func TestHomesDontDependOnTheOrderOfTheList(t *testing.T) {
+// Two routers receive the runners in different orders. They must still split
+// them, or both would overload the same ones.
+func TestPreferredRunnersDontDependOnListOrder(t *testing.T) {
 	backwards := endpoints(4)
 	slices.Reverse(backwards)
 	a := NewScheduler(Options{RouterID: "a", Routers: ranked{0, 2}})
@@ -398,15 +401,15 @@
 	b := NewScheduler(Options{RouterID: "b", Routers: ranked{1, 2}})
 	b.SetEndpoints(start, backwards)
 	for id, r := range knownRunners(a) {
-		if r.home == b.runner(id).home {
-			t.Fatalf("%s is home to both or none", id)
+		if r.preferred == b.runner(id).preferred {
+			t.Fatalf("%s is preferred by both routers or by none", id)
 		}
 	}
 }
 
-// A retry storm: every endpoint fails every attempt. Retries must stay within
-// a tenth of the first tries, apart from the reserve.
-func TestRetriesDontAmplifyASickPool(t *testing.T) {
+// Every endpoint fails every attempt. Retries must stay within a tenth of
+// the first attempts, plus the reserve of the budget.
+func TestRetryBudgetLimitsRetryStorm(t *testing.T) {
 	s := newTestScheduler(t, 8, nil)
 	first, retries := 0, 0
 	for i := range 500 {
@@ -428,6 +431,6 @@
 		}
 	}
 	if float64(retries) > 0.1*float64(first)+5 {
-		t.Fatalf("%d retries for %d first tries", retries, first)
+		t.Fatalf("%d retries for %d first attempts, want at most a tenth and 5", retries, first)
 	}
 }
--- a/internal/core/routing/held.go
+++ b/internal/core/routing/held.go
@@ -9,29 +9,32 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// Holding back.
+// Parameters of holding requests.
 const (
-	// shortPart is the part of a cache up to which a request counts as
-	// short. Short requests pass held long ones: they fit where those don't.
-	shortPart = 0.04
-	// shortSlack multiplies the accepted chance of overflow for short ones:
-	// the room they take is small and soon free again. Held at the limit of
-	// long ones, they waited seconds for long answers to end.
-	shortSlack = 25
-	// agedSlack multiplies it for a request held for the whole hold limit.
-	// Long requests would starve behind a stream that keeps the pool just
-	// full; with it they pass at worst at that chance, or are refused.
-	agedSlack = 3
-	// highestLimit bounds the accepted chance whatever the slack.
-	highestLimit = 0.6
-	// leastOrganisationQueue is the room in the queue that each
+	// shortFraction is the fraction of a cache up to which a request counts
+	// as short. Short requests may pass held long ones, as they fit where
+	// long ones don't.
+	shortFraction = 0.04
+	// shortLimitFactor multiplies the accepted probability of overflow for
+	// short requests: they take little capacity and soon free it. With the
+	// limit of long requests they waited seconds for long answers to end.
+	shortLimitFactor = 25
+	// agedLimitFactor multiplies the accepted probability for a request that
+	// was held for the whole hold limit. Otherwise long requests would
+	// starve behind a stream that keeps the pool just full. With it they are
+	// placed at that probability at worst, or refused.
+	agedLimitFactor = 3
+	// maxAcceptedChance bounds the accepted probability after these factors.
+	maxAcceptedChance = 0.6
+	// minOrganisationQueue is the number of queue places that each
 	// organisation has whatever its share.
-	leastOrganisationQueue = 4
-	// promisedRoom is the part of the queue, one in so many, that nobody gets
-	// but who comes back as promised.
-	promisedRoom = 4
-	// promiseWindow is how far ahead room is kept for those.
-	promiseWindow = 3 * time.Second
+	minOrganisationQueue = 4
+	// reservedQueueDivisor reserves one in reservedQueueDivisor queue places
+	// for callers that return at their retry time.
+	reservedQueueDivisor = 4
+	// reservationWindow is how far ahead booked retries count against their
+	// organisation's queue places.
+	reservationWindow = 3 * time.Second
 )
 
 // submit decides on a request that isn't known yet.
@@ -41,10 +44,10 @@
 	s.now = now
 	runners := s.byModel[r.Model]
 	if len(runners) == 0 {
-		return s.scheduler.refusal(s.unserved(r.Model), noEndpointRetry)
+		return s.scheduler.refusal(s.unservedReason(r.Model), noEndpointRetry)
 	}
 	if !r.Deadline.IsZero() && !now.Before(r.Deadline) {
-		return s.scheduler.refusal(ReasonRefusedLate, 0)
+		return s.scheduler.refusal(ReasonRefusedDeadline, 0)
 	}
 	if r.Attempt <= 1 {
 		s.retries.FirstTry()
@@ -52,24 +55,24 @@
 		return s.scheduler.refusal(ReasonRefusedRetry, retryBudgetWait)
 	}
 	e := s.newEntry(now, r)
-	if d, refused := s.limit(now, e); refused {
+	if d, refused := s.applyLimits(now, e); refused {
 		return d
 	}
-	e.promised = e.org.promises[e.item.Lane].Redeem(now)
+	e.reserved = e.org.retryBookings[e.item.Lane].Redeem(now)
 	q := s.query(now, e)
 	var k ranking
 	s.rank(now, &q, runners, &k)
-	s.note(&k)
+	s.recordUsage(&k)
 	if k.tried+k.tooSmall == len(runners) {
 		e.org.limiter.Release()
-		return s.hopeless(&k)
+		return s.permanentRefusal(&k)
 	}
-	if c := k.chosen(); c != nil && !s.overShare(e) && !s.behind(e) {
+	if c := k.chosen(); c != nil && !s.overShare(e) && !s.mustQueue(e) {
 		s.queue.Charge(r.Organisation, e.cost)
 		s.place(now, e, c)
 		e.state = entryRunning
 		s.scheduler.insert(e)
-		return s.placed(e, &k, ReasonPlaced)
+		return s.placement(e, &k, ReasonPlaced)
 	}
 	return s.hold(now, e, &k)
 }
@@ -82,7 +85,7 @@
 		since:    now,
 		org:      s.organisation(now, r.Organisation),
 		priority: limits.Priority,
-		survival: s.scheduler.lengths.Estimate(subjectOf(r)),
+		survival: s.scheduler.lengths.Estimate(lengthSubject(r)),
 	}
 	e.print.set(&e.survival, r.PromptTokens, 0, r.MaxTokens)
 	e.cost = e.print.work()
@@ -94,13 +97,13 @@
 		Organisation: r.Organisation,
 		Lane:         s.lane(e),
 		Priority:     limits.Priority - r.Rank,
-		OnTime:       s.onTimeUntil(r),
+		OnTime:       s.placementDeadline(r),
 		Cost:         e.cost,
 		Enqueued:     now,
 		Owner:        e,
 	}
-	// Within the organisation's priority a short request goes first, so that
-	// it doesn't wait at an engine for a preempted long one to fit again.
+	// Within its organisation's priority a short request goes first, so that
+	// it doesn't wait at an engine until a preempted long one fits again.
 	e.priority = 3 * limits.Priority
 	if e.item.Lane == admission.LaneShort {
 		e.priority++
@@ -111,31 +114,33 @@
 	return e
 }
 
-// onTimeUntil is when a request must be placed at the latest to have its first
-// token in time, by the pool's reading time of late; zero for ever.
-func (s *shard) onTimeUntil(r *port.GenerationRequest) time.Time {
+// placementDeadline returns the latest time to place a request so that its
+// first token meets the objective, based on the pool's recent prefill time.
+// It is zero if the request has no objective.
+func (s *shard) placementDeadline(r *port.GenerationRequest) time.Time {
 	if r.Objective <= 0 {
 		return time.Time{}
 	}
-	return r.Arrived.Add(r.Objective - s.reading)
+	return r.Arrived.Add(r.Objective - s.prefillTime)
 }
 
-// subjectOf is what the length of a request's answer depends on.
-func subjectOf(r *port.GenerationRequest) length.Subject {
+// lengthSubject returns the properties of a request that its answer length
+// is estimated from.
+func lengthSubject(r *port.GenerationRequest) length.Subject {
 	return length.Subject{
 		Model: r.Model, Organisation: r.Organisation, Route: r.Route, PromptTokens: r.PromptTokens, Hint: r.LengthHint,
 	}
 }
 
 func (s *shard) lane(e *entry) admission.Lane {
-	if len(s.runners) > 0 && e.print.peak() > shortPart*s.runners[0].capacity() {
+	if len(s.runners) > 0 && e.print.peak() > shortFraction*s.runners[0].capacity() {
 		return admission.LaneLong
 	}
 	return admission.LaneShort
 }
 
-// limit applies the organisation's limits.
-func (s *shard) limit(now time.Time, e *entry) (port.Decision, bool) {
+// applyLimits enforces the organisation's limits.
+func (s *shard) applyLimits(now time.Time, e *entry) (port.Decision, bool) {
 	l := s.scheduler.limits(e.request.Organisation)
 	limits := admission.Limits{TokensPerSecond: l.TokensPerSecond, Concurrency: l.Concurrency}
 	tokens := float64(e.request.PromptTokens)
@@ -145,7 +150,7 @@
 	verdict, wait := e.org.limiter.Acquire(now, limits, s.routers, tokens)
 	switch verdict {
 	case admission.OverConcurrency:
-		return s.scheduler.refusal(ReasonRefusedOpen, s.promise(now, e)), true
+		return s.scheduler.refusal(ReasonRefusedConcurrency, s.bookRetry(now, e)), true
 	case admission.OverRate:
 		wait = wait.Truncate(time.Second) + time.Second
 		return s.scheduler.refusal(ReasonRefusedRate, wait), true
@@ -156,84 +161,88 @@
 
 func (s *shard) query(now time.Time, e *entry) query {
 	q := query{
-		request: &e.request,
-		weights: s.scheduler.weights(e.request.Model),
-		print:   e.print,
-		peak:    e.print.peak(),
-		alive:   e.print.alive(float64(e.request.PromptTokens)),
+		request:     &e.request,
+		weights:     s.scheduler.weights(e.request.Model),
+		print:       e.print,
+		peak:        e.print.peak(),
+		aliveChance: e.print.aliveChance(float64(e.request.PromptTokens)),
 	}
-	q.limit = s.acceptedChance(now, e, &q.weights)
+	q.overflowLimit = s.acceptedChance(now, e, &q.weights)
 	q.gapMillis = milliseconds(s.scheduler.options.TokenGap)
 	if gap := e.request.TokenGap; gap > 0 {
 		q.gapMillis = milliseconds(gap)
 	}
-	q.prefix, q.prefixed = s.prefixes.find(now, e.request.PrefixHashes)
+	q.prefix, q.prefixBlocks = s.prefixes.find(now, e.request.PrefixHashes)
 	return q
 }
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// acceptedChance grows from the configured limit while a request is held.
+// acceptedChance returns the accepted probability of overflow. It grows from
+// the configured limit while a request is held.
 func (s *shard) acceptedChance(now time.Time, e *entry, w *port.Weights) float64 {
 	limit := w.OverflowLimit
 	if e.item.Lane == admission.LaneShort {
-		limit *= shortSlack
+		limit *= shortLimitFactor
 	}
 	waited := 1.0
 	if w.HoldLimit > 0 {
 		waited = min(1, now.Sub(e.since).Seconds()/w.HoldLimit.Seconds())
 	}
-	if e.promised {
+	if e.reserved {
 		waited = 1
 	}
-	limit *= 1 + (agedSlack-1)*waited
-	return min(limit, max(highestLimit, w.OverflowLimit))
+	limit *= 1 + (agedLimitFactor-1)*waited
+	return min(limit, max(maxAcceptedChance, w.OverflowLimit))
 }
 
-// behind reports whether a newcomer must queue, as others of its lane do. A
-// newcomer that took each room as it came up would starve those that wait.
-func (s *shard) behind(e *entry) bool {
+// mustQueue reports whether a new request must queue because others of its
+// lane are held. If new requests took all freed capacity, held ones would
+// starve.
+func (s *shard) mustQueue(e *entry) bool {
 	return s.queue.HeldLane(e.item.Lane) > 0
 }
 
-// hopeless refuses what no waiting can help.
-func (s *shard) hopeless(k *ranking) port.Decision {
+// permanentRefusal refuses a request that can't succeed by waiting.
+func (s *shard) permanentRefusal(k *ranking) port.Decision {
 	reason := ReasonRefusedTried
 	if k.tooSmall > 0 {
-		reason = ReasonRefusedLarger
+		reason = ReasonRefusedTooLarge
 	}
 	d := s.scheduler.refusal(reason, 0)
 	d.Candidates = k.candidates()
 	return d
 }
 
-// hold queues a request, or refuses it at once where the queue is full or
-// the wait would exceed the limit: a caller told now can go elsewhere.
+// hold queues a request. If the queue is full or the expected wait exceeds
+// the limit, it refuses the request at once, so that the caller can try
+// elsewhere.
 func (s *shard) hold(now time.Time, e *entry, k *ranking) port.Decision {
 	w := s.scheduler.weights(e.request.Model)
-	if reason := s.noRoom(now, e, &w); reason != "" {
+	if reason := s.holdRefusal(now, e, &w); reason != "" {
 		e.org.limiter.Release()
-		d := s.scheduler.refusal(reason, s.promise(now, e))
+		d := s.scheduler.refusal(reason, s.bookRetry(now, e))
 		d.Candidates = k.candidates()
 		return d
 	}
 	reason := s.holdReason(e, k)
 	e.state = entryHeld
 	e.ready = make(chan struct{})
-	if e.promised {
+	if e.reserved {
 		s.queue.PushFront(&e.item)
 	} else {
 		s.queue.Push(&e.item)
 	}
 	s.scheduler.insert(e)
 	if reason == ReasonHeldBehind {
-		// Those ahead may be held for a reason of their own: what is next in
-		// fair order and fits goes now.
+		// The requests ahead may be held for another reason, such as their
+		// organisation's share: release the next one in fair order that
+		// fits.
 		s.release(now)
 	}
 	if e.state == entryReleased {
 		e.state = entryRunning
-		s.collected(e)
+		s.removeUncollected(e)
 		return e.decision
 	}
 	return port.Decision{
@@ -251,70 +260,72 @@
 		return ReasonHeldShare
 	case k.chosen() != nil:
 		return ReasonHeldBehind
-	case k.limited > k.overflowed+k.reading+k.batchFull:
+	case k.rateLimited > k.overflowed+k.backlogged+k.batchFull:
 		return ReasonHeldLimit
-	case k.batchFull > k.overflowed+k.reading:
+	case k.batchFull > k.overflowed+k.backlogged:
 		return ReasonHeldBatch
-	case k.reading > k.overflowed:
-		return ReasonHeldReading
+	case k.backlogged > k.overflowed:
+		return ReasonHeldPrefill
 	default:
 		return ReasonHeldOverflow
 	}
 }
 
-// noRoom gives the reason why a request can't be held, or none. A caller who
-// was promised this time goes before others, and its organisation may have
-// twice its part.
-func (s *shard) noRoom(now time.Time, e *entry, w *port.Weights) string {
+// holdRefusal returns the reason why a request can't be held, or "". A
+// request that returns at its booked retry time goes before others, and its
+// organisation may use twice its part of the queue.
+func (s *shard) holdRefusal(now time.Time, e *entry, w *port.Weights) string {
 	if s.queue.Len() >= w.QueueLimit || w.HoldLimit <= 0 {
 		return ReasonRefusedQueue
 	}
-	part := int(math.Ceil(2 * s.fairPart(e.org) * float64(w.QueueLimit)))
-	part = min(w.QueueLimit*(promisedRoom-1)/promisedRoom, max(leastOrganisationQueue, part))
+	quota := int(math.Ceil(2 * s.fairShare(e.org) * float64(w.QueueLimit)))
+	quota = min(w.QueueLimit*(reservedQueueDivisor-1)/reservedQueueDivisor, max(minOrganisationQueue, quota))
 	held := s.queue.Held(e.org.name)
-	if e.promised {
-		// Not the whole queue: where a flood's callers came back and filled
-		// it, every other organisation's caller was refused at once.
-		part = min(2*part, w.QueueLimit*(promisedRoom-1)/promisedRoom)
+	if e.reserved {
+		// Not the whole queue: when callers of a flood returned and filled
+		// it, the requests of all other organisations were refused at once.
+		quota = min(2*quota, w.QueueLimit*(reservedQueueDivisor-1)/reservedQueueDivisor)
 	} else {
-		held += e.org.promises[e.item.Lane].Booked(now, now.Add(promiseWindow))
+		held += e.org.retryBookings[e.item.Lane].Booked(now, now.Add(reservationWindow))
 	}
-	if held >= part {
+	if held >= quota {
 		return ReasonRefusedQueue
 	}
-	if !e.promised && s.expectedWait(now, e, w.HoldLimit) > w.HoldLimit {
+	if !e.reserved && s.expectedWait(now, e, w.HoldLimit) > w.HoldLimit {
 		return ReasonRefusedWait
 	}
 	return ""
 }
 
-// expectedWait is the time until the organisation's requests of the lane that
-// are held, or promised within the limit, are served at its recent rate; zero
-// where there is no rate to go by.
+// expectedWait returns the time until the organisation's requests of this
+// lane that are held, or have a retry booked within the limit, are served at
+// its recent rate. It is zero if no rate is known.
 func (s *shard) expectedWait(now time.Time, e *entry, limit time.Duration) time.Duration {
-	ahead := s.queue.HeldFlow(e.org.name, e.item.Lane) + e.org.promises[e.item.Lane].Booked(now, now.Add(limit))
+	ahead := s.queue.HeldFlow(e.org.name, e.item.Lane) + e.org.retryBookings[e.item.Lane].Booked(now, now.Add(limit))
 	perSecond := e.org.rates[e.item.Lane].read(now)
-	if ahead < leastOrganisationQueue || perSecond <= 0 {
+	if ahead < minOrganisationQueue || perSecond <= 0 {
 		return 0
 	}
 	return time.Duration(float64(ahead+1) / perSecond * float64(time.Second))
 }
 
-// promise names a time to the caller of a refused request.
-func (s *shard) promise(now time.Time, e *entry) time.Duration {
+// bookRetry books a retry time for a refused request and returns the wait
+// until then.
+func (s *shard) bookRetry(now time.Time, e *entry) time.Duration {
 	lane := e.item.Lane
 	ahead := s.queue.HeldFlow(e.org.name, lane)
-	return e.org.promises[lane].Book(now, ahead, e.org.rates[lane].read(now))
+	return e.org.retryBookings[lane].Book(now, ahead, e.org.rates[lane].read(now))
 }
 
-// retryBudgetWait is promised to a retry beyond the budget: by then first
-// tries have earned another.
+// retryBudgetWait is the retry time given to a retry beyond the budget: by
+// then first attempts have earned another retry.
 const retryBudgetWait = 5 * time.Second
 
-// again answers a request that is known: held, released, refused or placed.
-func (s *shard) again(now time.Time, e *entry, r *port.GenerationRequest) port.Decision {
+// resubmit answers a submission of a known request: one that is held,
+// released, refused or placed.
+func (s *shard) resubmit(now time.Time, e *entry, r *port.GenerationRequest) port.Decision {
 	s.mu.Lock()
-	if e.state == entryGone {
+	if e.state == entryEnded {
 		s.mu.Unlock()
 		return s.scheduler.Submit(now, r)
 	}
@@ -323,14 +334,14 @@
 	switch e.state {
 	case entryReleased:
 		e.state = entryRunning
-		s.collected(e)
+		s.removeUncollected(e)
 		return e.decision
 	case entryRefused:
-		s.collected(e)
+		s.removeUncollected(e)
 		s.drop(e)
 		return e.decision
 	case entryRunning:
-		return s.placed(e, &ranking{}, ReasonRepeated)
+		return s.placement(e, &ranking{}, ReasonRepeated)
 	default:
 		return port.Decision{
 			Verdict:              port.VerdictHold,
@@ -341,7 +352,7 @@
 	}
 }
 
-func (s *shard) placed(e *entry, k *ranking, reason string) port.Decision {
+func (s *shard) placement(e *entry, k *ranking, reason string) port.Decision {
 	return port.Decision{
 		Verdict:              port.VerdictPlace,
 		Endpoint:             e.runner.endpoint,
@@ -352,18 +363,18 @@
 	}
 }
 
-func (s *shard) collected(e *entry) {
-	for i, w := range s.waiting {
+func (s *shard) removeUncollected(e *entry) {
+	for i, w := range s.uncollected {
 		if w == e {
-			s.waiting = append(s.waiting[:i], s.waiting[i+1:]...)
+			s.uncollected = append(s.uncollected[:i], s.uncollected[i+1:]...)
 			return
 		}
 	}
 }
 
 // release places held requests while they fit. A released request keeps its
-// place until its caller collects it, so that no newcomer takes the room in
-// between and the fair order stands.
+// placement until its caller collects it: no new request takes the capacity
+// in between, and the fair order is kept.
 func (s *shard) release(now time.Time) {
 	for range releaseBurst {
 		if s.queue.Len() == 0 {
@@ -386,40 +397,40 @@
 	var k ranking
 	s.rank(now, &q, s.byModel[e.request.Model], &k)
 	if k.capacity > 0 {
-		s.note(&k)
+		s.recordUsage(&k)
 	}
 	c := k.chosen()
 	if c == nil {
 		return false
 	}
 	s.place(now, e, c)
-	e.decision = s.placed(e, &k, ReasonReleased)
-	s.wake(now, e, entryReleased)
+	e.decision = s.placement(e, &k, ReasonReleased)
+	s.notify(now, e, entryReleased)
 	return true
 }
 
-// wake lets the caller of a held request ask again.
-func (s *shard) wake(now time.Time, e *entry, state entryState) {
+// notify signals the caller of a held request to submit it again.
+func (s *shard) notify(now time.Time, e *entry, state entryState) {
 	e.state = state
 	e.since = now
-	s.waiting = append(s.waiting, e)
+	s.uncollected = append(s.uncollected, e)
 	close(e.ready)
 }
 
-// tick refuses what was held too long, drops what nobody collected, and
-// releases what fits now.
+// tick releases requests that fit now, refuses those held too long, and
+// drops those not collected in time.
 func (s *shard) tick(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.now = now
-	s.countRouters()
+	s.updateRouters()
 	s.release(now)
 	s.refuseOverdue(now)
-	for _, e := range append([]*entry(nil), s.waiting...) {
-		if now.Sub(e.since) < collectWithin {
+	for _, e := range append([]*entry(nil), s.uncollected...) {
+		if now.Sub(e.since) < collectTimeout {
 			continue
 		}
-		s.collected(e)
+		s.removeUncollected(e)
 		if e.state == entryReleased {
 			s.end(now, e, 0, port.FinishCancelled)
 			continue
@@ -441,14 +452,14 @@
 	for _, i := range overdue {
 		e := i.Owner.(*entry)
 		e.org.limiter.Release()
-		reason := ReasonRefusedHeld
+		reason := ReasonRefusedHeldTooLong
 		switch {
 		case len(s.byModel[e.request.Model]) == 0:
-			reason = s.unserved(e.request.Model)
+			reason = s.unservedReason(e.request.Model)
 		case !e.request.Deadline.IsZero() && !now.Before(e.request.Deadline):
-			reason = ReasonRefusedLate
+			reason = ReasonRefusedDeadline
 		}
-		e.decision = s.scheduler.refusal(reason, s.promise(now, e))
-		s.wake(now, e, entryRefused)
+		e.decision = s.scheduler.refusal(reason, s.bookRetry(now, e))
+		s.notify(now, e, entryRefused)
 	}
 }
--- a/internal/core/routing/limits_test.go
+++ b/internal/core/routing/limits_test.go
@@ -10,8 +10,9 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// limitedRunners have the first of n runners name limits.
-func limitedRunners(n int, limits ...float64) []port.Endpoint {
+// rateLimitedRunners returns n runners; the first ones have the given rate
+// limits.
+func rateLimitedRunners(n int, limits ...float64) []port.Endpoint {
 	out := inDomains(n, "a")
 	for i, perSecond := range limits {
 		out[i].RateLimit = perSecond
@@ -19,23 +20,24 @@
 	return out
 }
 
-// Guards against prompts that are placed above a runner's limit while others have room.
-func TestPromptsPassRunnersAtTheirLimit(t *testing.T) {
+// Guards against placing prompts above a runner's rate limit while others
+// have capacity.
+func TestPlacementSkipsRunnersAtRateLimit(t *testing.T) {
 	s := newTestScheduler(t, 0, nil)
-	s.SetEndpoints(start, limitedRunners(3, 1, 1))
+	s.SetEndpoints(start, rateLimitedRunners(3, 1, 1))
 	got := map[string]int{}
 	for i := range 12 {
 		d := s.Submit(at(time.Duration(i)*time.Millisecond), request(fmt.Sprint("r", i), 10))
 		if d.Verdict != port.VerdictPlace {
-			t.Fatalf("%v for %s", d.Verdict, d.Reason)
+			t.Fatalf("verdict %v for %s, want a placement", d.Verdict, d.Reason)
 		}
 		got[d.Endpoint.ID]++
 		if i == 11 && !hasExcluded(d.Candidates, ExcludedLimit) {
-			t.Errorf("candidates %+v", d.Candidates)
+			t.Errorf("no candidate excluded for its rate limit: %+v", d.Candidates)
 		}
 	}
 	if got["runner-0"] > 1 || got["runner-1"] > 1 {
-		t.Errorf("placed %v", got)
+		t.Errorf("placements by runner %v, want at most 1 on runner-0 and runner-1", got)
 	}
 }
 
@@ -48,10 +50,11 @@
 	return false
 }
 
-// Guards against refusing prompts that a limited runner takes a moment later.
-func TestPromptsWaitForRunnersAtTheirLimit(t *testing.T) {
+// Guards against refusing prompts that a rate-limited runner can take a
+// moment later.
+func TestRequestsAreHeldForRunnersAtRateLimit(t *testing.T) {
 	s := newTestScheduler(t, 0, nil)
-	s.SetEndpoints(start, limitedRunners(2, 2, 2))
+	s.SetEndpoints(start, rateLimitedRunners(2, 2, 2))
 	for i := range 2 {
 		wantVerdict(t, s.Submit(start, request(fmt.Sprint("first", i), 10)), port.VerdictPlace, ReasonPlaced)
 	}
@@ -62,12 +65,12 @@
 	wantVerdict(t, s.Submit(at(500*time.Millisecond), request("held", 10)), port.VerdictPlace, ReasonReleased)
 }
 
-// A run that must leave its runner is not moved to one that takes no more.
-func TestRunIsNotMovedToARunnerAtItsLimit(t *testing.T) {
+// Guards against moving a run to a runner that is at its rate limit.
+func TestRelocationSkipsRunnersAtRateLimit(t *testing.T) {
 	s := newTestScheduler(t, 0, nil)
-	s.SetEndpoints(start, limitedRunners(2))
+	s.SetEndpoints(start, rateLimitedRunners(2))
 	s.Submit(start, request("run", 10))
-	es := limitedRunners(2, 1, 1)
+	es := rateLimitedRunners(2, 1, 1)
 	s.ChangeEndpoints(start, es)
 	terms := port.Relocation{FailureDomain: "a"}
 	wantVerdict(t, s.Relocate(start, "run", terms), port.VerdictPlace, ReasonRelocated)
@@ -76,16 +79,17 @@
 	wantVerdict(t, s.Relocate(at(time.Second), "run", terms), port.VerdictPlace, ReasonRelocated)
 }
 
-// Guards against placements and moves above a runner's limit, under any load.
-func TestRunnersGetNoMoreThanTheirLimits(t *testing.T) {
+// Guards against placements and relocations above a runner's rate limit,
+// under any load.
+func TestRunnersStayWithinRateLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newTestScheduler(nopTB{}, 0, nil)
 		limit := rapid.Float64Range(0.2, 20).Draw(t, "limit")
-		s.SetEndpoints(start, limitedRunners(3, limit, limit))
+		s.SetEndpoints(start, rateLimitedRunners(3, limit, limit))
 		sent := map[string][]time.Time{}
 		var held, running []string
 		now := start
-		note := func(id string, d port.Decision) {
+		record := func(id string, d port.Decision) {
 			switch d.Verdict {
 			case port.VerdictPlace:
 				sent[d.Endpoint.ID] = append(sent[d.Endpoint.ID], now)
@@ -113,14 +117,14 @@
 					}
 				}
 			default:
-				note(fmt.Sprint("r", i), s.Submit(now, request(fmt.Sprint("r", i), 100)))
+				record(fmt.Sprint("r", i), s.Submit(now, request(fmt.Sprint("r", i), 100)))
 			}
 			waiting := held
 			held = nil
 			for _, id := range waiting {
 				select {
 				case <-s.Ready(id):
-					note(id, s.Submit(now, request(id, 100)))
+					record(id, s.Submit(now, request(id, 100)))
 				default:
 					held = append(held, id)
 				}
@@ -132,7 +136,7 @@
 					within := sent[id][j].Sub(first)
 					most := 1 + limit*(within.Seconds()+1)
 					if n := float64(j - i + 1); n > most+1e-6 {
-						t.Fatalf("%s got %v within %v, limit %v", id, n, within, limit)
+						t.Fatalf("%s got %v requests within %v, rate limit %v", id, n, within, limit)
 					}
 				}
 			}
--- a/internal/core/routing/options.go
+++ b/internal/core/routing/options.go
@@ -8,39 +8,44 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// Options make a Scheduler.
+// Options configure a Scheduler.
 type Options struct {
-	// RouterID names this router.
+	// RouterID identifies this router.
 	RouterID string
-	// Routers counts the routers that share the limits; nil counts one.
+	// Routers counts the routers that share the limits. Nil means one
+	// router.
 	Routers port.RouterCounter
-	// Weights hold where the policy gives none for a model; zero fields
-	// take those of DefaultWeights.
+	// Weights apply to models for which the policy has none. If all fields
+	// are zero, DefaultWeights apply.
 	Weights port.Weights
-	// Random breaks ties. Routers must not share a seed, or they break them
-	// alike. Nil takes a PCG seeded by the router's id.
+	// Random breaks ties. Routers with the same seed would break them
+	// identically, so each needs its own. Nil means a PCG seeded from
+	// RouterID.
 	Random *rand.Rand
-	// Lengths estimates answers; nil makes a new estimator.
+	// Lengths estimates answer lengths. Nil means a new estimator.
 	Lengths *length.Estimator
-	// ReportLag is how old a load report is assumed to be when it comes;
-	// zero takes DefaultReportLag. Engine clocks aren't compared with ours.
+	// ReportLag is the assumed age of a load report on arrival, because
+	// engine clocks aren't compared with the router's. Zero means
+	// DefaultReportLag.
 	ReportLag time.Duration
-	// BusyUse is the part of a pool's cache expected to be used above which
-	// an organisation over its share waits; zero takes DefaultBusyUse. Below
-	// it there is room for all. A pool whose generations end within seconds
-	// has room again soon and may be fuller than one whose go on for minutes.
+	// BusyUse is the expected use of a pool's cache, as a fraction, above
+	// which an organisation over its share must wait. Below it there is
+	// capacity for all. A pool whose generations end within seconds frees
+	// capacity soon and can have a higher value than one whose generations
+	// run for minutes. Zero means DefaultBusyUse.
 	BusyUse float64
-	// UnreadLimit are the prompt tokens not yet read at a runner above which it
-	// gets no further prompt; zero is no limit. It is for a scheduler that alone
-	// places at its runners, as it knows what is unread there. Without it all
-	// that is held goes at once to a runner that has just joined, and waits
-	// there for seconds to be read, while room comes up elsewhere and the runs
-	// that must move off leaving runners find none.
+	// UnreadLimit is the number of prompt tokens awaiting prefill at a
+	// runner above which it gets no further prompts. Zero means no limit.
+	// Set it only if no other scheduler places work on these runners, as
+	// only then the backlog is known. Without it all held requests go at
+	// once to a runner that has just joined and wait there for seconds,
+	// while capacity becomes free elsewhere. Runs that must move off leaving
+	// runners then find no capacity.
 	UnreadLimit int
-	// TokenGap is the time between two tokens that is on time where a request
-	// names none; zero takes DefaultTokenGap.
+	// TokenGap is the longest time between two tokens that counts as on
+	// time, for requests that don't set one. Zero means DefaultTokenGap.
 	TokenGap time.Duration
-	// AgeStep is the wait that lifts a held request by one priority.
+	// AgeStep is the wait that raises a held request by one priority.
 	AgeStep time.Duration
 }
 
@@ -49,12 +54,12 @@
 	DefaultReportLag = 300 * time.Millisecond
 	DefaultAgeStep   = 5 * time.Second
 	DefaultBusyUse   = 0.5
-	// DefaultTokenGap is what the operators want kept by 95 in 100 tokens.
+	// DefaultTokenGap is the operators' objective for 95 in 100 tokens.
 	DefaultTokenGap = 34 * time.Millisecond
 )
 
-// DefaultWeights balance both kinds of workload; docs/operations/
-// routing-weights.md explains each.
+// DefaultWeights returns weights that suit workloads of both short and long
+// requests; docs/operations/routing-weights.md explains each weight.
 func DefaultWeights() port.Weights {
 	return port.Weights{
 		Overflow:      2,
@@ -68,22 +73,24 @@
 	}
 }
 
-// Bounds that are no matter of policy.
+// Bounds that the policy doesn't set.
 const (
-	// maxCandidates bounds the scores kept with a decision.
+	// maxCandidates bounds the scores stored with a decision.
 	maxCandidates = 8
 	// releaseBurst bounds the held requests released in one call.
 	releaseBurst = 16
-	// releaseTries bounds the heads of flows offered for each release.
+	// releaseTries bounds the flows whose first request is tried for each
+	// release.
 	releaseTries = 12
-	// collectWithin is how long a released request keeps its place before
-	// its caller asks again; past it the caller is taken for gone.
-	collectWithin = 5 * time.Second
+	// collectTimeout is how long a released request keeps its placement
+	// until its caller submits it again. After that the caller counts as
+	// disconnected.
+	collectTimeout = 5 * time.Second
 )
 
-// withLimits fills the fields that a zero would make senseless. Weights of
-// parts stay as they are: zero switches a part off.
-func withLimits(w, fallback port.Weights) port.Weights {
+// withDefaultLimits replaces limits for which zero makes no sense. The
+// weights of score parts are kept: zero switches a part off.
+func withDefaultLimits(w, fallback port.Weights) port.Weights {
 	if w.OverflowLimit <= 0 {
 		w.OverflowLimit = fallback.OverflowLimit
 	}
--- a/internal/core/routing/organisation.go
+++ b/internal/core/routing/organisation.go
@@ -6,57 +6,63 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/core/admission"
 )
 
-// organisation is one organisation's use of a pool through this router.
+// organisation tracks one organisation's use of a pool through this router.
 type organisation struct {
 	name    string
 	limiter admission.Limiter
 	running int
-	// work is the cost of the requests placed of late.
+	// work is the recent rate of work placed, as cost per second.
 	work     rate
 	flooding bool
-	// demand is the cost of its first tries of late, placed or not; surging
-	// that it asks for far more than its share.
+	// demand is the recent rate of work of first attempts, placed or not.
+	// surging is set while it is far above the organisation's share.
 	demand  rate
 	surging bool
-	// had is the work placed of late, in parts of its share.
-	had float64
-	// long counts the long requests that run.
-	long int
-	// peak sums the expected peaks of what runs, as placed.
-	peak     float64
-	rates    [2]rate
-	promises [2]admission.Promises
-	last     time.Time
-	share    float64
+	// placedShare is the recent work rate, in multiples of the
+	// organisation's share.
+	placedShare float64
+	// longRunning counts the running long requests.
+	longRunning int
+	// peak sums the expected peaks of the running requests, as estimated
+	// when placed.
+	peak          float64
+	rates         [2]rate
+	retryBookings [2]admission.Promises
+	lastRequest   time.Time
+	share         float64
 }
 
-// Bounds of an organisation's part, settled with internal/tools/policybench: a burst of some
-// seconds must pass, a flood must not (docs/design/routing.md).
+// Bounds of an organisation's use, tuned with internal/tools/policybench: a
+// burst of a few seconds must pass, a flood must not
+// (docs/design/routing.md).
 const (
 	floodWindow = 60 * time.Second
-	// runningShare is how much of its share of the cache an organisation's
-	// long requests may be expected to use at once.
-	runningShare = 1.5
-	// floodEnters and floodLeaves are the work placed over a floodWindow, in
-	// parts of the organisation's share, that begin and end a flood.
-	floodEnters = 2
-	floodLeaves = 1
-	// surgeEnters and surgeLeaves are the work asked for over a demandWindow,
-	// in parts of the share, that begin and end a surge. What is asked for
-	// shows a flood in seconds; what was placed does so only when the long
-	// answers that harm others run already.
+	// maxLongShare bounds the expected cache use of an organisation's long
+	// requests, in multiples of its share of the cache.
+	maxLongShare = 1.5
+	// floodStart and floodEnd are the work placed over a floodWindow, in
+	// multiples of the organisation's share, at which a flood starts and
+	// ends.
+	floodStart = 2
+	floodEnd   = 1
+	// surgeStart and surgeEnd are the work requested over a demandWindow, in
+	// multiples of the share, at which a surge starts and ends. Requested
+	// work shows a flood within seconds. Placed work shows it only when the
+	// long answers that slow others are already running.
 	demandWindow = 30 * time.Second
-	surgeEnters  = 3
-	surgeLeaves  = 1.5
-	// surgePart is how much of its share of the pool's pace a surging
-	// organisation may have had. The pace supposes full caches; a pool that
-	// holds back for growth does far less.
-	surgePart = 0.3
-	// leastPart is the part that an organisation may use whatever its share.
-	// Among thousands the even share is less than one long request, and each
-	// would wait for its own last one to end; so little harms nobody.
-	leastPart = 0.05
-	// activeWindow is how long an organisation counts after its last request.
+	surgeStart   = 3
+	surgeEnd     = 1.5
+	// surgeLimit is how much of its share of the pool's throughput a surging
+	// organisation may use. The throughput is computed for full caches; a
+	// pool that keeps capacity free for growth achieves far less.
+	surgeLimit = 0.3
+	// minUsableShare is the share that every organisation may use. With
+	// thousands of organisations an even share is less than one long
+	// request, and each organisation would run them one after the other. So
+	// small a share harms no other organisation.
+	minUsableShare = 0.05
+	// activeWindow is how long an organisation counts as active after its
+	// last request.
 	activeWindow = 60 * time.Second
 )
 
@@ -68,14 +74,15 @@
 		s.organisations[name] = o
 		s.totalShare += o.share
 	}
-	o.last = now
+	o.lastRequest = now
 	return o
 }
 
-// forgetOrganisation drops one without requests, unless its token bucket
-// would start anew full, or it counts as active still; tick comes back to it.
+// forgetOrganisation removes an organisation that has no requests, unless it
+// has booked retries or still counts as active. Removing it too early would
+// refill its token bucket. tick tries again later.
 func (s *shard) forgetOrganisation(o *organisation) {
-	if o.promised(s.now) || o.running > 0 || o.limiter.Open() > 0 || s.now.Sub(o.last) < activeWindow {
+	if o.hasBookedRetries(s.now) || o.running > 0 || o.limiter.Open() > 0 || s.now.Sub(o.lastRequest) < activeWindow {
 		return
 	}
 	if s.organisations[o.name] == o {
@@ -84,17 +91,18 @@
 	}
 }
 
-// promised reports whether a caller may still come back as promised.
-func (o *organisation) promised(now time.Time) bool {
+// hasBookedRetries reports whether a caller may still return at a booked
+// retry time.
+func (o *organisation) hasBookedRetries(now time.Time) bool {
 	until := now.Add(time.Hour)
-	return o.promises[admission.LaneShort].Booked(now, until)+o.promises[admission.LaneLong].Booked(now, until) > 0
+	return o.retryBookings[admission.LaneShort].Booked(now, until)+o.retryBookings[admission.LaneLong].Booked(now, until) > 0
 }
 
-// longRateWindow is how far back the rate of long requests looks: a small
-// organisation gets one placed every half minute or so.
+// longRateWindow is the window of the rate of long requests: a small
+// organisation gets one placed about every half minute.
 const longRateWindow = 60 * time.Second
 
-// updateShares takes over the shares of a new policy.
+// updateShares applies the shares of a new policy.
 func (s *shard) updateShares() {
 	s.totalShare = 0
 	for _, o := range s.organisations {
@@ -103,54 +111,57 @@
 	}
 }
 
-// fairPart is the organisation's share among the active ones.
-func (s *shard) fairPart(o *organisation) float64 { return o.share / s.totalShare }
+// fairShare returns the organisation's share among the active ones.
+func (s *shard) fairShare(o *organisation) float64 { return o.share / s.totalShare }
 
-// usablePart is the share that overShare grants.
-func (s *shard) usablePart(o *organisation) float64 { return max(leastPart, s.fairPart(o)) }
+// usableShare returns the share that overShare grants.
+func (s *shard) usableShare(o *organisation) float64 { return max(minUsableShare, s.fairShare(o)) }
 
-// overShare reports whether a long request must wait for other
-// organisations: its own has had far more than its share of late, and the
-// pool is busy. Without it a flood fills the pool before anyone waits, and
-// the fair order of those that wait comes too late.
+// overShare reports whether a long request must wait because its
+// organisation recently used far more than its share and the pool is busy.
+// Without this check a flood would fill the pool before any request is held,
+// too late for the fair order of the queue to help.
 func (s *shard) overShare(e *entry) bool {
-	s.judgeFlood(e.org)
-	if e.item.Lane != admission.LaneLong || s.use < s.scheduler.options.BusyUse {
+	s.updateFlooding(e.org)
+	if e.item.Lane != admission.LaneLong || s.utilisation < s.scheduler.options.BusyUse {
 		return false
 	}
-	if s.surgedOver(e.org) {
+	if s.overSurgeLimit(e.org) {
 		return true
 	}
-	if e.org.long == 0 {
+	if e.org.longRunning == 0 {
 		return false
 	}
-	return e.org.flooding || e.org.peak+e.print.peak() > runningShare*s.usablePart(e.org)*s.part
+	return e.org.flooding || e.org.peak+e.print.peak() > maxLongShare*s.usableShare(e.org)*s.capacityShare
 }
 
-// surgedOver reports whether a surging organisation has had its part. One
-// long request at each router, which others are always granted, is above the
-// share of a small organisation where there are many routers. It can't
-// starve: what it had fades, and alone in the pool it is not held.
-func (s *shard) surgedOver(o *organisation) bool {
-	return o.surging && o.had > surgePart && s.totalShare > o.share
+// overSurgeLimit reports whether a surging organisation has used up its
+// limit. The limit also applies when none of its long requests runs:
+// otherwise each router would always grant it one, which exceeds the share
+// of a small organisation if there are many routers. It doesn't starve the
+// organisation: its past use decays, and it isn't held if no other
+// organisation is active.
+func (s *shard) overSurgeLimit(o *organisation) bool {
+	return o.surging && o.placedShare > surgeLimit && s.totalShare > o.share
 }
 
-// judgeFlood compares what an organisation was given, and what it asked for,
-// of late with its share of what this router's part of the pool can do.
-func (s *shard) judgeFlood(o *organisation) {
-	if s.pace <= 0 {
+// updateFlooding compares an organisation's recent placed and requested work
+// with its share of the throughput of this router's part of the pool.
+func (s *shard) updateFlooding(o *organisation) {
+	if s.throughput <= 0 {
 		return
 	}
-	due := s.usablePart(o) * s.pace
-	o.had = o.work.read(s.now) / due
-	o.flooding = beyond(o.flooding, o.had, floodEnters, floodLeaves)
-	o.surging = beyond(o.surging, o.demand.read(s.now)/due, surgeEnters, surgeLeaves)
+	fairRate := s.usableShare(o) * s.throughput
+	o.placedShare = o.work.read(s.now) / fairRate
+	o.flooding = hysteresis(o.flooding, o.placedShare, floodStart, floodEnd)
+	o.surging = hysteresis(o.surging, o.demand.read(s.now)/fairRate, surgeStart, surgeEnd)
 }
 
-// beyond has one bound to enter a state and a lower one to leave it.
-func beyond(already bool, value, enters, leaves float64) bool {
-	if already {
-		return value > leaves
+// hysteresis returns whether a state is active, with a higher bound to start
+// it than to end it.
+func hysteresis(active bool, value, start, end float64) bool {
+	if active {
+		return value > end
 	}
-	return value > enters
+	return value > start
 }
--- a/internal/core/routing/policy_test.go
+++ b/internal/core/routing/policy_test.go
@@ -14,8 +14,9 @@
 	_ "github.com/dragonflyrail/dragonflyrail/internal/testkit/fixedseed"
 )
 
-// A report was taken before this router's last dispatch and comes after it.
-// Taken as it is, the runner looks empty again, and gets the next prompt too.
+// Guards against applying a late report without correction: it was taken
+// before this router's last dispatch, so the runner would look empty and get
+// the next prompt too.
 func TestLateReportDoesntHideOwnDispatch(t *testing.T) {
 	s := newTestScheduler(t, 2, nil)
 	first := s.Submit(at(time.Second), request("a", 4000))
@@ -25,26 +26,27 @@
 	}
 	second := s.Submit(now, request("b", 4000))
 	if first.Endpoint.ID == second.Endpoint.ID {
-		t.Fatalf("both on %s", first.Endpoint.ID)
+		t.Fatalf("both requests placed on %s", first.Endpoint.ID)
 	}
 }
 
-// Others fill a quarter of a runner, and this router has just dispatched to it. The
-// late report doesn't show the dispatch: subtracted from it all the same, it
-// would hide as much of the others' work.
-func TestLateReportDoesntHideOthersWork(t *testing.T) {
+// Other routers use a quarter of a runner, and this router has just
+// dispatched to it. Guards against subtracting the dispatch from a late
+// report that doesn't include it, which would hide as much of the others'
+// load.
+func TestLateReportDoesntHideLoadOfOtherRouters(t *testing.T) {
 	s := newTestScheduler(t, 1, nil)
-	settle(s, start, 0, 250, 4)
+	reportUntilSmoothed(s, start, 0, 250, 4)
 	now := at(10 * time.Second)
 	wantVerdict(t, s.Submit(now, request("a", 2000)), port.VerdictPlace, ReasonPlaced)
-	settle(s, now.Add(10*time.Millisecond), 0, 250, 4)
-	if r := s.runner("runner-0"); r.elseContext < 3800 {
-		t.Fatalf("others' part is %.0f tokens, want 4000", r.elseContext)
+	reportUntilSmoothed(s, now.Add(10*time.Millisecond), 0, 250, 4)
+	if r := s.runner("runner-0"); r.othersContext < 3800 {
+		t.Fatalf("other routers' load is %.0f tokens, want 4000", r.othersContext)
 	}
 }
 
-// A runner came back as a new incarnation. A late report of the old one says
-// that it leaves, which is no longer true.
+// A runner has returned as a new incarnation. A late report that the old one
+// is leaving must be ignored.
 func TestReportOfOldIncarnationIsIgnored(t *testing.T) {
 	s := newTestScheduler(t, 1, nil)
 	back := endpoints(1)
@@ -56,53 +58,55 @@
 	wantVerdict(t, s.Submit(start, request("a", 100)), port.VerdictPlace, ReasonPlaced)
 }
 
-// A held request is released, but its caller has gone without a word. Its
-// place must come free again, or the runner stays full for nobody.
-func TestReleasedPlaceIsFreedWhenNobodyCollects(t *testing.T) {
+// The caller of a released request has disconnected. Its placement must be
+// freed, or it would occupy the runner for no caller.
+func TestUncollectedPlacementIsFreed(t *testing.T) {
 	s := newTestScheduler(t, 1, nil)
-	settle(s, start, 0, 990, 5)
+	reportUntilSmoothed(s, start, 0, 990, 5)
 	wantVerdict(t, s.Submit(start, request("long", 3000)), port.VerdictHold, ReasonHeldOverflow)
-	settle(s, at(time.Second), 0, 0, 0)
+	reportUntilSmoothed(s, at(time.Second), 0, 0, 0)
 	s.Tick(at(time.Second))
 	sh := s.shards["pool"]
 	if sh.ownCount != 1 {
-		t.Fatalf("%d running, want the released one", sh.ownCount)
+		t.Fatalf("%d running, want 1: the released request", sh.ownCount)
 	}
-	s.Tick(at(time.Second + collectWithin))
+	s.Tick(at(time.Second + collectTimeout))
 	if sh.ownCount != 0 || s.find("long") != nil {
-		t.Fatalf("%d running for nobody", sh.ownCount)
+		t.Fatalf("%d running after the collect timeout, want 0 and the request removed", sh.ownCount)
 	}
 }
 
-// The report shows this router's own generations too. Counted twice, a runner
-// that only this router uses would look doubly full.
+// A report includes this router's own generations. Guards against counting
+// them twice, which would double the load of a runner that only this router
+// uses.
 func TestReportDoesntCountOwnWorkTwice(t *testing.T) {
 	s := newTestScheduler(t, 1, nil)
 	s.Submit(start, request("a", 4000))
 	s.Progress(start, "a", 1)
 	now := at(time.Minute)
-	settle(s, now, 0, 251, 1)
+	reportUntilSmoothed(s, now, 0, 251, 1)
 	r := s.runner("runner-0")
-	if r.elseContext > 100 || r.elseCount > 0.1 {
-		t.Fatalf("others' part is %.0f tokens of %.1f generations", r.elseContext, r.elseCount)
+	if r.othersContext > 100 || r.othersCount > 0.1 {
+		t.Fatalf("other routers' load is %.0f tokens in %.1f generations, want none", r.othersContext, r.othersCount)
 	}
 }
 
-// A long report is held as the cache is nearly full. A short query fits, and
-// must not wait behind it.
-func TestShortPassesHeldLong(t *testing.T) {
+// A long request is held because the cache is nearly full. A short one fits
+// and must not wait behind it.
+func TestShortRequestPassesHeldLongRequest(t *testing.T) {
 	s := newTestScheduler(t, 1, nil)
 	for i := range 300 {
 		s.lengths.Observe(length.Subject{Model: "m", Organisation: "o", PromptTokens: 50}, 20+i%20)
 		s.lengths.Observe(length.Subject{Model: "m", Organisation: "o", PromptTokens: 3000}, 2000+i)
 	}
-	settle(s, start, 0, 780, 5)
+	reportUntilSmoothed(s, start, 0, 780, 5)
 	wantVerdict(t, s.Submit(start, request("long", 3000)), port.VerdictHold, ReasonHeldOverflow)
 	wantVerdict(t, s.Submit(start, request("short", 50)), port.VerdictPlace, ReasonPlaced)
 }
 
-// One organisation sends long requests without pause, the others few. With
-// the pool over half used, the flood waits while another's request is placed.
+// One organisation sends long requests without pause, the others few. While
+// the pool is over half used, the flood must wait and another organisation's
+// request must be placed.
 func TestFloodWaitsForOthers(t *testing.T) {
 	s := newTestScheduler(t, 4, nil)
 	for i := range 4 {
@@ -129,14 +133,15 @@
 		}
 	}
 	if held == 0 {
-		t.Fatalf("%d placed, none held for its share", placed)
+		t.Fatalf("%d requests placed, none held for its share", placed)
 	}
 	wantVerdict(t, s.Submit(start, organisationRequest("o6", "other6")), port.VerdictPlace, ReasonReleased)
 }
 
 // With two thousand organisations the even share is less than one request.
-// One with three long requests is no flood, and must not wait for its own.
-func TestManyOrganisationsDontSerialiseEach(t *testing.T) {
+// An organisation with three long requests doesn't flood the pool, and they
+// must not wait for each other.
+func TestSmallShareDoesntSerialiseLongRequests(t *testing.T) {
 	s := newTestScheduler(t, 4, nil)
 	for i := range 4 {
 		large := report(i, 2000, 20)
@@ -164,37 +169,38 @@
 	return r
 }
 
-// An overloaded pool refuses with a promise. Callers who come back at their
-// time must be served, or the promise was worth nothing and they come again.
-func TestCallersWhoComeBackAsToldAreServed(t *testing.T) {
+// An overloaded pool refuses requests with a retry time. Callers that return
+// at that time must be served, or they would retry again and again.
+func TestRetriesAtGivenTimeAreServed(t *testing.T) {
 	s := newTestScheduler(t, 1, nil)
 	s.SetPolicy(fuzzPolicy())
-	type visit struct {
+	type retry struct {
 		id  string
 		due time.Time
 	}
 	var running []string
-	var back []visit
-	served, again := 0, 0
-	submit := func(now time.Time, id string, returned bool) {
+	var retries []retry
+	served, refusedAgain := 0, 0
+	submit := func(now time.Time, id string, isRetry bool) {
 		r := request(id, 100)
 		r.Arrived = now
 		switch d := s.Submit(now, r); d.Verdict {
 		case port.VerdictPlace:
 			running = append(running, id)
-			served += count(returned)
+			served += count(isRetry)
 		case port.VerdictHold:
-			served += count(returned)
+			served += count(isRetry)
 		case port.VerdictRefuse:
-			again += count(returned)
-			if !returned {
-				back = append(back, visit{id + "-back", now.Add(d.RetryAfter)})
+			refusedAgain += count(isRetry)
+			if !isRetry {
+				retries = append(retries, retry{id + "-back", now.Add(d.RetryAfter)})
 			}
 		}
 	}
 	for i := range 2400 {
 		now := at(time.Duration(i) * 50 * time.Millisecond)
-		// Ten a second are served; sixteen come, then eight.
+		// Ten requests per second are served; sixteen arrive at first, then
+		// eight.
 		if i%2 == 0 && len(running) > 0 {
 			s.Finished(now, running[0], 30, port.FinishDone)
 			running = running[1:]
@@ -203,20 +209,20 @@
 			submit(now, fmt.Sprint(i), false)
 		}
 		s.Tick(now)
-		due := back
-		back = nil
+		due := retries
+		retries = nil
 		for _, v := range due {
 			if v.due.After(now) {
-				back = append(back, v)
+				retries = append(retries, v)
 				continue
 			}
 			submit(now, v.id, true)
 		}
 		running = append(running, released(s, now)...)
 	}
-	t.Logf("%d returned and served, %d refused again", served, again)
-	if served < 20 || float64(again) > 0.1*float64(served) {
-		t.Fatalf("%d returned and served, %d refused again", served, again)
+	t.Logf("%d retries served, %d refused again", served, refusedAgain)
+	if served < 20 || float64(refusedAgain) > 0.1*float64(served) {
+		t.Fatalf("%d retries served, %d refused again", served, refusedAgain)
 	}
 }
 
@@ -227,11 +233,11 @@
 	return 0
 }
 
-// released collects what the scheduler released from its queue.
+// released collects the requests that the scheduler released from its queue.
 func released(s *Scheduler, now time.Time) []string {
 	var out []string
 	for _, sh := range s.shards {
-		for _, e := range append([]*entry(nil), sh.waiting...) {
+		for _, e := range append([]*entry(nil), sh.uncollected...) {
 			if d := s.Submit(now, &e.request); d.Verdict == port.VerdictPlace {
 				out = append(out, e.request.RequestID)
 			}
@@ -240,8 +246,9 @@
 	return out
 }
 
-// A record that allows no queue means it: what doesn't fit is refused at once.
-func TestZeroLimitsOfARecordAreMeant(t *testing.T) {
+// A policy record that allows no queue or no wait must be followed: a
+// request that doesn't fit is refused at once.
+func TestZeroPolicyLimitsApply(t *testing.T) {
 	for name, w := range map[string]port.Weights{
 		"no queue": {OverflowLimit: 0.1, HoldLimit: time.Minute},
 		"no wait":  {OverflowLimit: 0.1, QueueLimit: 10},
@@ -249,14 +256,14 @@
 		t.Run(name, func(t *testing.T) {
 			s := newTestScheduler(t, 1, nil)
 			s.SetPolicy(port.Policy{Weights: map[string]port.Weights{"": w}})
-			settle(s, start, 0, 990, 5)
+			reportUntilSmoothed(s, start, 0, 990, 5)
 			wantVerdict(t, s.Submit(start, request("a", 3000)), port.VerdictRefuse, ReasonRefusedQueue)
 		})
 	}
 }
 
-// A footprint's expectation never exceeds the context plus growth, a bound on
-// the output ends it there, and the chance of overflow rises with use.
+// The mean of a footprint never exceeds the context plus growth and is zero
+// beyond the output limit, and the probability of overflow rises with use.
 func TestFootprintProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var s length.Survival
@@ -268,29 +275,29 @@
 		for k, ahead := range horizons {
 			most := float64(prompt + seen + ahead)
 			if f.mean[k] < 0 || f.mean[k] > most+1e-6 || f.variance[k] < -1e-6 {
-				t.Fatalf("at %d: mean %v variance %v", ahead, f.mean[k], f.variance[k])
+				t.Fatalf("at horizon %d: mean %v, variance %v", ahead, f.mean[k], f.variance[k])
 			}
 			if limit > 0 && seen+ahead >= limit && f.mean[k] != 0 {
-				t.Fatalf("at %d: %v tokens past the bound of %d", ahead, f.mean[k], limit)
+				t.Fatalf("at horizon %d: mean %v past the output limit of %d tokens", ahead, f.mean[k], limit)
 			}
 		}
 		last := 1.0
 		for d := -6.0; d < 6; d += 0.05 {
 			chance := overflowChance(d)
 			if chance > last {
-				t.Fatalf("chance %v after %v", chance, last)
+				t.Fatalf("overflow probability %v after %v, want no increase with free capacity", chance, last)
 			}
 			last = chance
 		}
 	})
 }
 
-// The chance promised for a runner must be near what is seen, or the accepted
-// chance in the weights means nothing.
+// The estimated overflow probability must be close to the observed
+// frequency, or the limits in the weights mean nothing.
 func TestOverflowChanceIsCalibrated(t *testing.T) {
 	const trainings, trials, generations, horizon = 20, 500, 12, 2
-	promised := []float64{0.5, 0.2, 0.05}
-	over := make([]int, len(promised))
+	expected := []float64{0.5, 0.2, 0.05}
+	over := make([]int, len(expected))
 	r := rand.New(rand.NewPCG(1, 2))
 	draw := func() int { return max(1, int(800*math.Exp(0.8*r.NormFloat64()))) }
 	for range trainings {
@@ -311,23 +318,24 @@
 					use += 1000 + horizons[horizon]
 				}
 			}
-			for i, p := range promised {
+			for i, p := range expected {
 				if float64(use) > capacityFor(&sum, horizon, p) {
 					over[i]++
 				}
 			}
 		}
 	}
-	for i, p := range promised {
+	for i, p := range expected {
 		seen := float64(over[i]) / (trainings * trials)
-		t.Logf("promised %.2f seen %.3f", p, seen)
+		t.Logf("expected %.2f, observed %.3f", p, seen)
 		if math.Abs(seen-p) > 0.05+p/2 {
-			t.Errorf("promised %.2f, seen %.3f", p, seen)
+			t.Errorf("overflow probability: expected %.2f, observed %.3f", p, seen)
 		}
 	}
 }
 
-// capacityFor finds the cache that is overflowed with the chance.
+// capacityFor returns the cache size that overflows with the given
+// probability.
 func capacityFor(f *footprint, horizon int, chance float64) float64 {
 	low, high := 0.0, 100_000.0
 	for range 60 {
--- a/internal/core/routing/prefix.go
+++ b/internal/core/routing/prefix.go
@@ -4,29 +4,31 @@
 
 // Bounds of the prefix hints.
 const (
-	prefixHolders = 4
-	prefixEntries = 8192
-	prefixMaxAge  = 2 * time.Minute
+	maxPrefixHolders = 4
+	maxPrefixEntries = 8192
+	prefixMaxAge     = 2 * time.Minute
 )
 
-// holders are the runners that last got a prompt with some prefix.
+// holders are the runners that most recently got a prompt with a given
+// prefix.
 type holders struct {
-	runners [prefixHolders]*runner
+	runners [maxPrefixHolders]*runner
 	next    int
 	at      time.Time
 }
 
-// prefixHints remembers where this router sent which prefixes. They are
-// hints: the engine may have dropped the blocks since, which costs only time.
+// prefixHints records the runners that this router sent each prefix to. They
+// are only hints: the engine may have evicted the blocks, which costs only
+// time.
 type prefixHints struct {
 	byHash map[uint64]*holders
-	// order lists the hashes by insertion; the oldest gives way.
+	// order lists the hashes by insertion; the oldest is evicted first.
 	order []uint64
 }
 
-// sent records a dispatch. Only depths 1, 2, 4, ... and the full depth are
-// kept, so a prompt of any size costs a few entries.
-func (p *prefixHints) sent(now time.Time, hashes []uint64, r *runner) {
+// record records a dispatch. Only the depths 1, 2, 4, ... and the full depth
+// are kept, so a prompt of any size needs few entries.
+func (p *prefixHints) record(now time.Time, hashes []uint64, r *runner) {
 	for depth := 1; depth <= len(hashes); depth = nextDepth(depth, len(hashes)) {
 		p.add(now, hashes[depth-1], r)
 	}
@@ -45,7 +47,7 @@
 	}
 	h := p.byHash[hash]
 	if h == nil {
-		if len(p.order) >= prefixEntries {
+		if len(p.order) >= maxPrefixEntries {
 			delete(p.byHash, p.order[0])
 			p.order = p.order[1:]
 		}
@@ -60,10 +62,10 @@
 		}
 	}
 	h.runners[h.next] = r
-	h.next = (h.next + 1) % prefixHolders
+	h.next = (h.next + 1) % maxPrefixHolders
 }
 
-// find returns the holders of the deepest known prefix and its depth in
+// find returns the holders of the deepest known prefix, and its depth in
 // blocks.
 func (p *prefixHints) find(now time.Time, hashes []uint64) (*holders, int) {
 	var found *holders
--- a/internal/core/routing/rate.go
+++ b/internal/core/routing/rate.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// rateWindow is how far back a rate looks unless it says otherwise.
+// rateWindow is the default window of a rate.
 const rateWindow = 10 * time.Second
 
-// rate is an exponentially fading sum of events per second.
+// rate is an exponentially decaying rate in amount per second.
 type rate struct {
 	value  float64
 	at     time.Time
--- a/internal/core/routing/reasons.go
+++ b/internal/core/routing/reasons.go
@@ -1,42 +1,45 @@
 package routing
 
-// Reasons of decisions. They are stable: operators and dashboards match them.
+// Reasons of decisions. The values are stable, because operators and
+// dashboards match them.
 const (
 	ReasonPlaced   = "best_score"
 	ReasonReleased = "released_from_hold"
 	ReasonRepeated = "already_placed"
-	// ReasonRelocated: the best runner for a run that must leave its own.
+	// ReasonRelocated is the reason of the runner chosen for a run that must
+	// leave its own.
 	ReasonRelocated = "relocated"
 
 	ReasonHeldOverflow = "would_overflow"
 	ReasonHeldBatch    = "batch_full"
-	ReasonHeldReading  = "prompts_ahead"
+	ReasonHeldPrefill  = "prompts_ahead"
 	ReasonHeldLimit    = "endpoints_at_rate_limit"
 	ReasonHeldShare    = "organisation_over_share"
 	ReasonHeldBehind   = "behind_held_requests"
 	ReasonRefusedModel = "no_endpoint_for_model"
-	// ReasonRefusedEvacuated: all runners that serve the model are evacuated.
-	ReasonRefusedEvacuated = "every_endpoint_evacuated"
-	ReasonRefusedTried     = "every_endpoint_tried"
-	ReasonRefusedQueue     = "queue_full"
-	ReasonRefusedWait      = "wait_over_hold_limit"
-	ReasonRefusedHeld      = "held_too_long"
-	ReasonRefusedLate      = "deadline_passed"
-	ReasonRefusedRate      = "organisation_token_rate"
-	ReasonRefusedOpen      = "organisation_concurrency"
-	ReasonRefusedRetry     = "retry_budget_spent"
-	ReasonRefusedLarger    = "larger_than_any_cache"
-	ReasonRefusedGone      = "no_longer_running"
-	ReasonRefusedRoom      = "no_runner_has_room"
+	// ReasonRefusedEvacuated means that all runners that serve the model are
+	// evacuated.
+	ReasonRefusedEvacuated   = "every_endpoint_evacuated"
+	ReasonRefusedTried       = "every_endpoint_tried"
+	ReasonRefusedQueue       = "queue_full"
+	ReasonRefusedWait        = "wait_over_hold_limit"
+	ReasonRefusedHeldTooLong = "held_too_long"
+	ReasonRefusedDeadline    = "deadline_passed"
+	ReasonRefusedRate        = "organisation_token_rate"
+	ReasonRefusedConcurrency = "organisation_concurrency"
+	ReasonRefusedRetry       = "retry_budget_spent"
+	ReasonRefusedTooLarge    = "larger_than_any_cache"
+	ReasonRefusedNotRunning  = "no_longer_running"
+	ReasonRefusedRoom        = "no_runner_has_room"
 )
 
-// Why a candidate was excluded.
+// Reasons why a candidate was excluded.
 const (
 	ExcludedTried    = "already_tried"
 	ExcludedBreaker  = "breaker_open"
 	ExcludedBatch    = "batch_full"
 	ExcludedOverflow = "would_overflow"
 	ExcludedSize     = "larger_than_cache"
-	ExcludedReading  = "prompts_ahead"
+	ExcludedPrefill  = "prompts_ahead"
 	ExcludedLimit    = "at_rate_limit"
 )
--- a/internal/core/routing/registry_test.go
+++ b/internal/core/routing/registry_test.go
@@ -7,9 +7,9 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// A request of a route must not leave the route's pool, also where another
-// pool serves a model of the same name.
-func TestPlacesInTheNamedPoolOnly(t *testing.T) {
+// A request of a route must stay in the route's pool, even if another pool
+// serves a model of the same name.
+func TestPlacesOnlyInRequestedPool(t *testing.T) {
 	s := newTestScheduler(t, 0, nil)
 	other := endpoint(1)
 	other.Pool = "other"
@@ -19,7 +19,7 @@
 			r := request(pool+string(rune('a'+i)), 10)
 			r.Pool = pool
 			if d := s.Submit(start, r); d.Verdict != port.VerdictPlace || d.Endpoint.Pool != pool {
-				t.Fatalf("%v in %q, want a place in %q", d.Verdict, d.Endpoint.Pool, pool)
+				t.Fatalf("verdict %v in pool %q, want a placement in %q", d.Verdict, d.Endpoint.Pool, pool)
 			}
 		}
 	}
@@ -28,10 +28,10 @@
 	wantVerdict(t, s.Submit(start, r), port.VerdictRefuse, ReasonRefusedModel)
 }
 
-// Engines that are never asked for a report still have a size: the operators'
-// word on it. Without it every runner counted as half as large as it is, and
-// callers waited while caches were half empty.
-func TestCacheSizeFromTheOperators(t *testing.T) {
+// Engines that send no reports have the cache size that the operators
+// configured. Guards against assuming a default of half the real size:
+// requests would wait while caches are half empty.
+func TestConfiguredCacheSize(t *testing.T) {
 	s := newTestScheduler(t, 0, nil)
 	e := endpoint(0)
 	e.CacheTokens = 40_000
@@ -39,57 +39,58 @@
 	wantVerdict(t, s.Submit(start, request("large", unknownCapacity+1000)), port.VerdictPlace, ReasonPlaced)
 	s.Report(at(time.Second), report(0, 0, 0))
 	if got := s.runner(e.ID).capacity(); got != 16_000 {
-		t.Fatalf("capacity %v after the runner's own report, want its 16,000", got)
+		t.Fatalf("capacity %v after the runner's report, want 16,000", got)
 	}
 }
 
-// The step time of an engine that doesn't report it comes from this router's
-// own generations, and the wait for a first token is not part of it.
+// The step time of an engine that doesn't report it is measured on this
+// router's own generations. The wait for the first token must not count.
 func TestStepTimeFromProgress(t *testing.T) {
 	s := newTestScheduler(t, 0, nil)
 	s.SetEndpoints(start, endpoints(1))
 	r := s.runner("runner-0")
 	if r.tokenMillis() != unknownTokenMillis {
-		t.Fatalf("%v ms before anything was seen", r.tokenMillis())
+		t.Fatalf("step time %v ms before any progress, want unknownTokenMillis", r.tokenMillis())
 	}
 	s.Submit(start, request("a", 100))
 	for i := 1; i <= 50; i++ {
 		s.Progress(at(3*time.Second+time.Duration(i)*32*time.Millisecond), "a", 4*i)
 	}
 	if got := r.tokenMillis(); got < 7.9 || got > 8.1 {
-		t.Fatalf("%v ms a token, want 8", got)
+		t.Fatalf("step time %v ms, want 8", got)
 	}
 }
 
-// A runner whose entry lapsed, as after an outage of the registry, is listed
-// again at a later revision: it takes work again. What it says of itself
-// stays: a late list must not bring back one that says that it leaves.
-func TestListedAgainAtALaterRevision(t *testing.T) {
+// A runner whose entry lapsed, for example after an outage of the registry,
+// is listed again at a later revision and must get work again. A runner that
+// itself reported that it is leaving must stay so, whatever a late list
+// says.
+func TestLaterRevisionRestoresRunner(t *testing.T) {
 	s := newTestScheduler(t, 0, nil)
 	list := func(revision port.StoreRevision, state port.EndpointState) {
 		e := endpoint(0)
 		e.Revision, e.State = revision, state
 		s.SetEndpoints(start, []port.Endpoint{e})
 	}
-	takes := func(id string) bool { return s.Submit(start, request(id, 10)).Verdict == port.VerdictPlace }
+	places := func(id string) bool { return s.Submit(start, request(id, 10)).Verdict == port.VerdictPlace }
 	list(5, port.EndpointLive)
 	list(9, port.EndpointLeaving)
-	if takes("a") {
-		t.Fatal("a removed runner got work")
+	if places("a") {
+		t.Fatal("a leaving runner got work")
 	}
 	list(7, port.EndpointLive)
-	if takes("b") {
-		t.Fatal("an older listing brought the runner back")
+	if places("b") {
+		t.Fatal("an entry of an older revision restored the runner")
 	}
 	list(12, port.EndpointLive)
-	if !takes("c") {
-		t.Fatal("the runner is listed again and gets nothing")
+	if !places("c") {
+		t.Fatal("a runner listed again at a later revision got no work")
 	}
-	said := report(0, 0, 0)
-	said.State = port.EndpointLeaving
-	s.Report(start, said)
+	leaving := report(0, 0, 0)
+	leaving.State = port.EndpointLeaving
+	s.Report(start, leaving)
 	list(20, port.EndpointLive)
-	if takes("d") {
-		t.Fatal("a list brought back a runner that says that it leaves")
+	if places("d") {
+		t.Fatal("a list entry restored a runner that reported it is leaving")
 	}
 }
--- a/internal/core/routing/relocate_test.go
+++ b/internal/core/routing/relocate_test.go
@@ -11,7 +11,8 @@
 	_ "github.com/dragonflyrail/dragonflyrail/internal/testkit/fixedseed"
 )
 
-// domains are the failure domains of runners 0, 1, ... in turn.
+// inDomains returns n runners, assigned to the given failure domains in
+// turn.
 func inDomains(n int, domains ...string) []port.Endpoint {
 	out := endpoints(n)
 	for i := range out {
@@ -21,10 +22,10 @@
 	return out
 }
 
-// A report's runner is reclaimed. Its tokens reach a runner of the same
-// failure domain in half the time, so one there takes it over, unless it has
-// no room.
-func TestRelocatesWithinTheDomainWhereThereIsRoom(t *testing.T) {
+// A run's runner is reclaimed. Copying its tokens within the failure domain
+// takes half the time, so a runner there must take it over if one has
+// capacity.
+func TestRelocationPrefersOwnFailureDomain(t *testing.T) {
 	s := newTestScheduler(t, 0, nil)
 	s.SetEndpoints(start, inDomains(4, "a", "b"))
 	r := request("report", 3000)
@@ -34,19 +35,20 @@
 	d := s.Relocate(at(time.Second), "report", terms)
 	wantVerdict(t, d, port.VerdictPlace, ReasonRelocated)
 	if d.Endpoint.ID == from.ID || d.Endpoint.FailureDomain != from.FailureDomain {
-		t.Fatalf("from %s/%s to %s/%s", from.ID, from.FailureDomain, d.Endpoint.ID, d.Endpoint.FailureDomain)
+		t.Fatalf("moved from %s in domain %s to %s in domain %s, want another runner of the same domain", from.ID, from.FailureDomain, d.Endpoint.ID, d.Endpoint.FailureDomain)
 	}
 	terms.Excluded = []string{d.Endpoint.ID}
 	if d = s.Relocate(at(time.Second), "report", terms); d.Endpoint.FailureDomain == from.FailureDomain {
-		t.Fatalf("to %s, which failed to take it", d.Endpoint.ID)
+		t.Fatalf("second move goes to %s in the same failure domain, want another domain", d.Endpoint.ID)
 	}
 	terms.Excluded = []string{"runner-0", "runner-1", "runner-2", "runner-3"}
 	wantVerdict(t, s.Relocate(at(time.Second), "report", terms), port.VerdictRefuse, ReasonRefusedRoom)
 }
 
-// Runs come, grow, move, fail to move and end in any order: the runners'
-// counts hold just what runs or is copied there, and nothing once all is over.
-func TestCountsOfRelocations(t *testing.T) {
+// Runs start, grow, move, fail to move and end in any order. Each runner's
+// counts must match the runs that are there or being copied there, and be
+// zero when none is left.
+func TestRelocationKeepsRunCounts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newTestScheduler(nopTB{}, 0, nil)
 		s.SetEndpoints(start, inDomains(3, "a"))
@@ -56,8 +58,8 @@
 		pick := func() string {
 			ids := make([]string, 0, len(open))
 			for i := range next {
-				if _, ok := open[name(i)]; ok {
-					ids = append(ids, name(i))
+				if _, ok := open[runID(i)]; ok {
+					ids = append(ids, runID(i))
 				}
 			}
 			return rapid.SampledFrom(ids).Draw(t, "run")
@@ -70,10 +72,10 @@
 			}
 			switch action {
 			case 0:
-				if d := s.Submit(now, request(name(next), 200)); d.Verdict == port.VerdictPlace {
-					open[name(next)] = moving{at: d.Endpoint.ID}
+				if d := s.Submit(now, request(runID(next), 200)); d.Verdict == port.VerdictPlace {
+					open[runID(next)] = moving{at: d.Endpoint.ID}
 				} else {
-					s.Withdraw(now, name(next))
+					s.Withdraw(now, runID(next))
 				}
 				next++
 			case 1:
@@ -115,32 +117,32 @@
 					t.Fatalf("%s counts %d runs, want %d", id, r.ownCount, counts[id])
 				}
 				if r.ownCount == 0 && (math.Abs(r.ownContext) > 1e-6 || math.Abs(r.own.mean[0]) > 1e-6) {
-					t.Fatalf("%s holds %v tokens of nobody", id, r.ownContext)
+					t.Fatalf("%s has no runs but counts %v context tokens", id, r.ownContext)
 				}
 			}
 		}
 	})
 }
 
-func name(i int) string { return "run-" + string(rune('a'+i%26)) + string(rune('a'+i/26)) }
+func runID(i int) string { return "run-" + string(rune('a'+i%26)) + string(rune('a'+i/26)) }
 
-// nopTB lets a rapid check use the helpers of plain tests.
+// nopTB lets a rapid check use helpers that take a testing.TB.
 type nopTB struct{ testing.TB }
 
 func (nopTB) Helper() {}
 
-// A run must move and its only possible runner has just its room left. The runs
-// there grow while it is copied: moved into the last room it stalls one of them.
-// With room for some growth it moves.
-func TestMovesLeaveRoomForThoseThereToGrow(t *testing.T) {
+// A run must move, and the only possible runner has just enough capacity.
+// The runs there grow during the copy, so a move into the last capacity
+// would stall one of them. With the growth reserve free it must move.
+func TestRelocationKeepsGrowthReserve(t *testing.T) {
 	const prompt, grown = 3000, 400
 	for _, c := range []struct {
 		name  string
 		spare int
 		want  port.Verdict
 	}{
-		{"the last room", 0, port.VerdictRefuse},
-		{"room for the growth of one run", growthRoom, port.VerdictPlace},
+		{"without the growth reserve", 0, port.VerdictRefuse},
+		{"with the growth reserve of one run", growthReserve, port.VerdictPlace},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newTestScheduler(t, 0, nil)
@@ -148,13 +150,13 @@
 			es[1].CacheTokens = prompt + grown + prompt + c.spare
 			s.SetEndpoints(start, es)
 			run := request("run", prompt)
-			there := request("there", prompt)
-			there.Excluded, run.Excluded = []string{"runner-0"}, []string{"runner-1"}
-			wantVerdict(t, s.Submit(start, there), port.VerdictPlace, ReasonPlaced)
+			other := request("there", prompt)
+			other.Excluded, run.Excluded = []string{"runner-0"}, []string{"runner-1"}
+			wantVerdict(t, s.Submit(start, other), port.VerdictPlace, ReasonPlaced)
 			wantVerdict(t, s.Submit(start, run), port.VerdictPlace, ReasonPlaced)
 			s.Progress(at(time.Second), "run", grown)
 			if d := s.Relocate(at(time.Second), "run", port.Relocation{FailureDomain: "a"}); d.Verdict != c.want {
-				t.Fatalf("%v for %q, want %v", d.Verdict, d.Reason, c.want)
+				t.Fatalf("verdict %v for %q, want %v", d.Verdict, d.Reason, c.want)
 			}
 		})
 	}
--- a/internal/core/routing/routing_test.go
+++ b/internal/core/routing/routing_test.go
@@ -31,7 +31,7 @@
 	return out
 }
 
-// report is one of an engine with 1,000 blocks of 16 tokens.
+// report returns a load report of an engine with 1,000 blocks of 16 tokens.
 func report(i, blocksUsed, running int) *port.LoadReport {
 	return &port.LoadReport{
 		EndpointID: fmt.Sprintf("runner-%d", i), Incarnation: 1, State: port.EndpointLive,
@@ -53,8 +53,9 @@
 	return s
 }
 
-// settle reports the same load until the smoothing has taken it over.
-func settle(s *Scheduler, now time.Time, runner, blocksUsed, running int) {
+// reportUntilSmoothed repeats a report until the smoothed load is close to
+// it.
+func reportUntilSmoothed(s *Scheduler, now time.Time, runner, blocksUsed, running int) {
 	for range 8 {
 		s.Report(now, report(runner, blocksUsed, running))
 	}
@@ -69,11 +70,11 @@
 func wantVerdict(t testing.TB, d port.Decision, v port.Verdict, reason string) {
 	t.Helper()
 	if d.Verdict != v || d.Reason != reason {
-		t.Fatalf("%v for %q, want %v for %q", d.Verdict, d.Reason, v, reason)
+		t.Fatalf("verdict %v for %q, want %v for %q", d.Verdict, d.Reason, v, reason)
 	}
 }
 
-func TestPlacesWhereTheCacheIsFree(t *testing.T) {
+func TestPlacesOnRunnerWithFreeCache(t *testing.T) {
 	s := newTestScheduler(t, 3, nil)
 	s.Report(at(time.Second), report(0, 900, 5))
 	s.Report(at(time.Second), report(1, 100, 5))
@@ -81,7 +82,7 @@
 	d := s.Submit(at(time.Second), request("a", 300))
 	wantVerdict(t, d, port.VerdictPlace, ReasonPlaced)
 	if d.Endpoint.ID != "runner-1" || len(d.Candidates) != 3 {
-		t.Fatalf("chose %q of %+v", d.Endpoint.ID, d.Candidates)
+		t.Fatalf("chose %q of %+v, want runner-1 of 3 candidates", d.Endpoint.ID, d.Candidates)
 	}
 }
 
@@ -96,10 +97,10 @@
 		reason string
 	}{
 		"unknown model": {func(r *port.GenerationRequest) { r.Model = "other" }, ReasonRefusedModel},
-		"late":          {func(r *port.GenerationRequest) { r.Deadline = start }, ReasonRefusedLate},
+		"late":          {func(r *port.GenerationRequest) { r.Deadline = start }, ReasonRefusedDeadline},
 		"tried":         {func(r *port.GenerationRequest) { r.Excluded = []string{"runner-0"} }, ReasonRefusedTried},
-		"too large":     {func(r *port.GenerationRequest) { r.PromptTokens = 20_000 }, ReasonRefusedLarger},
-		"concurrency":   {func(r *port.GenerationRequest) { r.Organisation = "one" }, ReasonRefusedOpen},
+		"too large":     {func(r *port.GenerationRequest) { r.PromptTokens = 20_000 }, ReasonRefusedTooLarge},
+		"concurrency":   {func(r *port.GenerationRequest) { r.Organisation = "one" }, ReasonRefusedConcurrency},
 		"rate":          {func(r *port.GenerationRequest) { r.Organisation = "few" }, ReasonRefusedRate},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -115,16 +116,17 @@
 	}
 }
 
-// The cache is full of others' work. A long request is held; when the runner
-// has emptied it is released, its place is kept, and asking again yields it.
-func TestHeldRequestIsReleasedWithItsPlace(t *testing.T) {
+// A long request is held because requests of other routers fill the cache.
+// When the runner is empty the request must be released, keep its placement,
+// and be placed when it is submitted again.
+func TestReleasedRequestKeepsItsPlacement(t *testing.T) {
 	s := newTestScheduler(t, 1, nil)
-	settle(s, start, 0, 990, 5)
+	reportUntilSmoothed(s, start, 0, 990, 5)
 	wantVerdict(t, s.Submit(start, request("long", 3000)), port.VerdictHold, ReasonHeldOverflow)
 	ready := s.Ready("long")
 	select {
 	case <-ready:
-		t.Fatal("ready while the cache is full")
+		t.Fatal("request released while the cache is full")
 	default:
 	}
 	for i := range 5 {
@@ -135,32 +137,33 @@
 	select {
 	case <-ready:
 	default:
-		t.Fatal("not ready although the cache is empty")
+		t.Fatal("request not released although the cache is empty")
 	}
 	d := s.Submit(at(6*time.Second), request("long", 3000))
 	wantVerdict(t, d, port.VerdictPlace, ReasonReleased)
 }
 
-func TestHeldTooLongIsRefusedAtOnce(t *testing.T) {
+func TestRequestHeldTooLongIsRefused(t *testing.T) {
 	s := newTestScheduler(t, 1, nil)
-	settle(s, start, 0, 990, 5)
+	reportUntilSmoothed(s, start, 0, 990, 5)
 	wantVerdict(t, s.Submit(start, request("long", 3000)), port.VerdictHold, ReasonHeldOverflow)
 	s.Tick(at(DefaultWeights().HoldLimit))
 	select {
 	case <-s.Ready("long"):
 	default:
-		t.Fatal("still held past the limit")
+		t.Fatal("request still held past the hold limit")
 	}
 	d := s.Submit(at(31*time.Second), request("long", 3000))
-	wantVerdict(t, d, port.VerdictRefuse, ReasonRefusedHeld)
+	wantVerdict(t, d, port.VerdictRefuse, ReasonRefusedHeldTooLong)
 	if d.RetryAfter <= 0 {
-		t.Fatal("no promise")
+		t.Fatal("refusal has no retry time")
 	}
 }
 
-// The host list lags: it says live again after the endpoint said leaving. The
-// endpoint must not get new work until it comes back as a new incarnation.
-func TestLeavingIsSticky(t *testing.T) {
+// The host list lags and says live after the endpoint reported that it is
+// leaving. The endpoint must not get new work until it returns as a new
+// incarnation.
+func TestOlderStateDoesntRestoreLeavingRunner(t *testing.T) {
 	s := newTestScheduler(t, 2, nil)
 	leaving := report(0, 0, 0)
 	leaving.State = port.EndpointLeaving
@@ -169,7 +172,7 @@
 	s.Report(start, report(0, 0, 0))
 	for i := range 20 {
 		if d := s.Submit(start, request(fmt.Sprint(i), 10)); d.Endpoint.ID != "runner-1" {
-			t.Fatalf("chose %q: %v", d.Endpoint.ID, d.Reason)
+			t.Fatalf("chose %q for %v, want runner-1", d.Endpoint.ID, d.Reason)
 		}
 	}
 	back := endpoints(2)
@@ -180,36 +183,37 @@
 	}
 	s.SetEndpoints(start, endpoints(2))
 	if d := s.Submit(start, request("newer", 10)); d.Endpoint.Incarnation == 1 && d.Endpoint.ID == "runner-0" {
-		t.Fatal("an old list brought back the old incarnation")
+		t.Fatal("an old list restored the old incarnation")
 	}
 }
 
-// A sick runner is empty, so it looks best, and fails whatever it gets.
-func TestBreakerStopsASickRunner(t *testing.T) {
+// A failing runner is empty, so it has the best score, and would fail every
+// request.
+func TestBreakerStopsFailingRunner(t *testing.T) {
 	s := newTestScheduler(t, 2, nil)
 	s.Report(start, report(1, 500, 10))
-	onSick := 0
+	onFailing := 0
 	for i := range 50 {
 		id := fmt.Sprint(i)
 		d := s.Submit(start, request(id, 10))
 		kind := port.FinishDone
 		if d.Endpoint.ID == "runner-0" {
-			onSick++
+			onFailing++
 			kind = port.FinishFailed
 		}
 		s.Finished(start, id, 5, kind)
 	}
-	if onSick != 1 {
-		t.Fatalf("%d dispatches to the sick runner, want 1", onSick)
+	if onFailing != 1 {
+		t.Fatalf("%d dispatches to the failing runner, want 1", onFailing)
 	}
-	later := at(2 * breakerFirst)
+	later := at(2 * breakerMinPause)
 	first := s.Submit(later, request("probe", 10))
 	second := s.Submit(later, request("other", 10))
 	if first.Endpoint.ID != "runner-0" || second.Endpoint.ID != "runner-1" {
-		t.Fatalf("after the pause: %q, %q; want one probe", first.Endpoint.ID, second.Endpoint.ID)
+		t.Fatalf("placements after the pause: %q, %q; want one probe on runner-0", first.Endpoint.ID, second.Endpoint.ID)
 	}
 	s.Finished(later, "probe", 5, port.FinishDone)
 	if d := s.Submit(later, request("healed", 10)); d.Endpoint.ID != "runner-0" {
-		t.Fatalf("healed runner isn't chosen: %q", d.Endpoint.ID)
+		t.Fatalf("chose %q after a successful probe, want runner-0", d.Endpoint.ID)
 	}
 }
--- a/internal/core/routing/runner.go
+++ b/internal/core/routing/runner.go
@@ -7,7 +7,8 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// change is what one dispatch or end of this router did to a runner.
+// change is the effect of one dispatch or end of a run by this router on a
+// runner's load.
 type change struct {
 	at      time.Time
 	context float64
@@ -15,93 +16,97 @@
 	count   int
 }
 
-// numChanges bounds the changes remembered to correct late reports.
+// numChanges is the number of recent changes kept to correct late reports.
 const numChanges = 32
 
-// runner is what this router knows of one runner: its own generations there
-// exactly, those of the other routers by subtraction from the last report.
+// runner is this router's view of one runner. Its own generations there are
+// known exactly; those of other routers are derived by subtracting its own
+// from the last report.
 type runner struct {
 	endpoint port.Endpoint
 	shard    *shard
 
-	// seenTokenMillis is the time of a decoding step as this router's own
-	// generations show it, for engines that don't report it.
-	seenTokenMillis float64
-	// said is the runner's own word on its state.
-	said port.EndpointState
+	// measuredTokenMillis is the time of a decoding step, measured on this
+	// router's own generations, for engines that don't report it.
+	measuredTokenMillis float64
+	// reportedState is the state that the runner itself reported.
+	reportedState port.EndpointState
 
 	report     port.LoadReport
 	reported   bool
 	reportTime time.Time
-	// reportNanos is reportTime for the arithmetic of each decision.
+	// reportNanos is reportTime in Unix nanoseconds, for the arithmetic of
+	// each decision.
 	reportNanos int64
 
-	// Own generations, and those of others as of the last report.
-	own         footprint
-	ownContext  float64
-	ownPrefill  float64
-	ownCount    int
-	elseContext float64
-	elsePrefill float64
-	elseCount   float64
+	// Load of this router's own generations, and of other routers' as of the
+	// last report.
+	own           footprint
+	ownContext    float64
+	ownPrefill    float64
+	ownCount      int
+	othersContext float64
+	othersPrefill float64
+	othersCount   float64
 
 	changes    [numChanges]change
 	nextChange int
 
 	breaker breaker
-	// meter keeps to the limit that the runner names.
+	// meter enforces the rate limit that the runner sets.
 	meter ratelimit.Meter
-	// home marks the runners that this router prefers.
-	home bool
-	// listed marks the runners that the shard lists, dropped those that no
-	// list names any more or that another incarnation has replaced.
+	// preferred marks the runners that this router prefers.
+	preferred bool
+	// listed marks the runners in the shard's list. dropped marks those that
+	// no list contains any more or that another incarnation has replaced.
 	listed  bool
 	dropped bool
 }
 
-// Assumptions on a runner that never reported.
+// Assumptions about a runner that has never reported.
 const (
 	unknownCapacity    = 16384
 	unknownBlockTokens = 16
 	unknownTokenMillis = 20
 )
 
-// reportSmoothing is the weight of a new report in what is held of others:
-// a single report may catch a moment between two steps.
+// reportSmoothing is the weight of a new report in the load of other
+// routers: a single report may show a moment between two steps.
 const reportSmoothing = 0.7
 
-// stepSmoothing is the weight of one more gap between two reports of progress
-// in the step time: a prompt that is read stretches some gaps to many steps.
+// stepSmoothing is the weight of a new sample of the step time: the prefill
+// of a prompt stretches some gaps to many steps.
 const stepSmoothing = 0.1
 
-// stepped takes the time that a generation of this router took for tokens.
-func (r *runner) stepped(took time.Duration, tokens int) {
-	step := float64(took.Microseconds()) / 1000 / float64(tokens)
-	if r.seenTokenMillis == 0 {
-		r.seenTokenMillis = step
+// observeStep updates the step time with the time that a generation of this
+// router took for the given number of tokens.
+func (r *runner) observeStep(elapsed time.Duration, tokens int) {
+	step := float64(elapsed.Microseconds()) / 1000 / float64(tokens)
+	if r.measuredTokenMillis == 0 {
+		r.measuredTokenMillis = step
 		return
 	}
-	r.seenTokenMillis += stepSmoothing * (step - r.seenTokenMillis)
+	r.measuredTokenMillis += stepSmoothing * (step - r.measuredTokenMillis)
 }
 
-// note records a change by this router.
-func (r *runner) note(now time.Time, context, prefill float64, count int) {
+// recordChange applies and records a change by this router.
+func (r *runner) recordChange(now time.Time, context, prefill float64, count int) {
 	r.ownContext += context
 	r.ownPrefill += prefill
 	r.ownCount += count
 	r.changes[r.nextChange] = change{at: now, context: context, prefill: prefill, count: count}
 	r.nextChange = (r.nextChange + 1) % numChanges
 	if r.ownCount == 0 {
-		// Sums of floats drift; an empty runner is exactly empty.
+		// Sums of floats drift; an empty runner must be exactly empty.
 		r.own, r.ownContext, r.ownPrefill = footprint{}, 0, 0
 	}
 }
 
-// takeReport subtracts from a report what this router had there when the
-// report was taken; the rest belongs to other routers. Without the lag in
-// between, a runner would look as if others had just filled it whenever this
-// router had dispatched to it, or emptied it whenever a generation ended.
-func (r *runner) takeReport(now time.Time, report *port.LoadReport, lag time.Duration) {
+// applyReport derives the load of other routers: it subtracts from a report
+// the load that this router had there when the report was taken. If it
+// ignored the lag, each dispatch or end of a run by this router would look
+// like a change of the others' load.
+func (r *runner) applyReport(now time.Time, report *port.LoadReport, lag time.Duration) {
 	if r.reported && report.TakenUnixMillis < r.report.TakenUnixMillis {
 		return
 	}
@@ -123,19 +128,19 @@
 	context -= float64(count) * steps
 	rounding := float64(count*report.BlockTokens) / 2
 
-	elseContext := max(0, float64(report.BlocksUsed*report.BlockTokens)-context-rounding)
-	elsePrefill := max(0, float64(report.WaitingPromptTokens)-prefill)
-	elseCount := max(0, float64(report.Running+report.Waiting-count))
+	othersContext := max(0, float64(report.BlocksUsed*report.BlockTokens)-context-rounding)
+	othersPrefill := max(0, float64(report.WaitingPromptTokens)-prefill)
+	othersCount := max(0, float64(report.Running+report.Waiting-count))
 	if report.Waiting > 0 {
-		elseContext += elsePrefill
+		othersContext += othersPrefill
 	}
 	weight := reportSmoothing
 	if first {
 		weight = 1
 	}
-	r.elseContext += weight * (elseContext - r.elseContext)
-	r.elsePrefill += weight * (elsePrefill - r.elsePrefill)
-	r.elseCount += weight * (elseCount - r.elseCount)
+	r.othersContext += weight * (othersContext - r.othersContext)
+	r.othersPrefill += weight * (othersPrefill - r.othersPrefill)
+	r.othersCount += weight * (othersCount - r.othersCount)
 }
 
 func (r *runner) capacity() float64 {
@@ -160,15 +165,19 @@
 	switch {
 	case r.report.TokenMillis > 0:
 		return r.report.TokenMillis
-	case r.seenTokenMillis > 0:
-		return r.seenTokenMillis
+	case r.measuredTokenMillis > 0:
+		return r.measuredTokenMillis
 	default:
 		return unknownTokenMillis
 	}
 }
 
-// atLimit reports whether the runner has named a limit and takes no more now.
-func (r *runner) atLimit(now time.Time) bool { return r.meter.Wait(now, ratelimit.Of(&r.endpoint)) > 0 }
+// atRateLimit reports whether the runner has a rate limit and accepts no
+// more requests now.
+func (r *runner) atRateLimit(now time.Time) bool {
+	return r.meter.Wait(now, ratelimit.Of(&r.endpoint)) > 0
+}
 
-// count is the generations there, waiting ones included.
-func (r *runner) count() float64 { return float64(r.ownCount) + r.elseCount }
+// count returns the number of generations at the runner, including waiting
+// ones.
+func (r *runner) count() float64 { return float64(r.ownCount) + r.othersCount }
--- a/internal/core/routing/scheduler.go
+++ b/internal/core/routing/scheduler.go
@@ -13,8 +13,8 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// numStripes divides the index of requests, so that progress on one request
-// seldom waits for another.
+// numStripes is the number of locks that the index of requests is divided
+// into, so that progress on one request seldom waits for another.
 const numStripes = 64
 
 type stripe struct {
@@ -22,36 +22,38 @@
 	entries map[string]*entry
 }
 
-// Scheduler implements port.Scheduler. A lock of a shard is taken before one
-// of a stripe, never the other way round.
+// Scheduler implements port.Scheduler. Lock order: a shard's lock before a
+// stripe's, never the reverse.
 type Scheduler struct {
 	options Options
 	lengths *length.Estimator
 	seed    maphash.Seed
 	policy  atomic.Pointer[port.Policy]
-	// byModel is replaced whole when the models that pools serve change.
+	// byModel is replaced as a whole when the models that pools serve
+	// change.
 	byModel atomic.Pointer[map[string][]*shard]
-	// runners holds a *runner for each endpoint id.
+	// runners maps endpoint ids to *runner.
 	runners sync.Map
 	stripes [numStripes]stripe
 
 	// mu guards changes of the endpoints.
 	mu     sync.Mutex
 	shards map[string]*shard
-	// gone are runners that are forgotten once nothing is counted there.
-	gone map[*runner]struct{}
+	// goneRunners are the runners that may be gone and are removed once they
+	// have no runs.
+	goneRunners map[*runner]struct{}
 }
 
 var _ port.Scheduler = (*Scheduler)(nil)
 
-// closed is what Ready yields for a request that isn't held.
-var closed = func() chan struct{} {
+// closedChannel is returned by Ready for a request that isn't held.
+var closedChannel = func() chan struct{} {
 	c := make(chan struct{})
 	close(c)
 	return c
 }()
 
-// NewScheduler makes a scheduler without endpoints.
+// NewScheduler returns a scheduler without endpoints.
 func NewScheduler(o Options) *Scheduler {
 	if o.ReportLag <= 0 {
 		o.ReportLag = DefaultReportLag
@@ -78,13 +80,13 @@
 	if o.Weights == (port.Weights{}) {
 		o.Weights = DefaultWeights()
 	}
-	o.Weights = withLimits(o.Weights, DefaultWeights())
+	o.Weights = withDefaultLimits(o.Weights, DefaultWeights())
 	s := &Scheduler{
-		options: o,
-		lengths: o.Lengths,
-		seed:    maphash.MakeSeed(),
-		shards:  make(map[string]*shard),
-		gone:    make(map[*runner]struct{}),
+		options:     o,
+		lengths:     o.Lengths,
+		seed:        maphash.MakeSeed(),
+		shards:      make(map[string]*shard),
+		goneRunners: make(map[*runner]struct{}),
 	}
 	for i := range s.stripes {
 		s.stripes[i].entries = make(map[string]*entry)
@@ -108,17 +110,18 @@
 // Submit implements port.Scheduler.
 func (s *Scheduler) Submit(now time.Time, r *port.GenerationRequest) port.Decision {
 	if e := s.find(r.RequestID); e != nil {
-		return e.shard.again(now, e, r)
+		return e.shard.resubmit(now, e, r)
 	}
-	pools := inPool((*s.byModel.Load())[r.Model], r.Pool)
+	pools := filterPool((*s.byModel.Load())[r.Model], r.Pool)
 	if len(pools) == 0 {
 		return s.refusal(ReasonRefusedModel, noEndpointRetry)
 	}
-	return s.pick(pools, r.RequestID).submit(now, r)
+	return s.pickPool(pools, r.RequestID).submit(now, r)
 }
 
-// inPool keeps the named pool; the empty name keeps all.
-func inPool(pools []*shard, name string) []*shard {
+// filterPool returns the pool with the given name, or all pools if the name
+// is empty.
+func filterPool(pools []*shard, name string) []*shard {
 	if name == "" {
 		return pools
 	}
@@ -130,26 +133,27 @@
 	return nil
 }
 
-// noEndpointRetry is promised where no endpoint serves the model: the host
-// list and load orders take some seconds to show a new one.
+// noEndpointRetry is the retry time where no endpoint serves the model: a
+// new one takes some seconds to appear through the host list and load
+// orders.
 const noEndpointRetry = 5 * time.Second
 
-// pick spreads the requests of a model that several pools serve by the
-// runners that each has for it.
-func (s *Scheduler) pick(pools []*shard, requestID string) *shard {
+// pickPool spreads the requests of a model that several pools serve, in
+// proportion to the live runners of each pool.
+func (s *Scheduler) pickPool(pools []*shard, requestID string) *shard {
 	if len(pools) == 1 {
 		return pools[0]
 	}
 	total := int64(0)
 	for _, p := range pools {
-		total += p.live.Load()
+		total += p.liveRunners.Load()
 	}
 	if total == 0 {
 		return pools[0]
 	}
 	at := int64(maphash.String(s.seed, requestID) % uint64(total))
 	for _, p := range pools {
-		if at -= p.live.Load(); at < 0 {
+		if at -= p.liveRunners.Load(); at < 0 {
 			return p
 		}
 	}
@@ -170,7 +174,7 @@
 	if e := s.find(requestID); e != nil {
 		return e.ready
 	}
-	return closed
+	return closedChannel
 }
 
 // Withdraw implements port.Scheduler.
@@ -221,11 +225,13 @@
 	return out
 }
 
-// shard returns the pool's shard; s.mu is held.
+// shard returns the pool's shard, and creates it if needed. The caller holds
+// s.mu.
 func (s *Scheduler) shard(pool string) *shard {
 	sh := s.shards[pool]
 	if sh == nil {
-		// Each shard draws from its own source under its own lock.
+		// Each shard has its own source of randomness, used under its own
+		// lock.
 		random := rand.New(rand.NewPCG(s.options.Random.Uint64(), s.options.Random.Uint64()))
 		sh = newShard(s, pool, random)
 		s.shards[pool] = sh
@@ -251,7 +257,7 @@
 	t.entries[e.request.RequestID] = e
 }
 
-func (s *Scheduler) forget(e *entry) {
+func (s *Scheduler) remove(e *entry) {
 	t := s.stripe(e.request.RequestID)
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -269,8 +275,8 @@
 	if !set {
 		return s.options.Weights
 	}
-	// A record's zero is meant: no queue, no wait, no risk. Only a batch of
-	// none would stop the pool.
+	// Zeros in a policy record apply: no queue, no wait, no accepted risk.
+	// Only a batch limit of zero is replaced, as it would stop the pool.
 	if w.BatchLimit <= 0 {
 		w.BatchLimit = s.options.Weights.BatchLimit
 	}
@@ -289,19 +295,20 @@
 	return l
 }
 
-// unranked is the place of a router that doesn't know it: every runner is
-// its home then.
-const unranked = -1
+// unknownRank is the rank of a router that doesn't know its own; it prefers
+// every runner.
+const unknownRank = -1
 
-// rank is this router's place among the live ones, and their number.
-func (s *Scheduler) rank() (rank, routers int) {
+// routerRank returns this router's rank among the live ones, and their
+// number.
+func (s *Scheduler) routerRank() (rank, routers int) {
 	switch r := s.options.Routers.(type) {
 	case nil:
-		return unranked, 1
+		return unknownRank, 1
 	case port.RouterRanker:
 		rank, routers = r.RouterRank()
 		return rank, max(1, routers)
 	default:
-		return unranked, max(1, r.LiveRouters())
+		return unknownRank, max(1, r.LiveRouters())
 	}
 }
--- a/internal/core/routing/shard.go
+++ b/internal/core/routing/shard.go
@@ -13,21 +13,23 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// entryState is where a request stands.
+// entryState is the state of a request.
 type entryState int
 
 const (
 	entryHeld entryState = iota + 1
-	// entryReleased is placed, but its caller hasn't asked again yet.
+	// entryReleased is placed, but its caller hasn't collected the decision
+	// yet.
 	entryReleased
-	// entryRefused waits for its caller to collect the refusal.
+	// entryRefused was refused after a hold, and its caller hasn't collected
+	// the refusal yet.
 	entryRefused
 	entryRunning
-	entryGone
+	entryEnded
 )
 
-// entry is one request that is held or placed. Its fields are guarded by the
-// shard's lock, but for shard, request and ready, which don't change.
+// entry is one request that is held or placed. The shard's lock guards its
+// fields, except shard, request and ready, which don't change.
 type entry struct {
 	shard   *shard
 	request port.GenerationRequest
@@ -39,63 +41,67 @@
 	item     admission.Item
 	org      *organisation
 	priority int
-	// promised marks a caller who came back as it was told.
-	promised bool
+	// reserved marks a request that came at its booked retry time.
+	reserved bool
 
 	runner *runner
-	// next is the runner that the run is being moved to, or nil.
-	next      *runner
-	survival  length.Survival
-	print     footprint
-	cost      float64
-	peak      float64
-	seen      int
-	refreshAt int
-	// placed is when it was placed here, zero where another scheduler did.
-	placed time.Time
-	// progressed is when the last tokens were reported.
-	progressed time.Time
+	// destination is the runner that the run is being moved to, or nil.
+	destination *runner
+	survival    length.Survival
+	print       footprint
+	cost        float64
+	peak        float64
+	generated   int
+	refreshAt   int
+	// placedAt is when this scheduler placed the request, zero if another
+	// one did.
+	placedAt time.Time
+	// progressedAt is when the last tokens were reported.
+	progressedAt time.Time
 }
 
 // shard is the state of one pool.
 type shard struct {
-	scheduler *Scheduler
-	pool      string
-	live      atomic.Int64
+	scheduler   *Scheduler
+	pool        string
+	liveRunners atomic.Int64
 
 	mu      sync.Mutex
 	now     time.Time
 	random  *rand.Rand
 	runners []*runner
 	byModel map[string][]*runner
-	// models are those that runners serve, in order, also where all of them are
-	// evacuated; the slice is never changed.
+	// models lists, in order, the models that runners serve, including those
+	// whose runners are all evacuated. The slice is never changed in place.
 	models []string
 	queue  *admission.FairQueue
-	// waiting holds the entries whose callers have yet to collect.
-	waiting       []*entry
+	// uncollected holds the entries whose callers have yet to collect a
+	// decision.
+	uncollected   []*entry
 	organisations map[string]*organisation
 	totalShare    float64
 	prefixes      prefixHints
 	retries       admission.RetryBudget
 
 	// Sums over this router's own placed generations.
-	own        footprint
-	ownContext float64
-	ownCount   int
-	dispatched rate
-	// ordinal is this router's place among the live ones, routers their
-	// number, as of the last tick.
-	ordinal int
-	routers int
-	// reading is the time from a place to the first token, of late.
-	reading time.Duration
-	// use is the pool's expected peak over its capacity when last ranked.
-	use float64
-	// pace is the work a second that this router's part of the pool can do.
-	pace float64
-	// part is this router's even part of the pool's cache.
-	part float64
+	own          footprint
+	ownContext   float64
+	ownCount     int
+	dispatchRate rate
+	// routerRank is this router's rank among the live ones, and routers
+	// their number, as of the last tick.
+	routerRank int
+	routers    int
+	// prefillTime is the recent time from placement to the first token.
+	prefillTime time.Duration
+	// utilisation is the pool's expected peak over its capacity at the last
+	// ranking.
+	utilisation float64
+	// throughput is the work per second that this router's part of the pool
+	// can do.
+	throughput float64
+	// capacityShare is this router's even share of the pool's cache.
+	capacityShare float64
 }
 
 func newShard(s *Scheduler, pool string, random *rand.Rand) *shard {
@@ -113,9 +119,9 @@
 	return sh
 }
 
-// laterState keeps leaving sticky: a late message that still says live must
-// not bring an endpoint back, or it would get new work until the next list.
-// The empty state is before all others.
+// laterState returns the later of two states. It keeps an endpoint leaving:
+// a late message that still says live would otherwise give it new work until
+// the next list. The empty state precedes all others.
 func laterState(a, b port.EndpointState) port.EndpointState {
 	order := []port.EndpointState{port.EndpointLive, port.EndpointLeaving, port.EndpointGone}
 	if slices.Index(order, a) > slices.Index(order, b) {
@@ -131,90 +137,93 @@
 	if report.Incarnation != r.endpoint.Incarnation {
 		return
 	}
-	r.takeReport(now, report, s.scheduler.options.ReportLag)
+	r.applyReport(now, report, s.scheduler.options.ReportLag)
 	if report.State != "" && report.State != port.EndpointLive {
-		r.said = laterState(r.said, report.State)
+		r.reportedState = laterState(r.reportedState, report.State)
 		r.endpoint.State = laterState(r.endpoint.State, report.State)
 		s.rebuild()
 	}
 }
 
-// place records an entry as running on the ranking's choice.
+// place records an entry as placed on the runner that the ranking chose.
 func (s *shard) place(now time.Time, e *entry, c *scored) {
-	e.placed = now
-	e.seen = 0
+	e.placedAt = now
+	e.generated = 0
 	e.refreshAt = 1
-	s.count(now, e, c.runner)
+	s.countRun(now, e, c.runner)
 	e.org.work.add(now, e.cost)
 	e.org.rates[e.item.Lane].add(now, 1)
 	c.runner.breaker.dispatched()
 	c.runner.meter.Take(now, ratelimit.Of(&c.runner.endpoint))
-	s.dispatched.add(now, e.print.peak())
-	s.prefixes.sent(now, e.request.PrefixHashes, c.runner)
+	s.dispatchRate.add(now, e.print.peak())
+	s.prefixes.record(now, e.request.PrefixHashes, c.runner)
 }
 
-// count counts an entry at a runner and of its organisation.
-func (s *shard) count(now time.Time, e *entry, r *runner) {
+// countRun adds an entry to the counts of the runner, its organisation and
+// the shard.
+func (s *shard) countRun(now time.Time, e *entry, r *runner) {
 	e.runner = r
 	e.org.running++
 	e.peak = e.print.peak()
 	e.org.peak += e.peak
 	if e.item.Lane == admission.LaneLong {
-		e.org.long++
+		e.org.longRunning++
 	}
-	r.take(now, e)
+	r.addRun(now, e)
 	s.own.add(&e.print)
-	s.ownContext += e.context()
+	s.ownContext += e.contextTokens()
 	s.ownCount++
 }
 
-// unplace is the reverse of count.
-func (s *shard) unplace(now time.Time, e *entry) {
-	e.runner.give(now, e)
-	s.dropNext(now, e)
+// uncountRun reverses countRun.
+func (s *shard) uncountRun(now time.Time, e *entry) {
+	e.runner.removeRun(now, e)
+	s.dropDestination(now, e)
 	s.own.subtract(&e.print)
-	s.ownContext -= e.context()
+	s.ownContext -= e.contextTokens()
 	s.ownCount--
 	e.org.running--
 	e.org.peak -= e.peak
 	if e.item.Lane == admission.LaneLong {
-		e.org.long--
+		e.org.longRunning--
 	}
 	if s.ownCount == 0 {
 		s.own, s.ownContext = footprint{}, 0
 	}
 }
 
-// progress follows a generation. The footprint is computed anew only as the
-// answer grows by a part, which bounds the work per token.
+// progress records the tokens of a generation. The footprint is recomputed
+// only after the answer has grown by a fraction, which bounds the work per
+// token.
 func (s *shard) progress(now time.Time, e *entry, tokens int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if e.state != entryRunning || tokens <= e.seen {
+	if e.state != entryRunning || tokens <= e.generated {
 		return
 	}
 	s.now = now
-	grown := float64(tokens - e.seen)
+	grown := float64(tokens - e.generated)
 	s.ownContext += grown
 	for _, r := range e.runners() {
 		r.ownContext += grown
 	}
-	first := e.seen == 0
+	first := e.generated == 0
 	if first {
-		s.firstToken(now, e)
+		s.recordFirstToken(now, e)
 	} else {
-		e.runner.stepped(now.Sub(e.progressed), tokens-e.seen)
+		e.runner.observeStep(now.Sub(e.progressedAt), tokens-e.generated)
 	}
-	e.progressed = now
-	e.seen = tokens
+	e.progressedAt = now
+	e.generated = tokens
 	if first {
-		// A prompt that waits may be read there next.
+		// The runner's prefill backlog has shrunk and may admit a held
+		// prompt.
 		defer s.release(now)
 	}
 	if tokens < e.refreshAt {
 		return
 	}
-	e.refreshAt = tokens + max(minRefresh, tokens/refreshPart)
+	e.refreshAt = tokens + max(minRefreshTokens, tokens/refreshDivisor)
 	before := e.print
 	e.print.set(&e.survival, e.request.PromptTokens, tokens, e.request.MaxTokens)
 	for _, r := range e.runners() {
@@ -225,35 +234,37 @@
 	s.own.add(&e.print)
 }
 
-// firstToken notes that the prompt has been read.
-func (s *shard) firstToken(now time.Time, e *entry) {
+// recordFirstToken records that the prompt has been prefilled.
+func (s *shard) recordFirstToken(now time.Time, e *entry) {
 	for _, r := range e.runners() {
-		r.note(now, 0, -e.unread(), 0)
+		r.recordChange(now, 0, -e.unprocessedPrompt(), 0)
 	}
-	if e.placed.IsZero() {
-		// It was placed by another daemon's scheduler.
+	if e.placedAt.IsZero() {
+		// Another daemon's scheduler placed it.
 		return
 	}
-	e.runner.breaker.answered(e.placed)
-	s.reading += time.Duration(readingSmoothing * float64(now.Sub(e.placed)-s.reading))
+	e.runner.breaker.answered(e.placedAt)
+	s.prefillTime += time.Duration(prefillTimeSmoothing * float64(now.Sub(e.placedAt)-s.prefillTime))
 }
 
-// readingSmoothing is the weight of one more time to the first token: prompts
-// differ by a factor of two, and a pool's load changes within seconds.
-const readingSmoothing = 0.05
+// prefillTimeSmoothing is the weight of a new time to the first token:
+// prompts differ by a factor of two, and a pool's load changes within
+// seconds.
+const prefillTimeSmoothing = 0.05
 
-// runners are where the run takes room.
+// runners returns the runners where the run uses cache.
 func (e *entry) runners() []*runner {
-	if e.next != nil {
-		return []*runner{e.runner, e.next}
+	if e.destination != nil {
+		return []*runner{e.runner, e.destination}
 	}
 	return []*runner{e.runner}
 }
 
-// How often a footprint is computed anew, in tokens and as a part.
+// A footprint is recomputed when the answer has grown by minRefreshTokens or
+// by one part in refreshDivisor, whichever is more.
 const (
-	minRefresh  = 16
-	refreshPart = 16
+	minRefreshTokens = 16
+	refreshDivisor   = 16
 )
 
 func (s *shard) finished(now time.Time, e *entry, tokens int, kind port.FinishKind) {
@@ -263,38 +274,39 @@
 	if e.state != entryRunning && e.state != entryReleased {
 		return
 	}
-	s.collected(e)
-	s.end(now, e, max(tokens, e.seen), kind)
+	s.removeUncollected(e)
+	s.end(now, e, max(tokens, e.generated), kind)
 	s.release(now)
 }
 
-// end frees what a placed entry held and learns from it.
+// end frees the resources of a placed entry, and records its outcome and
+// length.
 func (s *shard) end(now time.Time, e *entry, tokens int, kind port.FinishKind) {
-	s.unplace(now, e)
+	s.uncountRun(now, e)
 	e.org.limiter.Release()
 	s.drop(e)
 	r := &e.request
 	switch kind {
 	case port.FinishDone:
-		e.runner.breaker.succeeded(e.placed)
-		s.scheduler.lengths.Observe(subjectOf(r), max(1, tokens))
+		e.runner.breaker.succeeded(e.placedAt)
+		s.scheduler.lengths.Observe(lengthSubject(r), max(1, tokens))
 	case port.FinishElsewhere:
 		e.runner.breaker.abandoned()
 	case port.FinishCancelled:
 		e.runner.breaker.abandoned()
-		s.scheduler.lengths.ObserveCut(subjectOf(r), tokens)
+		s.scheduler.lengths.ObserveCut(lengthSubject(r), tokens)
 	default:
 		e.runner.breaker.failed(now)
 		if tokens > 0 {
-			s.scheduler.lengths.ObserveCut(subjectOf(r), tokens)
+			s.scheduler.lengths.ObserveCut(lengthSubject(r), tokens)
 		}
 	}
 }
 
-// drop forgets an entry for good.
+// drop removes an entry permanently.
 func (s *shard) drop(e *entry) {
-	e.state = entryGone
-	s.scheduler.forget(e)
+	e.state = entryEnded
+	s.scheduler.remove(e)
 	s.forgetOrganisation(e.org)
 }
 
@@ -308,10 +320,10 @@
 		e.org.limiter.Release()
 		s.drop(e)
 	case entryReleased:
-		s.collected(e)
+		s.removeUncollected(e)
 		s.end(now, e, 0, port.FinishCancelled)
 	case entryRefused:
-		s.collected(e)
+		s.removeUncollected(e)
 		s.drop(e)
 	default:
 		return
@@ -319,33 +331,34 @@
 	s.release(now)
 }
 
-// countRouters notes that routers came or went. It is done at ticks, as the
-// list of members is too long to be read at each decision.
-func (s *shard) countRouters() {
-	rank, routers := s.scheduler.rank()
-	if rank == s.ordinal && routers == s.routers {
+// updateRouters updates the rank and number of routers. It runs at ticks, as
+// the list of members is too long to read at each decision.
+func (s *shard) updateRouters() {
+	rank, routers := s.scheduler.routerRank()
+	if rank == s.routerRank && routers == s.routers {
 		return
 	}
-	s.ordinal, s.routers = rank, routers
-	s.assignHomes()
+	s.routerRank, s.routers = rank, routers
+	s.assignPreferred()
 }
 
-// assignHomes deals the runners out to the routers by rank, so that each has
-// one or more for itself, or shares one where routers outnumber them. It is
-// only a preference: a wrong or old rank costs nothing but its use.
-func (s *shard) assignHomes() {
+// assignPreferred divides the runners among the routers by rank. Each router
+// gets one or more for itself, or shares one if routers outnumber runners.
+// This is only a preference: a wrong or outdated rank loses only its
+// benefit.
+func (s *shard) assignPreferred() {
 	usable := slices.DeleteFunc(slices.Clone(s.runners), func(r *runner) bool {
-		r.home = false
+		r.preferred = false
 		return r.endpoint.Evacuated
 	})
 	for i, r := range usable {
 		switch {
-		case s.routers <= 1 || s.ordinal < 0:
-			r.home = true
+		case s.routers <= 1 || s.routerRank < 0:
+			r.preferred = true
 		case s.routers <= len(usable):
-			r.home = i%s.routers == s.ordinal
+			r.preferred = i%s.routers == s.routerRank
 		default:
-			r.home = s.ordinal%len(usable) == i
+			r.preferred = s.routerRank%len(usable) == i
 		}
 	}
 }
