--- a/internal/scheduling/admit.go
+++ b/internal/scheduling/admit.go
@@ -9,71 +9,75 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// ErrNotAdmitting: the daemon that coordinates the pool is of a build that
-// admits nothing.
+// ErrNotAdmitting is returned for a coordinator of a build that does not support
+// admission.
 var ErrNotAdmitting = errors.New("the pool's coordinator does not admit requests")
 
-// Admission is the answer to an ask for leave to send a request.
+// Admission is the result of a request for admission.
 type Admission struct {
 	ratelimit.Grant
-	// Coordinator names the daemon that decided.
+	// Coordinator is the id of the daemon that decided.
 	Coordinator string
 }
 
-// Admit asks the pool's coordinator for leave to send one request to one of some
-// endpoints that name limits.
-func (c *Client) Admit(ctx context.Context, pool string, asks []ratelimit.Ask, patience time.Duration) Admission {
-	for range maxAsked {
+// Admit asks the pool's coordinator to admit one request to one of several
+// endpoints that have rate limits. Without an answer from a coordinator, this
+// daemon decides.
+func (c *Client) Admit(ctx context.Context, pool string, asks []ratelimit.Ask, maxWait time.Duration) Admission {
+	for range maxPeerAttempts {
 		coordinator := c.coordinator(pool)
-		if coordinator.id == c.o.Self {
+		if coordinator.id == c.opts.Self {
 			break
 		}
-		grant, err := c.peer(coordinator).Admit(ctx, pool, asks, patience)
+		grant, err := c.peer(coordinator).Admit(ctx, pool, asks, maxWait)
 		if err == nil {
 			return Admission{Grant: grant, Coordinator: coordinator.id}
 		}
 		if ctx.Err() != nil || errors.Is(err, ErrNotAdmitting) {
 			break
 		}
-		c.lost(coordinator, err)
+		c.handlePeerFailure(coordinator, err)
 	}
-	return Admission{Grant: c.AdmitHere(pool, asks, patience), Coordinator: c.o.Self}
+	return Admission{Grant: c.AdmitHere(pool, asks, maxWait), Coordinator: c.opts.Self}
 }
 
-// AdmitHere gives leave by this daemon's own word. One that is not the pool's
-// coordinator keeps to its share of the limits: others admit as well, to whom the
-// coordinator, or this daemon, can't be reached.
-func (c *Client) AdmitHere(pool string, asks []ratelimit.Ask, patience time.Duration) ratelimit.Grant {
-	now := c.o.Clock()
+// AdmitHere admits a request at this daemon. If this daemon is not the pool's
+// coordinator, it keeps to its share of the limits, because the coordinator and
+// the daemons that cannot reach it admit requests as well.
+func (c *Client) AdmitHere(pool string, asks []ratelimit.Ask, maxWait time.Duration) ratelimit.Grant {
+	now := c.opts.Clock()
 	if c.isListedCoordinator(pool) {
-		return c.limiter.Admit(now, asks, patience)
+		return c.limiter.Admit(now, asks, maxWait)
 	}
-	return c.share.Admit(now, c.shared(asks), patience)
+	return c.shareLimiter.Admit(now, c.shareOfLimits(asks), maxWait)
 }
 
-// sharedPart is the part of a limit, one in so many, that all daemons share that
-// can't reach the coordinator: it may admit the whole limit to others meanwhile.
-const sharedPart = 2
+// sharedLimitDivisor defines the part of a limit (1/sharedLimitDivisor) that all
+// daemons that cannot reach the coordinator share. They do not get the whole
+// limit because the coordinator may admit up to the whole limit meanwhile.
+const sharedLimitDivisor = 2
 
-// shared is what each daemon may send alone.
-func (c *Client) shared(asks []ratelimit.Ask) []ratelimit.Ask {
+// shareOfLimits returns the limits reduced to what this daemon may send without
+// the coordinator.
+func (c *Client) shareOfLimits(asks []ratelimit.Ask) []ratelimit.Ask {
 	daemons := 0
-	for _, m := range c.o.Members.Members() {
+	for _, m := range c.opts.Members.Members() {
 		if m.CallerAddress != "" && m.State != port.MemberDead {
 			daemons++
 		}
 	}
-	out := make([]ratelimit.Ask, len(asks))
+	shares := make([]ratelimit.Ask, len(asks))
 	for i, a := range asks {
-		out[i] = a
-		out[i].PerSecond /= float64(sharedPart * max(1, daemons))
+		shares[i] = a
+		shares[i].PerSecond /= float64(sharedLimitDivisor * max(1, daemons))
 	}
-	return out
+	return shares
 }
 
-// expireLimits forgets the endpoints that nobody has asked for in a while.
+// expireLimits removes the state of endpoints without recent requests for
+// admission.
 func (c *Client) expireLimits() {
-	now := c.o.Clock()
+	now := c.opts.Clock()
 	c.limiter.Expire(now)
-	c.share.Expire(now)
+	c.shareLimiter.Expire(now)
 }
--- a/internal/scheduling/admit_test.go
+++ b/internal/scheduling/admit_test.go
@@ -11,24 +11,26 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/core/ratelimit"
 )
 
-// limit is what an endpoint in need takes, in requests a second.
+// limit is the rate that the test's endpoint accepts, in requests per second.
 const limit = 3.0
 
-// mostWithin is what the users allow such an endpoint to get within a time.
-func mostWithin(t time.Duration) int { return int(1.5*limit*t.Seconds()) + 5 }
+// maxWithin returns the most requests that such an endpoint may receive within t.
+func maxWithin(t time.Duration) int { return int(1.5*limit*t.Seconds()) + 5 }
 
-// admit asks for leave at a daemon, and returns when the request is sent.
-func (f *fleet) admit(name string, patience time.Duration) (sent time.Time, g Admission) {
-	g = f.clients[name].Admit(context.Background(), "pool", []ratelimit.Ask{{Endpoint: "e", Limit: ratelimit.Limit{PerSecond: limit}}}, patience)
+// admit requests admission at a daemon and returns the time at which the request
+// is sent.
+func (f *fleet) admit(name string, maxWait time.Duration) (sent time.Time, g Admission) {
+	g = f.clients[name].Admit(context.Background(), "pool", []ratelimit.Ask{{Endpoint: "e", Limit: ratelimit.Limit{PerSecond: limit}}}, maxWait)
 	return f.clock.Now().Add(g.Wait), g
 }
 
-// Guards against exceeding or starving an endpoint while coordinators change and messages are lost.
-func TestDaemonsTogetherKeepToALimit(t *testing.T) {
+// Guards against exceeding an endpoint's rate limit, or using less than half of it,
+// while coordinators change and messages are lost.
+func TestDaemonsTogetherKeepRateLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet("a", "b", "c", "d")
 		losses := rapid.IntRange(0, 2).Draw(t, "losses")
-		f.lose = func() int {
+		f.nextFault = func() int {
 			if losses == 0 || rapid.IntRange(0, 20).Draw(t, "lost") > 0 {
 				return 0
 			}
@@ -36,80 +38,80 @@
 		}
 		patience := time.Duration(rapid.IntRange(0, 1000).Draw(t, "patience")) * time.Millisecond
 		var sent []time.Time
-		const lasting, step = 24 * time.Second, 50 * time.Millisecond
-		began, next := f.clock.Now(), map[string]time.Time{}
-		for now := began; now.Sub(began) < lasting; now = f.clock.Now() {
-			if now.Sub(began)%(8*time.Second) == 0 {
-				f.down[f.names[rapid.IntRange(1, 3).Draw(t, "turns")]] = rapid.Bool().Draw(t, "down")
+		const duration, step = 24 * time.Second, 50 * time.Millisecond
+		startedAt, nextAttempt := f.clock.Now(), map[string]time.Time{}
+		for now := startedAt; now.Sub(startedAt) < duration; now = f.clock.Now() {
+			if now.Sub(startedAt)%(8*time.Second) == 0 {
+				f.down[f.names[rapid.IntRange(1, 3).Draw(t, "daemon")]] = rapid.Bool().Draw(t, "down")
 			}
 			for _, name := range f.names {
-				if f.down[name] || now.Before(next[name]) {
+				if f.down[name] || now.Before(nextAttempt[name]) {
 					continue
 				}
 				at, g := f.admit(name, patience)
 				if g.Endpoint == "" {
-					next[name] = at
+					nextAttempt[name] = at
 					continue
 				}
 				sent = append(sent, at)
 			}
-			f.clock.pass(step)
+			f.clock.advance(step)
 		}
 		slices.SortFunc(sent, time.Time.Compare)
 		for i, first := range sent {
 			for j := i; j < len(sent) && sent[j].Sub(first) < 4*time.Second; j++ {
-				if most := mostWithin(4 * time.Second); j-i+1 > most {
-					t.Fatalf("%d requests within 4 s, allowed %d", j-i+1, most)
+				if allowed := maxWithin(4 * time.Second); j-i+1 > allowed {
+					t.Fatalf("%d requests within 4 s, want at most %d", j-i+1, allowed)
 				}
 			}
 		}
-		if least := int(limit * lasting.Seconds() / 2); len(sent) < least {
-			t.Fatalf("%d requests in %v, less than half of what it takes", len(sent), lasting)
+		if minimum := int(limit * duration.Seconds() / 2); len(sent) < minimum {
+			t.Fatalf("%d requests in %v, less than half of the endpoint's limit", len(sent), duration)
 		}
 	})
 }
 
-// Where no other daemon can be reached, each keeps to its share.
-func TestDaemonAloneKeepsToItsShare(t *testing.T) {
+// A daemon that can reach no other daemon keeps to its share of the limit.
+func TestPartitionedDaemonsKeepToTheirShare(t *testing.T) {
 	f := newFleet("a", "b", "c", "d")
-	f.lose = func() int { return 1 }
-	n := 0
-	const lasting, step = 40 * time.Second, 100 * time.Millisecond
-	for range int(lasting / step) {
+	f.nextFault = func() int { return 1 }
+	admitted := 0
+	const duration, step = 40 * time.Second, 100 * time.Millisecond
+	for range int(duration / step) {
 		for _, name := range f.names {
 			if _, g := f.admit(name, 0); g.Endpoint != "" {
-				n++
+				admitted++
 			}
 		}
-		f.clock.pass(step)
+		f.clock.advance(step)
 	}
-	// Each that coordinates for itself admits one at its beginning.
-	if most := mostWithin(lasting); n > most || n == 0 {
-		t.Fatalf("%d admitted, allowed %d", n, most)
+	// Each daemon that coordinates for itself admits one request at the start.
+	if allowed := maxWithin(duration); admitted > allowed || admitted == 0 {
+		t.Fatalf("%d requests admitted, want 1 to %d", admitted, allowed)
 	}
 }
 
-// Guards against taking a coordinator of an earlier build for lost.
-func TestCoordinatorThatAdmitsNothingStaysCoordinator(t *testing.T) {
+// Guards against treating a coordinator without support for admission as failed.
+func TestCoordinatorWithoutAdmissionIsKept(t *testing.T) {
 	f := newFleet("a", "b", "c", "d")
 	coordinator := f.clients["a"].coordinator("pool").id
-	f.old = map[string]bool{coordinator: true}
-	n := 0
+	f.noAdmission = map[string]bool{coordinator: true}
+	admitted := 0
 	for range 100 {
 		for _, name := range f.names {
 			if name == coordinator {
 				continue
 			}
 			if _, g := f.admit(name, 0); g.Endpoint != "" {
-				n++
+				admitted++
 			}
-			if now := f.clients[name].coordinator("pool").id; now != coordinator {
-				t.Fatalf("%s coordinates at %s in place of %s", now, name, coordinator)
+			if current := f.clients[name].coordinator("pool").id; current != coordinator {
+				t.Fatalf("coordinator is %s at daemon %s, want %s", current, name, coordinator)
 			}
 		}
-		f.clock.pass(100 * time.Millisecond)
+		f.clock.advance(100 * time.Millisecond)
 	}
-	if most := mostWithin(10 * time.Second); n > most || n == 0 {
-		t.Fatalf("%d admitted, allowed %d", n, most)
+	if allowed := maxWithin(10 * time.Second); admitted > allowed || admitted == 0 {
+		t.Fatalf("%d requests admitted, want 1 to %d", admitted, allowed)
 	}
 }
--- a/internal/scheduling/client.go
+++ b/internal/scheduling/client.go
@@ -12,40 +12,41 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// Times of a client.
+// Intervals and limits of a client.
 const (
-	// avoidFor is how long a daemon that didn't answer is not asked.
-	avoidFor = time.Second
-	// flushEvery is the time between two messages about runs: the end of one
-	// frees room that another waits for.
-	flushEvery = 20 * time.Millisecond
-	// progressEvery is the time between two messages about the growth of runs,
-	// mentionEvery between two mentions of a run that doesn't grow.
-	progressEvery = 250 * time.Millisecond
-	mentionEvery  = time.Second
-	// maxAsked bounds the daemons asked for one placement.
-	maxAsked = 2
+	// avoidDuration is how long a daemon is skipped after it failed to answer.
+	avoidDuration = time.Second
+	// flushInterval is the time between two updates to a coordinator. The end of a
+	// run frees room that another request may be waiting for.
+	flushInterval = 20 * time.Millisecond
+	// progressInterval is the time between two reports of the progress of runs,
+	// keepaliveInterval between two reports of a run without progress.
+	progressInterval  = 250 * time.Millisecond
+	keepaliveInterval = time.Second
+	// maxPeerAttempts bounds the remote coordinators that are asked per placement.
+	maxPeerAttempts = 2
 )
 
-// Peer is the pool scheduler at another daemon. An error means that it gave no answer.
+// Peer is the pool scheduler of another daemon. An error means that the peer gave
+// no answer.
 type Peer interface {
-	Place(ctx context.Context, r *port.GenerationRequest, held func(*port.Decision)) (port.Decision, error)
+	Place(ctx context.Context, r *port.GenerationRequest, onHold func(*port.Decision)) (port.Decision, error)
 	Relocate(ctx context.Context, run *port.RunningRequest, terms port.Relocation) (port.Decision, error)
 	Update(ctx context.Context, adopted []port.RunningRequest, events []RunEvent) error
-	// Admit returns ErrNotAdmitting for a daemon of a build that doesn't know it.
-	Admit(ctx context.Context, pool string, asks []ratelimit.Ask, patience time.Duration) (ratelimit.Grant, error)
+	// Admit returns ErrNotAdmitting if the daemon's build does not support admission.
+	Admit(ctx context.Context, pool string, asks []ratelimit.Ask, maxWait time.Duration) (ratelimit.Grant, error)
 	Close()
 }
 
-// Members lists the daemons.
+// Members provides the list of daemons.
 type Members interface {
-	// Members returns a list that is never changed; a change makes another.
+	// Members returns a list that is never modified; each change creates a new list.
 	Members() []port.Member
-	// Changed is closed at the next change.
+	// Changed returns a channel that is closed at the next change of the list.
 	Changed() <-chan struct{}
 }
 
-// Options of a Client.
+// Options configures a Client.
 type Options struct {
 	// Self is this daemon's id.
 	Self    string
@@ -56,110 +57,113 @@
 	Clock  func() time.Time
 }
 
-// Client places generations by the scheduler of whichever daemon coordinates
-// the pool. It is safe for concurrent use.
+// Client places generations through the daemon that coordinates the pool. It is
+// safe for concurrent use.
 type Client struct {
-	o     Options
+	opts  Options
 	local *PoolScheduler
-	// limiter admits to the pools that this daemon coordinates, share to others
-	// while their coordinators don't answer.
-	limiter, share *ratelimit.Limiter
+	// limiter admits requests to pools that this daemon coordinates. shareLimiter
+	// admits requests to other pools while their coordinators do not answer.
+	limiter, shareLimiter *ratelimit.Limiter
 
-	mu    sync.Mutex
-	runs  map[string]*openRun
-	peers map[string]*peerState
-	avoid map[string]time.Time
-	// kept names the coordinator of each pool as of the last look.
-	kept map[string]string
-	// last is read through candidatesLocked.
-	last *candidates
+	mu         sync.Mutex
+	runs       map[string]*openRun
+	peers      map[string]*peerState
+	avoidUntil map[string]time.Time
+	// lastCoordinators holds the coordinator of each pool at its last lookup.
+	lastCoordinators map[string]string
+	// cachedCandidates is read through candidatesLocked.
+	cachedCandidates *candidates
 }
 
-// openRun is a run of this daemon. Its coordinator is the daemon whose scheduler
-// counts it.
+// openRun is a run that this daemon started. coordinator is the id of the daemon
+// whose scheduler counts the run.
 type openRun struct {
 	running     port.RunningRequest
 	coordinator string
-	// told are the tokens that the coordinator was last told of, and mentioned when.
-	told      int
-	mentioned time.Time
+	// reportedTokens is the token count last reported to the coordinator,
+	// reportedAt the time of that report.
+	reportedTokens int
+	reportedAt     time.Time
 }
 
-// peerState is a daemon that coordinates pools, and what it is yet to be told.
+// peerState is the connection to a coordinator and the updates that are still to
+// be sent to it.
 type peerState struct {
-	address string
-	peer    Peer
-	adopted []port.RunningRequest
-	events  []RunEvent
-	// sending is closed once the message under way has been answered; nil for
-	// none.
-	sending chan struct{}
+	address       string
+	peer          Peer
+	pendingRuns   []port.RunningRequest
+	pendingEvents []RunEvent
+	// inFlight is closed when the message under way has been answered; it is nil
+	// when there is none.
+	inFlight chan struct{}
 }
 
-// NewClient returns a client that falls back to the scheduler of this daemon.
-func NewClient(o Options, local *PoolScheduler) *Client {
-	if o.Clock == nil {
-		o.Clock = time.Now
+// NewClient returns a client that falls back to this daemon's scheduler.
+func NewClient(opts Options, local *PoolScheduler) *Client {
+	if opts.Clock == nil {
+		opts.Clock = time.Now
 	}
 	return &Client{
-		o: o, local: local, limiter: ratelimit.NewLimiter(), share: ratelimit.NewShareLimiter(),
-		runs: make(map[string]*openRun), peers: make(map[string]*peerState), avoid: make(map[string]time.Time),
-		kept: make(map[string]string),
+		opts: opts, local: local, limiter: ratelimit.NewLimiter(), shareLimiter: ratelimit.NewShareLimiter(),
+		runs: make(map[string]*openRun), peers: make(map[string]*peerState), avoidUntil: make(map[string]time.Time),
+		lastCoordinators: make(map[string]string),
 	}
 }
 
-// Place places a generation, or says why not. It blocks while the request is
-// held, of which held is told.
-func (c *Client) Place(ctx context.Context, r *port.GenerationRequest, held func(*port.Decision)) port.Decision {
-	for range maxAsked {
+// Place places a generation or refuses it with a reason. It blocks while the
+// request is held, and calls onHold when the hold starts.
+func (c *Client) Place(ctx context.Context, r *port.GenerationRequest, onHold func(*port.Decision)) port.Decision {
+	for range maxPeerAttempts {
 		coordinator := c.coordinator(r.Pool)
-		if coordinator.id == c.o.Self {
+		if coordinator.id == c.opts.Self {
 			break
 		}
 		if r.Attempt > 1 {
-			c.tellNow(ctx, coordinator)
+			c.flushPeer(ctx, coordinator)
 		}
 		d, err := c.peer(coordinator).Place(ctx, r, func(d *port.Decision) {
 			d.Coordinator = coordinator.id
-			held(d)
+			onHold(d)
 		})
 		d.Coordinator = coordinator.id
 		if err == nil {
-			c.placed(coordinator.id, r, &d)
+			c.recordPlacement(coordinator.id, r, &d)
 			return d
 		}
 		if ctx.Err() != nil {
-			return port.Decision{Verdict: port.VerdictRefuse, Reason: givenUp(ctx.Err())}
+			return port.Decision{Verdict: port.VerdictRefuse, Reason: cancelReason(ctx.Err())}
 		}
-		c.lost(coordinator, err)
+		c.handlePeerFailure(coordinator, err)
 	}
-	d := c.local.Place(ctx, r, held)
-	d.Coordinator = c.o.Self
-	c.placed(c.o.Self, r, &d)
+	d := c.local.Place(ctx, r, onHold)
+	d.Coordinator = c.opts.Self
+	c.recordPlacement(c.opts.Self, r, &d)
 	return d
 }
 
-// givenUp says why a request no longer waits for a place.
-func givenUp(err error) string {
+// cancelReason returns why a request stopped waiting for a placement.
+func cancelReason(err error) string {
 	if errors.Is(err, context.DeadlineExceeded) {
 		return "out of time while waiting for a place"
 	}
 	return "the caller has gone"
 }
 
-func (c *Client) placed(coordinator string, r *port.GenerationRequest, d *port.Decision) {
+func (c *Client) recordPlacement(coordinator string, r *port.GenerationRequest, d *port.Decision) {
 	if d.Verdict != port.VerdictPlace {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.runs[r.RequestID] = &openRun{
-		running: port.RunningRequest{Request: *r, EndpointID: d.Endpoint.ID}, coordinator: coordinator, mentioned: c.o.Clock(),
+		running: port.RunningRequest{Request: *r, EndpointID: d.Endpoint.ID}, coordinator: coordinator, reportedAt: c.opts.Clock(),
 	}
 }
 
-// Progress notes the tokens seen of a run. The first tell at once that its
-// prompt is read; the growth after that is told now and then.
+// Progress records the number of tokens that a run has produced. The first
+// tokens are reported at once because they show that the prefill is done; later
+// progress is reported periodically.
 func (c *Client) Progress(requestID string, tokens int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -170,17 +174,18 @@
 	first := r.running.Tokens == 0
 	r.running.Tokens = tokens
 	if first {
-		c.mention(r)
+		c.reportRun(r)
 	}
 }
 
-// mention tells of a run that goes on; c.mu is held.
-func (c *Client) mention(r *openRun) {
-	c.tell(r, RunEvent{RequestID: r.running.Request.RequestID, Tokens: r.running.Tokens})
-	r.told, r.mentioned = r.running.Tokens, c.o.Clock()
+// reportRun reports the progress of an open run to its coordinator. The caller
+// holds c.mu.
+func (c *Client) reportRun(r *openRun) {
+	c.reportEvent(r, RunEvent{RequestID: r.running.Request.RequestID, Tokens: r.running.Tokens})
+	r.reportedTokens, r.reportedAt = r.running.Tokens, c.opts.Clock()
 }
 
-// Finished ends a run.
+// Finished ends a run and reports the end to its coordinator.
 func (c *Client) Finished(requestID string, tokens int, kind port.FinishKind) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -188,7 +193,7 @@
 	if r == nil {
 		return
 	}
-	c.tell(r, RunEvent{RequestID: requestID, Tokens: tokens, Finish: kind})
+	c.reportEvent(r, RunEvent{RequestID: requestID, Tokens: tokens, Finish: kind})
 	delete(c.runs, requestID)
 }
 
@@ -198,9 +203,9 @@
 	if !ok {
 		return port.Decision{Verdict: port.VerdictRefuse, Reason: "no_longer_running"}
 	}
-	for range maxAsked {
+	for range maxPeerAttempts {
 		coordinator := c.coordinator(run.Request.Pool)
-		if coordinator.id == c.o.Self {
+		if coordinator.id == c.opts.Self {
 			break
 		}
 		d, err := c.peer(coordinator).Relocate(ctx, &run, terms)
@@ -208,9 +213,9 @@
 			c.setCoordinator(requestID, coordinator.id)
 			return d
 		}
-		c.lost(coordinator, err)
+		c.handlePeerFailure(coordinator, err)
 	}
-	c.setCoordinator(requestID, c.o.Self)
+	c.setCoordinator(requestID, c.opts.Self)
 	return c.local.Relocate(&run, terms)
 }
 
@@ -224,7 +229,7 @@
 	return r.running, true
 }
 
-// setCoordinator notes whose scheduler counts the run.
+// setCoordinator records the daemon whose scheduler counts the run.
 func (c *Client) setCoordinator(requestID, coordinator string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -233,7 +238,7 @@
 	}
 }
 
-// Relocated ends a relocation; to is where the run is now.
+// Relocated ends a relocation. If moved is set, the run is now at the endpoint to.
 func (c *Client) Relocated(requestID string, moved bool, to string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -244,17 +249,17 @@
 	if moved {
 		r.running.EndpointID = to
 	}
-	c.tell(r, RunEvent{RequestID: requestID, Relocated: true, Moved: moved})
+	c.reportEvent(r, RunEvent{RequestID: requestID, Relocated: true, Moved: moved})
 }
 
-// tell queues an event for the run's coordinator, or tells this daemon's own
-// scheduler; c.mu is held.
-func (c *Client) tell(r *openRun, e RunEvent) {
-	if r.coordinator == c.o.Self {
+// reportEvent queues an event for the run's coordinator, or passes it to this
+// daemon's own scheduler. The caller holds c.mu.
+func (c *Client) reportEvent(r *openRun, e RunEvent) {
+	if r.coordinator == c.opts.Self {
 		c.local.Update(nil, []RunEvent{e})
 		return
 	}
 	if p := c.peers[r.coordinator]; p != nil {
-		p.events = append(p.events, e)
+		p.pendingEvents = append(p.pendingEvents, e)
 	}
 }
--- a/internal/scheduling/coordinator.go
+++ b/internal/scheduling/coordinator.go
@@ -10,11 +10,11 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// daemon is one that may coordinate pools.
+// daemon is a daemon that may coordinate pools.
 type daemon struct{ id, address string }
 
-// coordinator is the daemon whose scheduler places the runs of a pool, as far
-// as this one knows: the same at all that know the same live daemons.
+// coordinator returns the daemon whose scheduler places the runs of a pool.
+// Daemons that have the same set of live daemons get the same result.
 func (c *Client) coordinator(pool string) daemon {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -22,76 +22,76 @@
 }
 
 func (c *Client) coordinatorLocked(pool string) daemon {
-	s := c.candidatesLocked(c.o.Clock())
+	s := c.candidatesLocked(c.opts.Clock())
 	id := s.ring.Lookup(pool)
-	if before := c.kept[pool]; before != id {
-		c.kept[pool] = id
-		c.o.Logger.Info().Str("event", "coordinator_changed").Str("pool", pool).Str("from", before).Str("to", id).Msg("")
+	if previous := c.lastCoordinators[pool]; previous != id {
+		c.lastCoordinators[pool] = id
+		c.opts.Logger.Info().Str("event", "coordinator_changed").Str("pool", pool).Str("from", previous).Str("to", id).Msg("")
 	}
 	return daemon{id: id, address: s.addresses[id]}
 }
 
-// isListedCoordinator reports whether this daemon is the pool's coordinator for
-// all that know the same live daemons, and not only for those that can't reach
-// another one.
+// isListedCoordinator reports whether the member list alone makes this daemon the
+// pool's coordinator. Otherwise it coordinates the pool only for daemons that
+// cannot reach another one.
 func (c *Client) isListedCoordinator(pool string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.candidatesLocked(c.o.Clock()).listed.Lookup(pool) == c.o.Self
+	return c.candidatesLocked(c.opts.Clock()).listedRing.Lookup(pool) == c.opts.Self
 }
 
 // candidates are the daemons that may coordinate pools.
 type candidates struct {
-	// of is the list of members that they follow from, until is when one that
-	// is avoided now may be asked again.
-	of        []port.Member
-	until     time.Time
-	ring      *rendezvous.Rendezvous
-	addresses map[string]string
-	// listed is the ring with those that are avoided.
-	listed *rendezvous.Rendezvous
+	// memberList is the list that the candidates were computed from. validUntil is the
+	// time at which a daemon that is now avoided may be asked again.
+	memberList []port.Member
+	validUntil time.Time
+	ring       *rendezvous.Rendezvous
+	addresses  map[string]string
+	// listedRing also contains the daemons that are now avoided.
+	listedRing *rendezvous.Rendezvous
 }
 
-// candidatesLocked works the candidates out again only when another list of
-// members, or the end of a time to avoid one, may change them: each placement
-// and each pool asks, and hashing hundreds of names each time costs more than
-// all else in a placement.
+// candidatesLocked recomputes the candidates only when the member list has
+// changed or a daemon is no longer to be avoided. It is called for each placement
+// and each pool, and hashing hundreds of names each time would cost more than the
+// rest of a placement.
 func (c *Client) candidatesLocked(now time.Time) *candidates {
-	members := c.o.Members.Members()
-	if s := c.last; s != nil && sameList(s.of, members) && now.Before(s.until) {
+	members := c.opts.Members.Members()
+	if s := c.cachedCandidates; s != nil && sameSlice(s.memberList, members) && now.Before(s.validUntil) {
 		return s
 	}
-	s := &candidates{of: members, until: now.Add(candidatesFor), addresses: make(map[string]string)}
+	s := &candidates{memberList: members, validUntil: now.Add(candidatesTTL), addresses: make(map[string]string)}
 	var ids, avoided []string
 	leaving := false
 	for i := range members {
 		m := &members[i]
 		switch {
-		case m.ID == c.o.Self:
+		case m.ID == c.opts.Self:
 			leaving = m.State == port.MemberLeaving
 		case m.CallerAddress == "" || m.State != port.MemberLive:
-		case now.Before(c.avoid[m.ID]):
+		case now.Before(c.avoidUntil[m.ID]):
 			avoided = append(avoided, m.ID)
-			s.until = earlier(s.until, c.avoid[m.ID])
+			s.validUntil = earlier(s.validUntil, c.avoidUntil[m.ID])
 		default:
 			ids = append(ids, m.ID)
 			s.addresses[m.ID] = m.PeerAddress
 		}
 	}
 	if !leaving || len(ids) == 0 {
-		ids = append(ids, c.o.Self)
+		ids = append(ids, c.opts.Self)
 	}
 	s.ring = rendezvous.New(ids, xxhash.Sum64String)
-	s.listed = s.ring
+	s.listedRing = s.ring
 	if len(avoided) > 0 {
-		s.listed = rendezvous.New(append(avoided, ids...), xxhash.Sum64String)
+		s.listedRing = rendezvous.New(append(avoided, ids...), xxhash.Sum64String)
 	}
-	c.last = s
+	c.cachedCandidates = s
 	return s
 }
 
-// candidatesFor bounds how long candidates hold without another look.
-const candidatesFor = time.Minute
+// candidatesTTL bounds the time for which computed candidates are used.
+const candidatesTTL = time.Minute
 
 func earlier(a, b time.Time) time.Time {
 	if b.Before(a) {
@@ -100,9 +100,9 @@
 	return a
 }
 
-// sameList reports whether two lists are one in memory. A list of members is
-// never changed, see Members.
-func sameList(a, b []port.Member) bool {
+// sameSlice reports whether two lists share the same memory. That suffices to
+// compare member lists because a list is never modified, see Members.
+func sameSlice(a, b []port.Member) bool {
 	return len(a) == len(b) && len(a) > 0 && &a[0] == &b[0]
 }
 
@@ -121,19 +121,19 @@
 	if p != nil {
 		p.peer.Close()
 	}
-	p = &peerState{address: d.address, peer: c.o.Dial(d.address)}
+	p = &peerState{address: d.address, peer: c.opts.Dial(d.address)}
 	c.peers[d.id] = p
 	return p
 }
 
-// lost gives up a coordinator that didn't answer: the next in line is asked, and
-// told what runs.
-func (c *Client) lost(d daemon, err error) {
-	c.o.Logger.Warn().Str("event", "scheduling_peer_lost").Str("peer", d.id).Err(err).Msg("")
+// handlePeerFailure drops a coordinator that did not answer. The runs that it
+// counted are reported to the next coordinator of their pools.
+func (c *Client) handlePeerFailure(d daemon, err error) {
+	c.opts.Logger.Warn().Str("event", "scheduling_peer_lost").Str("peer", d.id).Err(err).Msg("")
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.avoid[d.id] = c.o.Clock().Add(avoidFor)
-	c.last = nil
+	c.avoidUntil[d.id] = c.opts.Clock().Add(avoidDuration)
+	c.cachedCandidates = nil
 	if p := c.peers[d.id]; p != nil && p.address == d.address {
 		p.peer.Close()
 		delete(c.peers, d.id)
@@ -143,12 +143,12 @@
 			r.coordinator = ""
 		}
 	}
-	c.rehomeLocked()
+	c.reassignRunsLocked()
 }
 
-// rehomeLocked tells the coordinator of each run's pool of the run where that is
-// another daemon now.
-func (c *Client) rehomeLocked() {
+// reassignRunsLocked reports each run whose pool has a new coordinator to that
+// coordinator.
+func (c *Client) reassignRunsLocked() {
 	coordinators := map[string]daemon{}
 	for _, r := range c.runs {
 		pool := r.running.Request.Pool
@@ -160,35 +160,35 @@
 		if r.coordinator == coordinator.id {
 			continue
 		}
-		c.tell(r, RunEvent{RequestID: r.running.Request.RequestID, Finish: port.FinishElsewhere})
-		r.coordinator, r.mentioned = coordinator.id, c.o.Clock()
-		if coordinator.id == c.o.Self {
+		c.reportEvent(r, RunEvent{RequestID: r.running.Request.RequestID, Finish: port.FinishElsewhere})
+		r.coordinator, r.reportedAt = coordinator.id, c.opts.Clock()
+		if coordinator.id == c.opts.Self {
 			c.local.Update([]port.RunningRequest{r.running}, nil)
 			continue
 		}
 		p := c.peerLocked(coordinator)
-		p.adopted = append(p.adopted, r.running)
+		p.pendingRuns = append(p.pendingRuns, r.running)
 	}
 }
 
-// Run tells the coordinators what became of this daemon's runs until the context
+// Run sends updates on this daemon's runs to the coordinators until the context
 // ends.
 func (c *Client) Run(ctx context.Context) {
-	flush := time.NewTicker(flushEvery)
+	flush := time.NewTicker(flushInterval)
 	defer flush.Stop()
-	progress := time.NewTicker(progressEvery)
+	progress := time.NewTicker(progressInterval)
 	defer progress.Stop()
-	changed := c.o.Members.Changed()
+	changed := c.opts.Members.Changed()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-changed:
-			changed = c.o.Members.Changed()
-			c.rehome()
+			changed = c.opts.Members.Changed()
+			c.reassignRuns()
 		case <-progress.C:
-			c.tellProgress()
-			c.rehome()
+			c.reportRuns()
+			c.reassignRuns()
 			c.local.Expire()
 			c.expireLimits()
 		case <-flush.C:
@@ -197,25 +197,26 @@
 	}
 }
 
-func (c *Client) rehome() {
+func (c *Client) reassignRuns() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.rehomeLocked()
+	c.reassignRunsLocked()
 }
 
-// tellProgress mentions the runs that have grown, and now and then the others.
-func (c *Client) tellProgress() {
+// reportRuns reports the runs with new tokens, and the others once per
+// keepaliveInterval.
+func (c *Client) reportRuns() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	now := c.o.Clock()
+	now := c.opts.Clock()
 	for _, r := range c.runs {
-		if r.running.Tokens > r.told || now.Sub(r.mentioned) >= mentionEvery {
-			c.mention(r)
+		if r.running.Tokens > r.reportedTokens || now.Sub(r.reportedAt) >= keepaliveInterval {
+			c.reportRun(r)
 		}
 	}
 }
 
-// flush sends what is queued, one message at a time to each coordinator.
+// flush sends the queued updates, with one message at a time to each coordinator.
 func (c *Client) flush(ctx context.Context) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -226,35 +227,37 @@
 	}
 }
 
-// nextMessage takes what is queued for a coordinator and returns what sends it,
-// nil where there is nothing or a message is under way; c.mu is held.
+// nextMessage takes the updates queued for a coordinator and returns a function
+// that sends them. It returns nil if there are no updates or a message is under
+// way. The caller holds c.mu.
 func (c *Client) nextMessage(ctx context.Context, d daemon, p *peerState) (send func()) {
-	if p.sending != nil || len(p.adopted)+len(p.events) == 0 {
+	if p.inFlight != nil || len(p.pendingRuns)+len(p.pendingEvents) == 0 {
 		return nil
 	}
-	adopted, events := p.adopted, p.events
-	p.adopted, p.events, p.sending = nil, nil, make(chan struct{})
+	adopted, events := p.pendingRuns, p.pendingEvents
+	p.pendingRuns, p.pendingEvents, p.inFlight = nil, nil, make(chan struct{})
 	return func() { c.send(ctx, d, p, adopted, events) }
 }
 
-// tellNow tells a coordinator what is queued for it before it is asked for the
-// next place of a request. Else it would hold the request for placed where the
-// last attempt failed, and name that runner again.
-func (c *Client) tellNow(ctx context.Context, d daemon) {
+// flushPeer sends a coordinator its queued updates before it is asked to place
+// the next attempt of a request. Otherwise the coordinator would take the request
+// as still placed at the runner where the last attempt failed, and would choose
+// that runner again.
+func (c *Client) flushPeer(ctx context.Context, d daemon) {
 	for range 2 {
 		c.mu.Lock()
 		p := c.peerLocked(d)
-		send, sending := c.nextMessage(context.WithoutCancel(ctx), d, p), p.sending
+		send, inFlight := c.nextMessage(context.WithoutCancel(ctx), d, p), p.inFlight
 		c.mu.Unlock()
 		switch {
 		case send != nil:
 			send()
 			return
-		case sending == nil:
+		case inFlight == nil:
 			return
 		}
 		select {
-		case <-sending:
+		case <-inFlight:
 		case <-ctx.Done():
 			return
 		}
@@ -264,13 +267,13 @@
 func (c *Client) send(ctx context.Context, d daemon, p *peerState, adopted []port.RunningRequest, events []RunEvent) {
 	err := p.peer.Update(ctx, adopted, events)
 	c.mu.Lock()
-	if p.sending != nil {
-		close(p.sending)
-		p.sending = nil
+	if p.inFlight != nil {
+		close(p.inFlight)
+		p.inFlight = nil
 	}
 	current := c.peers[d.id] == p
 	c.mu.Unlock()
 	if err != nil && current && ctx.Err() == nil {
-		c.lost(d, err)
+		c.handlePeerFailure(d, err)
 	}
 }
--- a/internal/scheduling/poolscheduler.go
+++ b/internal/scheduling/poolscheduler.go
@@ -1,13 +1,15 @@
-// Package scheduling has each pool of runners scheduled by one daemon, its coordinator.
+// Package scheduling lets one daemon, the coordinator, schedule each pool of
+// runners.
 //
-// A daemon sees its own part of a pool's runs only, and what others would say
-// is late: many that place at the same time would all choose the runner that
-// looks empty to each, and each would hold requests for room that is long
-// gone. So every pool falls to one live daemon, by rendezvous hash, whose
-// scheduler places for all. What it knows is advice and not agreed on: where it
-// can't be reached the next in line is asked, and at last a daemon places by
-// its own scheduler. Two daemons that both coordinate a pool for a moment only place less
-// well, and what runs is told to whoever keeps them next.
+// A daemon knows only its own part of a pool's runs, and reports from other
+// daemons arrive late. Daemons that placed at the same time would all choose the
+// runner that looks empty to each of them, and would hold requests although room
+// had long become free. So rendezvous hashing assigns each pool to one live
+// daemon, whose scheduler places for all daemons. The coordinator's state is
+// advisory, without consensus: if a coordinator cannot be reached, the next one by
+// hash is asked, and finally a daemon places with its own scheduler. If two daemons
+// coordinate a pool for a moment, only the quality of placement suffers. Open runs
+// are reported to the new coordinator.
 package scheduling
 
 import (
@@ -18,46 +20,48 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// silentAfter is the time without a word of a run after which it leaves the
-// scheduler. Its daemon mentions each run every second; a daemon that is gone has
-// closed the connections on which its runs were read, and a run that is never
-// mentioned was placed by an answer that got lost.
-const silentAfter = 3 * time.Second
+// runExpiry is how long a run stays in the scheduler without a report. A run's
+// daemon reports it every second. If the daemon has died, the connections on which
+// it read its runs are closed; a run that was never reported was placed by a reply
+// that was lost.
+const runExpiry = 3 * time.Second
 
-// PoolScheduler is the scheduler of the pools that fall to this daemon. It is safe for
+// PoolScheduler schedules the pools that this daemon coordinates. It is safe for
 // concurrent use.
 type PoolScheduler struct {
 	scheduler port.Relocator
 	clock     func() time.Time
 
 	mu sync.Mutex
-	// heard is when each run was last mentioned.
-	heard map[string]time.Time
+	// lastReport holds the time of the last report of each run.
+	lastReport map[string]time.Time
 }
 
-// NewPoolScheduler returns the pool scheduler over a scheduler. The clock may be nil.
+// NewPoolScheduler returns a PoolScheduler that uses the scheduler s. The clock
+// may be nil.
 func NewPoolScheduler(s port.Relocator, clock func() time.Time) *PoolScheduler {
 	if clock == nil {
 		clock = time.Now
 	}
-	return &PoolScheduler{scheduler: s, clock: clock, heard: make(map[string]time.Time)}
+	return &PoolScheduler{scheduler: s, clock: clock, lastReport: make(map[string]time.Time)}
 }
 
-// Place asks the scheduler until it places or refuses. The first time that it
-// holds, held is told. A context that ends withdraws the request.
-func (b *PoolScheduler) Place(ctx context.Context, r *port.GenerationRequest, held func(*port.Decision)) port.Decision {
-	told := false
+// Place submits the request until the scheduler places or refuses it. It calls
+// onHold the first time that the scheduler holds the request. When the context
+// ends, the request is withdrawn.
+func (b *PoolScheduler) Place(ctx context.Context, r *port.GenerationRequest, onHold func(*port.Decision)) port.Decision {
+	notified := false
 	for {
 		d := b.scheduler.Submit(b.clock(), r)
 		if d.Verdict == port.VerdictPlace {
-			b.hear(r.RequestID)
+			b.trackRun(r.RequestID)
 		}
 		if d.Verdict != port.VerdictHold {
 			return d
 		}
-		if !told {
-			held(&d)
-			told = true
+		if !notified {
+			onHold(&d)
+			notified = true
 		}
 		if !b.wait(ctx, r) {
 			b.scheduler.Withdraw(b.clock(), r.RequestID)
@@ -69,7 +73,7 @@
 
 // wait reports whether the request should be submitted again.
 func (b *PoolScheduler) wait(ctx context.Context, r *port.GenerationRequest) bool {
-	timer := time.NewTimer(r.Deadline.Sub(b.clock()) + collectMargin)
+	timer := time.NewTimer(r.Deadline.Sub(b.clock()) + refusalMargin)
 	defer timer.Stop()
 	select {
 	case <-b.scheduler.Ready(r.RequestID):
@@ -81,31 +85,32 @@
 	}
 }
 
-// collectMargin lets the scheduler itself refuse what was held too long, which
-// it notices at its next tick.
-const collectMargin = 200 * time.Millisecond
+// refusalMargin is the extra time that lets the scheduler itself refuse a request
+// that was held too long, which it detects at its next tick.
+const refusalMargin = 200 * time.Millisecond
 
-// Relocate chooses the runner that takes over a run, which the scheduler takes in
-// where they don't hold it yet.
+// Relocate chooses the runner that takes over a run. The scheduler adopts the run
+// first if it does not have it yet.
 func (b *PoolScheduler) Relocate(run *port.RunningRequest, terms port.Relocation) port.Decision {
 	b.adopt(run)
 	return b.scheduler.Relocate(b.clock(), run.Request.RequestID, terms)
 }
 
-// RunEvent is what became of one run. One that says nothing but its tokens
-// mentions that it goes on.
+// RunEvent is an update on one run. An event that sets only Tokens reports that
+// the run continues.
 type RunEvent struct {
 	RequestID string
-	// Tokens are those seen so far.
+	// Tokens is the number of tokens seen so far.
 	Tokens int
-	// Finish is set at the end.
+	// Finish is set when the run has ended.
 	Finish port.FinishKind
-	// Relocated is set at the end of a relocation; Moved tells which way.
+	// Relocated is set at the end of a relocation; Moved reports whether the run
+	// moved to the new runner.
 	Relocated bool
 	Moved     bool
 }
 
-// Update takes what a daemon says of its runs.
+// Update applies a daemon's updates on its runs.
 func (b *PoolScheduler) Update(adopted []port.RunningRequest, events []RunEvent) {
 	for i := range adopted {
 		b.adopt(&adopted[i])
@@ -113,7 +118,7 @@
 	now := b.clock()
 	for i := range events {
 		e := &events[i]
-		b.mention(e.RequestID)
+		b.renewRun(e.RequestID)
 		if e.Relocated {
 			b.scheduler.Relocated(now, e.RequestID, e.Moved)
 		}
@@ -122,64 +127,64 @@
 		}
 		if e.Finish != 0 {
 			b.scheduler.Finished(now, e.RequestID, e.Tokens, e.Finish)
-			b.forget(e.RequestID)
+			b.untrackRun(e.RequestID)
 		}
 	}
 }
 
 func (b *PoolScheduler) adopt(run *port.RunningRequest) {
 	b.scheduler.Adopt(b.clock(), run)
-	b.hear(run.Request.RequestID)
+	b.trackRun(run.Request.RequestID)
 }
 
-// Expire drops the runs that nobody mentions. Without it the runs of a daemon
-// that was killed would take room in the scheduler for good, and callers would be
-// held for it.
+// Expire removes the runs that are no longer reported. Otherwise the runs of a
+// daemon that was killed would take up room in the scheduler permanently, and
+// requests would be held for it.
 func (b *PoolScheduler) Expire() {
 	now := b.clock()
-	for _, id := range b.expired(now) {
+	for _, id := range b.removeExpired(now) {
 		b.scheduler.Finished(now, id, 0, port.FinishElsewhere)
 	}
 }
 
-func (b *PoolScheduler) expired(now time.Time) []string {
+func (b *PoolScheduler) removeExpired(now time.Time) []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var out []string
-	for id, heard := range b.heard {
-		if now.Sub(heard) >= silentAfter {
+	for id, reportedAt := range b.lastReport {
+		if now.Sub(reportedAt) >= runExpiry {
 			out = append(out, id)
-			delete(b.heard, id)
+			delete(b.lastReport, id)
 		}
 	}
 	return out
 }
 
-// hear notes a run that is counted from now on.
-func (b *PoolScheduler) hear(requestID string) {
+// trackRun adds a run that the scheduler counts.
+func (b *PoolScheduler) trackRun(requestID string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.heard[requestID] = b.clock()
+	b.lastReport[requestID] = b.clock()
 }
 
-// mention notes that a counted run goes on.
-func (b *PoolScheduler) mention(requestID string) {
+// renewRun records a report of a run, if it is tracked.
+func (b *PoolScheduler) renewRun(requestID string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if _, known := b.heard[requestID]; known {
-		b.heard[requestID] = b.clock()
+	if _, tracked := b.lastReport[requestID]; tracked {
+		b.lastReport[requestID] = b.clock()
 	}
 }
 
-func (b *PoolScheduler) forget(requestID string) {
+func (b *PoolScheduler) untrackRun(requestID string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	delete(b.heard, requestID)
+	delete(b.lastReport, requestID)
 }
 
-// Held counts the runs.
+// Held returns the number of runs that are tracked.
 func (b *PoolScheduler) Held() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return len(b.heard)
+	return len(b.lastReport)
 }
--- a/internal/scheduling/scheduling_test.go
+++ b/internal/scheduling/scheduling_test.go
@@ -20,7 +20,7 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-// clock is a time that a test moves on.
+// clock is a clock that the test advances.
 type clock struct {
 	mu  sync.Mutex
 	now time.Time
@@ -32,25 +32,25 @@
 	return c.now
 }
 
-func (c *clock) pass(d time.Duration) {
+func (c *clock) advance(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.now = c.now.Add(d)
 }
 
-// fleet is daemons with their schedulers, and calls between them that can fail.
+// fleet simulates daemons with their schedulers and fallible calls between them.
 type fleet struct {
-	clock      *clock
-	names      []string
-	down       map[string]bool
-	schedulers map[string]*PoolScheduler
-	own        map[string]*routing.Scheduler
-	clients    map[string]*Client
-	// old are daemons of a build that admits nothing.
-	old map[string]bool
-	// lose draws what becomes of the next call: 0 works, 1 is lost on its way,
-	// 2 is carried out and its answer lost.
-	lose func() int
+	clock             *clock
+	names             []string
+	down              map[string]bool
+	schedulers        map[string]*PoolScheduler
+	routingSchedulers map[string]*routing.Scheduler
+	clients           map[string]*Client
+	// noAdmission holds the daemons of a build without support for admission.
+	noAdmission map[string]bool
+	// nextFault returns the fault of the next call: 0 none, 1 the request is lost,
+	// 2 the request is carried out and the reply is lost.
+	nextFault func() int
 }
 
 const numRunners = 3
@@ -69,21 +69,22 @@
 func newFleet(names ...string) *fleet {
 	f := &fleet{
 		clock: &clock{now: start}, names: names, down: map[string]bool{}, schedulers: map[string]*PoolScheduler{},
-		own: map[string]*routing.Scheduler{}, clients: map[string]*Client{}, lose: func() int { return 0 },
+		routingSchedulers: map[string]*routing.Scheduler{}, clients: map[string]*Client{}, nextFault: func() int { return 0 },
 	}
 	for _, name := range names {
-		f.own[name] = routing.NewScheduler(routing.Options{RouterID: name})
-		f.own[name].SetEndpoints(start, runners())
-		f.schedulers[name] = NewPoolScheduler(f.own[name], f.clock.Now)
+		f.routingSchedulers[name] = routing.NewScheduler(routing.Options{RouterID: name})
+		f.routingSchedulers[name].SetEndpoints(start, runners())
+		f.schedulers[name] = NewPoolScheduler(f.routingSchedulers[name], f.clock.Now)
 		f.clients[name] = NewClient(Options{
 			Self: name, Members: f, Clock: f.clock.Now, Logger: &log.Logger{Writer: &log.IOWriter{Writer: io.Discard}},
-			Dial: func(address string) Peer { return &link{fleet: f, to: address} },
+			Dial: func(address string) Peer { return &fakePeer{fleet: f, to: address} },
 		}, f.schedulers[name])
 	}
 	return f
 }
 
-// Members lists the daemons that are not down; an address is a name here.
+// Members lists all daemons, those that are down as dead. A daemon's name is also
+// its address.
 func (f *fleet) Members() []port.Member {
 	var out []port.Member
 	for _, name := range f.names {
@@ -100,65 +101,65 @@
 
 var errLost = errors.New("lost")
 
-// link is the connection from one daemon to the scheduler of another.
-type link struct {
+// fakePeer is the connection from one daemon to the scheduler of another.
+type fakePeer struct {
 	fleet *fleet
 	to    string
 }
 
-func (l *link) call(effect func()) error {
-	fate := l.fleet.lose()
-	if l.fleet.down[l.to] || fate == 1 {
+func (l *fakePeer) call(handle func()) error {
+	fault := l.fleet.nextFault()
+	if l.fleet.down[l.to] || fault == 1 {
 		return errLost
 	}
-	effect()
-	if fate == 2 {
+	handle()
+	if fault == 2 {
 		return errLost
 	}
 	return nil
 }
 
-func (l *link) Place(ctx context.Context, r *port.GenerationRequest, held func(*port.Decision)) (port.Decision, error) {
+func (l *fakePeer) Place(ctx context.Context, r *port.GenerationRequest, onHold func(*port.Decision)) (port.Decision, error) {
 	var d port.Decision
-	err := l.call(func() { d = l.fleet.schedulers[l.to].Place(ctx, r, held) })
+	err := l.call(func() { d = l.fleet.schedulers[l.to].Place(ctx, r, onHold) })
 	return d, err
 }
 
-func (l *link) Relocate(_ context.Context, run *port.RunningRequest, terms port.Relocation) (port.Decision, error) {
+func (l *fakePeer) Relocate(_ context.Context, run *port.RunningRequest, terms port.Relocation) (port.Decision, error) {
 	var d port.Decision
 	err := l.call(func() { d = l.fleet.schedulers[l.to].Relocate(run, terms) })
 	return d, err
 }
 
-func (l *link) Update(_ context.Context, adopted []port.RunningRequest, events []RunEvent) error {
+func (l *fakePeer) Update(_ context.Context, adopted []port.RunningRequest, events []RunEvent) error {
 	return l.call(func() { l.fleet.schedulers[l.to].Update(adopted, events) })
 }
 
-func (l *link) Admit(_ context.Context, pool string, asks []ratelimit.Ask, patience time.Duration) (ratelimit.Grant, error) {
-	if l.fleet.old[l.to] {
+func (l *fakePeer) Admit(_ context.Context, pool string, asks []ratelimit.Ask, maxWait time.Duration) (ratelimit.Grant, error) {
+	if l.fleet.noAdmission[l.to] {
 		return ratelimit.Grant{}, ErrNotAdmitting
 	}
 	var g ratelimit.Grant
-	err := l.call(func() { g = l.fleet.clients[l.to].AdmitHere(pool, asks, patience) })
+	err := l.call(func() { g = l.fleet.clients[l.to].AdmitHere(pool, asks, maxWait) })
 	return g, err
 }
 
-func (l *link) Close() {}
+func (l *fakePeer) Close() {}
 
-// settle lets every client tell what it has to tell.
-func (f *fleet) settle() {
+// exchangeUpdates lets every client send all of its updates.
+func (f *fleet) exchangeUpdates() {
 	for range 4 {
 		for _, name := range f.names {
 			c := f.clients[name]
-			c.tellProgress()
-			c.rehome()
-			c.flushNow()
+			c.reportRuns()
+			c.reassignRuns()
+			c.flushSync()
 		}
 	}
 }
 
-// flushNow is flush without goroutines.
-func (c *Client) flushNow() {
+// flushSync does the same as flush without goroutines.
+func (c *Client) flushSync() {
 	c.mu.Lock()
 	type message struct {
 		d       daemon
@@ -168,8 +169,8 @@
 	}
 	var out []message
 	for id, p := range c.peers {
-		out = append(out, message{daemon{id, p.address}, p, p.adopted, p.events})
-		p.adopted, p.events = nil, nil
+		out = append(out, message{daemon{id, p.address}, p, p.pendingRuns, p.pendingEvents})
+		p.pendingRuns, p.pendingEvents = nil, nil
 	}
 	c.mu.Unlock()
 	for _, m := range out {
@@ -177,167 +178,167 @@
 	}
 }
 
-func ask(now time.Time, id string, prompt int) *port.GenerationRequest {
+func newRequest(now time.Time, id string, prompt int) *port.GenerationRequest {
 	return &port.GenerationRequest{
 		RequestID: id, Organisation: "o", Pool: "pool", Model: "m", PromptTokens: prompt, MaxTokens: 500, Attempt: 1,
 		Arrived: now, Deadline: now.Add(time.Second),
 	}
 }
 
-func nobody(*port.Decision) {}
+func ignoreHold(*port.Decision) {}
 
-// Three daemons place nine reports that fill three runners to the brim. With
-// one coordinator they find three on each; by itself each daemon would take its
-// three for the only ones.
-func TestOneDaemonCoordinatesAPool(t *testing.T) {
+// Guards against uncoordinated placement. Nine requests from three daemons fill
+// three runners: one coordinator places three on each runner, whereas daemons on
+// their own would each count only their own three requests.
+func TestOneDaemonCoordinatesPool(t *testing.T) {
 	f := newFleet("a", "b", "c")
 	placed := map[string]int{}
 	for i := range 9 {
 		c := f.clients[f.names[i%3]]
-		d := c.Place(t.Context(), ask(f.clock.Now(), fmt.Sprint("r", i), 2000), nobody)
+		d := c.Place(t.Context(), newRequest(f.clock.Now(), fmt.Sprint("r", i), 2000), ignoreHold)
 		if d.Verdict != port.VerdictPlace {
-			t.Fatalf("report %d: %v for %s", i, d.Verdict, d.Reason)
+			t.Fatalf("request %d: verdict %v, reason %q", i, d.Verdict, d.Reason)
 		}
 		placed[d.Endpoint.ID]++
 	}
 	for id, n := range placed {
 		if n != 3 {
-			t.Errorf("%s has %d reports, want 3", id, n)
+			t.Errorf("runner %s has %d requests, want 3", id, n)
 		}
 	}
 }
 
-// The coordinator is killed. The next request is placed by the next
-// in line, which hears of the runs under way before it matters: it doesn't take
-// full runners for empty ones.
-func TestNextInLineHearsWhatRuns(t *testing.T) {
+// Guards against placement on full runners after the coordinator was killed. The
+// next coordinator must receive the open runs before it treats full runners as
+// empty.
+func TestSuccessorAdoptsOpenRuns(t *testing.T) {
 	f := newFleet("a", "b", "c")
 	coordinator := f.clients["a"].coordinator("pool").id
-	var others []string
+	var peers []string
 	for _, name := range f.names {
 		if name != coordinator {
-			others = append(others, name)
+			peers = append(peers, name)
 		}
 	}
 	for i := range 8 {
-		f.clients[others[i%2]].Place(t.Context(), ask(f.clock.Now(), fmt.Sprint("r", i), 2000), nobody)
+		f.clients[peers[i%2]].Place(t.Context(), newRequest(f.clock.Now(), fmt.Sprint("r", i), 2000), ignoreHold)
 	}
 	f.down[coordinator] = true
-	d := f.clients[others[0]].Place(t.Context(), ask(f.clock.Now(), "next", 10), nobody)
+	d := f.clients[peers[0]].Place(t.Context(), newRequest(f.clock.Now(), "next", 10), ignoreHold)
 	if d.Verdict != port.VerdictPlace {
-		t.Fatalf("%v for %s with the coordinator down", d.Verdict, d.Reason)
+		t.Fatalf("verdict %v with the coordinator down, reason %q", d.Verdict, d.Reason)
 	}
-	f.settle()
-	next := f.clients[others[0]].coordinator("pool").id
-	if next == coordinator {
-		t.Fatal("a daemon that is down still coordinates")
+	f.exchangeUpdates()
+	successor := f.clients[peers[0]].coordinator("pool").id
+	if successor == coordinator {
+		t.Fatal("a daemon that is down is still the coordinator")
 	}
-	if n := f.schedulers[next].Held(); n != 9 {
-		t.Fatalf("the next in line holds %d runs, want 9", n)
+	if n := f.schedulers[successor].Held(); n != 9 {
+		t.Fatalf("the new coordinator tracks %d runs, want 9", n)
 	}
 }
 
-// A daemon loses its power with reports running. Nobody tells of their end;
-// without the word of a daemon its runs leave the scheduler after a while, and
-// callers find the room again.
-func TestSilentDaemonsRunsLeaveTheScheduler(t *testing.T) {
+// Guards against runs that occupy the scheduler forever because their daemon lost
+// power and nobody reports their end. They must expire, so that requests can use
+// the room again.
+func TestRunsWithoutUpdatesExpire(t *testing.T) {
 	f := newFleet("a", "b")
 	b := f.schedulers["a"]
-	// Those that don't fit are not waited for.
+	// Requests that do not fit are not waited for.
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	for i := range 4 * numRunners {
-		b.Place(ctx, ask(f.clock.Now(), fmt.Sprint("r", i), 2000), nobody)
+		b.Place(ctx, newRequest(f.clock.Now(), fmt.Sprint("r", i), 2000), ignoreHold)
 	}
-	if !b.full(t, f.clock.Now()) {
-		t.Fatal("the runners are not full, so the test shows nothing")
+	if !b.isFull(t, f.clock.Now()) {
+		t.Fatal("the runners are not full, so the test cannot detect the fault")
 	}
-	f.clock.pass(silentAfter - time.Millisecond)
+	f.clock.advance(runExpiry - time.Millisecond)
 	b.Expire()
 	if b.Held() == 0 {
-		t.Fatal("runs were dropped before their daemon was silent for long")
+		t.Fatal("runs expired before runExpiry")
 	}
-	f.clock.pass(time.Millisecond)
+	f.clock.advance(time.Millisecond)
 	b.Expire()
-	if b.Held() != 0 || b.full(t, f.clock.Now()) {
-		t.Fatalf("%d runs of a silent daemon are left", b.Held())
+	if b.Held() != 0 || b.isFull(t, f.clock.Now()) {
+		t.Fatalf("%d runs remain or the runners are full after runExpiry", b.Held())
 	}
 }
 
-// full reports whether a large request would be held.
-func (b *PoolScheduler) full(t *testing.T, now time.Time) bool {
+// isFull reports whether a large request would be held.
+func (b *PoolScheduler) isFull(t *testing.T, now time.Time) bool {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	was := false
-	r := ask(now, fmt.Sprint("probe", now.UnixNano()), 5000)
-	d := b.Place(ctx, r, func(*port.Decision) { was = true })
+	held := false
+	r := newRequest(now, fmt.Sprint("probe", now.UnixNano()), 5000)
+	d := b.Place(ctx, r, func(*port.Decision) { held = true })
 	if d.Verdict == port.VerdictPlace {
 		b.Update(nil, []RunEvent{{RequestID: r.RequestID, Finish: port.FinishElsewhere}})
 	}
-	return was
+	return held
 }
 
-// An answer that says where a request may run is lost, and the daemon has it
-// placed by another scheduler, where it ends. The daemon goes on to speak of its other
-// runs; the one that it never mentions leaves the scheduler all the same.
-func TestPlacementWhoseAnswerWasLostLeavesTheScheduler(t *testing.T) {
+// Guards against counting a run forever after the reply that placed it was lost.
+// The daemon places the request with another scheduler and keeps reporting its
+// other runs; the run that it never reports must expire.
+func TestPlacementWithLostReplyExpires(t *testing.T) {
 	f := newFleet("a", "b", "c")
 	coordinator := f.clients["a"].coordinator("pool").id
-	asks := f.clients["a"]
+	client := f.clients["a"]
 	if coordinator == "a" {
-		asks = f.clients["b"]
+		client = f.clients["b"]
 	}
-	asks.Place(t.Context(), ask(f.clock.Now(), "kept", 100), nobody)
-	lost := []int{2}
-	f.lose = func() int {
-		if len(lost) == 0 {
+	client.Place(t.Context(), newRequest(f.clock.Now(), "kept", 100), ignoreHold)
+	faults := []int{2}
+	f.nextFault = func() int {
+		if len(faults) == 0 {
 			return 0
 		}
-		fate := lost[0]
-		lost = lost[1:]
-		return fate
+		fault := faults[0]
+		faults = faults[1:]
+		return fault
 	}
-	asks.Place(t.Context(), ask(f.clock.Now(), "lost", 100), nobody)
+	client.Place(t.Context(), newRequest(f.clock.Now(), "lost", 100), ignoreHold)
 	if n := f.schedulers[coordinator].Held(); n != 2 {
-		t.Fatalf("%d runs at the coordinator, want the kept one and the lost one", n)
+		t.Fatalf("the coordinator tracks %d runs, want 2: the reported run and the one whose reply was lost", n)
 	}
-	asks.Finished("lost", 0, port.FinishDone)
+	client.Finished("lost", 0, port.FinishDone)
 	for range 5 {
-		f.clock.pass(mentionEvery)
-		f.settle()
+		f.clock.advance(keepaliveInterval)
+		f.exchangeUpdates()
 		f.schedulers[coordinator].Expire()
 	}
 	if n := f.schedulers[coordinator].Held(); n != 1 {
-		t.Fatalf("%d runs at the coordinator, want the kept one", n)
+		t.Fatalf("the coordinator tracks %d runs, want only the reported run", n)
 	}
 }
 
-// Requests come, grow, move and end at three daemons while calls and answers
-// between them are lost and daemons go down and come back. Once all is quiet
-// each run is counted by its pool's coordinator; once all have ended and the
-// silent are forgotten, no scheduler counts anything.
-func TestSchedulersAgreeOnceAllIsQuiet(t *testing.T) {
+// Requests start, progress, move and end at three daemons while calls and replies
+// between the daemons are lost and daemons go down and come back. After the
+// faults, each open run must be counted by its pool's coordinator. After all runs
+// have ended and unreported ones have expired, no scheduler may count any run.
+func TestSchedulersConvergeAfterFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet("a", "b", "c")
 		faulty := true
-		f.lose = func() int {
+		f.nextFault = func() int {
 			if !faulty {
 				return 0
 			}
-			return rapid.SampledFrom([]int{0, 0, 0, 1, 2}).Draw(t, "fate")
+			return rapid.SampledFrom([]int{0, 0, 0, 1, 2}).Draw(t, "fault")
 		}
 		type running struct{ at, id string }
 		var open []running
 		for i := range rapid.IntRange(5, 40).Draw(t, "steps") {
-			f.clock.pass(50 * time.Millisecond)
+			f.clock.advance(50 * time.Millisecond)
 			name := rapid.SampledFrom(f.names).Draw(t, "daemon")
 			switch action := rapid.IntRange(0, 5).Draw(t, "action"); {
 			case action <= 1 && !f.down[name]:
 				ctx, cancel := context.WithCancel(context.Background())
 				cancel()
 				id := fmt.Sprint("r", i)
-				if d := f.clients[name].Place(ctx, ask(f.clock.Now(), id, 300), nobody); d.Verdict == port.VerdictPlace {
+				if d := f.clients[name].Place(ctx, newRequest(f.clock.Now(), id, 300), ignoreHold); d.Verdict == port.VerdictPlace {
 					open = append(open, running{name, id})
 				}
 			case action == 2 && len(open) > 0:
@@ -358,56 +359,56 @@
 		}
 		faulty = false
 		clear(f.down)
-		f.clock.pass(avoidFor)
-		f.settle()
+		f.clock.advance(avoidDuration)
+		f.exchangeUpdates()
 		coordinator := f.clients["a"].coordinator("pool").id
-		pools := f.schedulers[coordinator]
+		scheduler := f.schedulers[coordinator]
 		for _, r := range open {
-			pools.mu.Lock()
-			_, known := pools.heard[r.id]
-			pools.mu.Unlock()
-			if !known {
+			scheduler.mu.Lock()
+			_, tracked := scheduler.lastReport[r.id]
+			scheduler.mu.Unlock()
+			if !tracked {
 				t.Fatalf("run %s of %s is not counted by %s", r.id, r.at, coordinator)
 			}
 		}
 		for _, r := range open {
 			f.clients[r.at].Finished(r.id, 10, port.FinishDone)
 		}
-		f.settle()
-		f.clock.pass(silentAfter)
+		f.exchangeUpdates()
+		f.clock.advance(runExpiry)
 		for _, name := range f.names {
 			f.schedulers[name].Expire()
 			if n := f.schedulers[name].Held(); n != 0 {
-				t.Fatalf("%s holds %d runs after all have ended", name, n)
+				t.Fatalf("scheduler %s tracks %d runs after all have ended", name, n)
 			}
-			if n := f.own[name].Placed(); n != 0 {
-				t.Fatalf("the runners at %s still count %d runs", name, n)
+			if n := f.routingSchedulers[name].Placed(); n != 0 {
+				t.Fatalf("the routing scheduler of %s counts %d placed runs after all have ended", name, n)
 			}
 		}
 	})
 }
 
-// Guards against placing a failed attempt at the same runner again.
-func TestNextPlaceIsAskedForAfterTheEndOfTheLastIsTold(t *testing.T) {
+// Guards against placing the next attempt at the runner where the last one failed.
+func TestFailedAttemptIsReportedBeforeRetry(t *testing.T) {
 	f := newFleet("a", "b", "c")
 	coordinator := f.clients["a"].coordinator("pool").id
 	for _, name := range f.names {
 		if name == coordinator {
 			continue
 		}
-		r := ask(f.clock.Now(), "r-"+name, 1000)
-		first := f.clients[name].Place(t.Context(), r, nobody)
+		r := newRequest(f.clock.Now(), "r-"+name, 1000)
+		first := f.clients[name].Place(t.Context(), r, ignoreHold)
 		f.clients[name].Finished(r.RequestID, 0, port.FinishNotStarted)
 		r.Attempt, r.Excluded = 2, []string{first.Endpoint.ID}
-		next := f.clients[name].Place(t.Context(), r, nobody)
-		if next.Verdict != port.VerdictPlace || next.Endpoint.ID == first.Endpoint.ID {
-			t.Errorf("%s: first %s, then %s %s: %s", name, first.Endpoint.ID, next.Verdict, next.Endpoint.ID, next.Reason)
+		second := f.clients[name].Place(t.Context(), r, ignoreHold)
+		if second.Verdict != port.VerdictPlace || second.Endpoint.ID == first.Endpoint.ID {
+			t.Errorf("daemon %s: first attempt at %s, second attempt verdict %s at %q, reason %q", name, first.Endpoint.ID, second.Verdict, second.Endpoint.ID, second.Reason)
 		}
-		f.settle()
+		f.exchangeUpdates()
 		if held := f.schedulers[coordinator].Held(); held != 1 {
-			t.Errorf("%s: %d runs are counted", name, held)
+			t.Errorf("daemon %s: the coordinator tracks %d runs, want 1", name, held)
 		}
 		f.clients[name].Finished(r.RequestID, 1, port.FinishDone)
-		f.settle()
+		f.exchangeUpdates()
 	}
 }
