--- a/internal/placement/decisions.go
+++ b/internal/placement/decisions.go
@@ -10,59 +10,61 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// repeatAfter is when a refusal that stays the same is recorded again: each
-// pass finds it anew, and a log line every two seconds would bury the others.
-const repeatAfter = time.Minute
+// repeatInterval is the time after which an unchanged refusal is recorded again.
+// Each pass, every two seconds, finds the same refusal, and a log line for each
+// would bury the others.
+const repeatInterval = time.Minute
 
-// The verdicts of placement's decisions.
+// The verdicts of placement decisions.
 const (
 	verdictOrder  = "order"
 	verdictRefuse = "refuse"
 )
 
-// refusals records decisions, and refusals only when they are new.
-type refusals struct {
+// decisionRecorder records decisions, and repeated refusals only once per
+// repeatInterval.
+type decisionRecorder struct {
 	sink port.DecisionSink
 	now  func() time.Time
 
-	mu   sync.Mutex
-	last map[string]said
+	mu           sync.Mutex
+	lastRefusals map[string]recordedRefusal
 }
 
-type said struct {
+type recordedRefusal struct {
 	reason string
 	at     time.Time
 }
 
-func newRefusals(sink port.DecisionSink, now func() time.Time) *refusals {
-	return &refusals{sink: sink, now: now, last: map[string]said{}}
+func newDecisionRecorder(sink port.DecisionSink, now func() time.Time) *decisionRecorder {
+	return &decisionRecorder{sink: sink, now: now, lastRefusals: map[string]recordedRefusal{}}
 }
 
-func (r *refusals) news(subject, reason string) bool {
+func (r *decisionRecorder) shouldRecord(subject, reason string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.now()
-	before, found := r.last[subject]
-	if found && before.reason == reason && now.Sub(before.at) < repeatAfter {
+	previous, found := r.lastRefusals[subject]
+	if found && previous.reason == reason && now.Sub(previous.at) < repeatInterval {
 		return false
 	}
-	r.forgetOld(now)
-	r.last[subject] = said{reason, now}
+	r.dropExpired(now)
+	r.lastRefusals[subject] = recordedRefusal{reason, now}
 	return true
 }
 
-// forgetOld keeps the memory to what is still refused.
-func (r *refusals) forgetOld(now time.Time) {
-	for subject, s := range r.last {
-		if now.Sub(s.at) > 2*repeatAfter {
-			delete(r.last, subject)
+// dropExpired removes refusals that are no longer found, to bound the memory.
+func (r *decisionRecorder) dropExpired(now time.Time) {
+	for subject, s := range r.lastRefusals {
+		if now.Sub(s.at) > 2*repeatInterval {
+			delete(r.lastRefusals, subject)
 		}
 	}
 }
 
-// step records why a step of a runner is not ordered.
-func (r *refusals) step(s *placement.Step, fence uint64, reason string) {
-	if !r.news("endpoint "+s.Endpoint.ID, reason) {
+// recordRefusedStep records why a step of a runner is not ordered.
+func (r *decisionRecorder) recordRefusedStep(s *placement.Step, fence uint64, reason string) {
+	if !r.shouldRecord("endpoint "+s.Endpoint.ID, reason) {
 		return
 	}
 	d := decisionOf(s, verdictRefuse, s.Reason+": not ordered, "+reason)
@@ -70,20 +72,20 @@
 	r.sink.Record(d)
 }
 
-// ordered records an order with its fencing number and outcome.
-func (r *refusals) ordered(s *placement.Step, o *port.Order, outcome string) {
+// recordOrder records an order with its fencing number and outcome.
+func (r *decisionRecorder) recordOrder(s *placement.Step, o *port.Order, outcome string) {
 	r.mu.Lock()
-	delete(r.last, "endpoint "+s.Endpoint.ID)
+	delete(r.lastRefusals, "endpoint "+s.Endpoint.ID)
 	r.mu.Unlock()
 	d := decisionOf(s, verdictOrder, string(o.Kind)+": "+s.Reason)
 	d.ID, d.Fence, d.Outcome = o.ID, o.Fence, outcome
 	r.sink.Record(d)
 }
 
-// shortfall records why a deployment can't be met.
-func (r *refusals) shortfall(s *placement.Shortfall) {
+// recordShortfall records why a deployment cannot be satisfied.
+func (r *decisionRecorder) recordShortfall(s *placement.Shortfall) {
 	subject := port.ObjectModelDeployment + "/" + s.Deployment
-	if !r.news("configuration "+subject, s.Reason) {
+	if !r.shouldRecord("configuration "+subject, s.Reason) {
 		return
 	}
 	r.sink.Record(&port.DecisionRecord{
--- a/internal/placement/fake_test.go
+++ b/internal/placement/fake_test.go
@@ -18,14 +18,15 @@
 
 var testTerms = lease.Terms{Duration: 15 * time.Second, Margin: time.Second, OrderTimeout: 4 * time.Second}
 
-// fakePlatform is the platform with the faults that leases and permits meet.
+// fakePlatform is a platform that simulates the faults relevant to leases and
+// permits.
 type fakePlatform struct {
 	*memplatform.Store
 	mu   sync.Mutex
 	down bool
 	// loseReply makes the next write take effect without a reply.
 	loseReply bool
-	// onPut runs before a write of the kind, without the lock.
+	// onPut runs before each write, without the lock held. kind is that of the object.
 	onPut func(kind string)
 }
 
@@ -68,7 +69,7 @@
 	return o, err
 }
 
-// system is several keepers over one platform and one fleet.
+// system simulates several keepers that share one platform and one set of runners.
 type system struct {
 	shards   int
 	platform *fakePlatform
@@ -86,45 +87,46 @@
 func (s *system) Members() []port.Member                { return s.members }
 func (s *system) Ready() bool                           { return s.ready }
 func (s *system) pass(i int)                            { s.loops[i].Pass(context.Background()) }
-func (s *system) lease(i int)                           { s.loops[i].leases.pass(context.Background()) }
+func (s *system) leasePass(i int)                       { s.loops[i].leases.pass(context.Background()) }
 func (s *system) advance(d time.Duration)               { s.now = s.now.Add(d) }
-func (s *system) deploy(rs ...port.Record)              { s.records = rs }
+func (s *system) deploy(records ...port.Record)         { s.records = records }
 func (s *system) decisions(i int) []port.DecisionRecord { return s.sinks[i].All() }
 
-// failer is what *testing.T and *rapid.T have in common.
-type failer interface {
+// testingT holds the methods common to *testing.T and *rapid.T.
+type testingT interface {
 	Helper()
 	Fatal(args ...any)
 }
 
-func newSystem(t failer, keepers int) *system {
+func newSystem(t testingT, keepers int) *system {
 	t.Helper()
 	return newShardedSystem(t, keepers, 1)
 }
 
-// round lets every keeper look at the leases and the runners, and ends loads.
+// round runs a lease pass and a pass over the runners at every keeper, and ends
+// the loads under way.
 func (s *system) round() {
 	for i := range s.loops {
-		s.lease(i)
+		s.leasePass(i)
 		s.pass(i)
 	}
 	s.fleet.Finish()
 	s.advance(2 * time.Second)
 }
 
-func newShardedSystem(t failer, keepers, shards int) *system {
+func newShardedSystem(t testingT, keepers, shards int) *system {
 	t.Helper()
 	s := &system{shards: shards, platform: newFakePlatform(), fleet: fakes.NewFleet(), now: time.Unix(1_800_000_000, 0), ready: true}
 	for i := range keepers {
 		s.members = append(s.members, port.Member{ID: fmt.Sprint("keeper-", i), Role: port.RoleKeeper, State: port.MemberLive})
 		s.sinks = append(s.sinks, &fakes.Decisions{})
 		s.loops = append(s.loops, nil)
-		s.start(t, i, "1")
+		s.startKeeper(t, i, "1")
 	}
 	return s
 }
 
-func (s *system) start(t failer, i int, session string) {
+func (s *system) startKeeper(t testingT, i int, session string) {
 	t.Helper()
 	loop, err := New(Options{
 		Platform: s.platform, Orderer: s.fleet, Decisions: s.sinks[i], View: s,
@@ -137,16 +139,16 @@
 	s.loops[i] = loop
 }
 
-// hold lets a keeper take the lease, past the waits of a successor.
-func (s *system) hold(t *testing.T, i int) {
+// acquireLease lets a keeper take the lease and waits until it may send orders.
+func (s *system) acquireLease(t *testing.T, i int) {
 	t.Helper()
-	s.lease(i)
+	s.leasePass(i)
 	s.advance(testTerms.Duration + testTerms.Margin + time.Second)
-	s.lease(i)
+	s.leasePass(i)
 	s.advance(testTerms.OrderTimeout + testTerms.Margin)
-	s.lease(i)
+	s.leasePass(i)
 	if !s.loops[i].leases.holdsAny() {
-		t.Fatalf("keeper %d has no lease", i)
+		t.Fatalf("keeper %d holds no lease", i)
 	}
 }
 
@@ -156,8 +158,8 @@
 	return port.Record{Kind: port.ObjectModelDeployment, Name: model, Version: 5, Body: json.RawMessage(body)}
 }
 
-// planFor returns the step that the plan has for a runner.
-func planFor(t *testing.T, s *system, endpoint string) *placement.Step {
+// stepFor returns the plan's step for a runner.
+func stepFor(t *testing.T, s *system, endpoint string) *placement.Step {
 	t.Helper()
 	var runners []placement.Runner
 	for _, e := range s.fleet.Endpoints() {
@@ -173,6 +175,6 @@
 			return &plan.Steps[i]
 		}
 	}
-	t.Fatalf("no step for %s: %+v", endpoint, plan)
+	t.Fatalf("the plan has no step for endpoint %s: %+v", endpoint, plan)
 	return nil
 }
--- a/internal/placement/leases.go
+++ b/internal/placement/leases.go
@@ -19,8 +19,8 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// layoutName is the object that fixes how endpoints map to shards. Keepers
-// with different numbers of shards would hold one endpoint under two leases.
+// layoutName is the object that stores how endpoints map to shards. Keepers with
+// different numbers of shards would put one endpoint under two leases.
 const layoutName = "layout"
 
 const (
@@ -33,67 +33,68 @@
 	Shards        int `json:"shards"`
 }
 
-// leases follows every shard's lease for this keeper.
+// leases manages the leases of all shards for this keeper.
 type leases struct {
-	opts *Options
-	held gometrics.Gauge
+	opts      *Options
+	heldGauge gometrics.Gauge
 
 	mu     sync.Mutex
 	shards []*lease.Lease
-	// orders counts the orders under way in each shard.
-	orders []int
-	// preferred holds each shard's preferred keeper and since when.
+	// openOrders counts the orders under way in each shard.
+	openOrders []int
+	// preferred holds the preferred keeper of each shard.
 	preferred []preference
 }
 
-// preference is a shard's preferred keeper.
+// preference is a shard's preferred keeper and the time since which it is
+// preferred.
 type preference struct {
 	keeper string
 	since  time.Time
 }
 
 func newLeases(o *Options) *leases {
-	return &leases{opts: o, held: gometrics.GetOrRegisterGauge("placement_leases_held_count", o.Metrics)}
+	return &leases{opts: o, heldGauge: gometrics.GetOrRegisterGauge("placement_leases_held_count", o.Metrics)}
 }
 
 func shardName(i int) string { return fmt.Sprintf("placement-%04d", i) }
 
 // pass reads all leases with one call and writes those that are due.
 func (l *leases) pass(ctx context.Context) {
-	if err := l.open(ctx); err != nil {
-		l.failed(layoutName, err)
+	if err := l.loadLayout(ctx); err != nil {
+		l.logFailure(layoutName, err)
 		return
 	}
-	if err := l.observe(ctx); err != nil {
-		// Renewals go on: a read that fails must not cost a lease.
-		l.failed("list", err)
+	if err := l.observeAll(ctx); err != nil {
+		// A failed read must not cause the loss of a lease, so renewals go on.
+		l.logFailure("list", err)
 	}
-	l.writeAll(ctx, l.wants)
+	l.writeAll(ctx, l.wantsLease)
 	held := 0
 	for i := range l.shards {
 		if _, holds := l.fence(i); holds {
 			held++
 		}
 	}
-	l.held.Update(int64(held))
+	l.heldGauge.Update(int64(held))
 }
 
-// writeAll writes what is due, side by side: one slow reply must not cost the
-// other leases.
+// writeAll writes the leases that are due concurrently, so that one slow reply
+// does not cause the loss of other leases.
 func (l *leases) writeAll(ctx context.Context, want func(shard int) bool) {
-	var wait sync.WaitGroup
+	var group sync.WaitGroup
 	for i := range l.shards {
-		wait.Go(func() { l.write(ctx, i, want(i)) })
+		group.Go(func() { l.writeLease(ctx, i, want(i)) })
 	}
-	wait.Wait()
+	group.Wait()
 }
 
-// release gives back what is held; it is called once no order is under way.
+// release releases all held leases. It must be called when no order is under way.
 func (l *leases) release(ctx context.Context) {
 	l.writeAll(ctx, func(int) bool { return false })
 }
 
-func (l *leases) open(ctx context.Context) error {
+func (l *leases) loadLayout(ctx context.Context) error {
 	if l.shards != nil {
 		return nil
 	}
@@ -111,7 +112,7 @@
 		return merry.Prepend(lease.ErrCorrupt, err.Error())
 	}
 	if stored.FormatVersion > layoutFormat || stored.Shards < 1 || stored.Shards > maxShards {
-		return merry.Appendf(lease.ErrNewerFormat, "layout with %d shards", stored.Shards)
+		return merry.Appendf(lease.ErrNewerFormat, "shard layout has a newer format or an invalid number of shards: %d", stored.Shards)
 	}
 	shards := make([]*lease.Lease, stored.Shards)
 	for i := range shards {
@@ -120,7 +121,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.shards = shards
-	l.orders = make([]int, len(shards))
+	l.openOrders = make([]int, len(shards))
 	l.preferred = make([]preference, len(shards))
 	return nil
 }
@@ -128,24 +129,25 @@
 func (l *leases) createLayout(ctx context.Context) (port.Object, error) {
 	value, err := json.Marshal(storedLayout{FormatVersion: layoutFormat, Shards: l.opts.Shards})
 	if err != nil {
-		return port.Object{}, merry.Prepend(err, "placement")
+		return port.Object{}, merry.Prepend(err, "placement: encode shard layout")
 	}
 	object, err := l.opts.Platform.Put(ctx, port.ObjectLease, layoutName, 0, value)
 	if err == nil {
 		return object, nil
 	}
-	// Another keeper's layout, or our own whose reply was lost.
+	// The layout was written by another keeper, or by this one with the reply lost.
 	return l.opts.Platform.Get(ctx, port.ObjectLease, layoutName)
 }
 
-func (l *leases) observe(ctx context.Context) error {
+func (l *leases) observeAll(ctx context.Context) error {
 	call, cancel := context.WithTimeout(ctx, l.opts.CallTimeout)
 	defer cancel()
 	objects, _, err := l.opts.Platform.List(call, port.ObjectLease)
 	if err != nil {
 		return err
 	}
-	// The time after the read: what is seen then was written before.
+	// The time is taken after the read, so that it is not before the write of any
+	// object that was read.
 	now := l.opts.Now()
 	byName := map[string]*port.Object{}
 	for i := range objects {
@@ -161,7 +163,7 @@
 		}
 		rec, err := lease.Decode(object.Value)
 		if err != nil {
-			l.failed(shardName(i), err)
+			l.logFailure(shardName(i), err)
 			continue
 		}
 		l.shards[i].Observe(now, object.Version, rec)
@@ -169,12 +171,13 @@
 	return nil
 }
 
-// wants: the preferred keeper of a shard takes it at once, any other one
-// after a grace. Another holder gives it back once the preferred one has been
-// live for a while, or the first keeper to start would have all shards for
-// good and ask all runners.
-func (l *leases) wants(shard int) bool {
-	keeper := l.prefer(shard)
+// wantsLease reports whether this keeper should take or keep a shard's lease. The
+// preferred keeper takes it at once, any other keeper after TakeoverGrace. Another
+// holder releases it once the preferred keeper has been live for GiveBackAfter;
+// otherwise the first keeper to start would hold all shards permanently and poll
+// all runners.
+func (l *leases) wantsLease(shard int) bool {
+	keeper := l.preferredKeeper(shard)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.opts.Now()
@@ -192,8 +195,9 @@
 	}
 }
 
-// prefer ranks the live keepers for a shard, the same way at each of them.
-func (l *leases) prefer(shard int) string {
+// preferredKeeper selects the preferred live keeper of a shard, with the same
+// result at all keepers.
+func (l *leases) preferredKeeper(shard int) string {
 	var keepers []string
 	for _, m := range l.opts.View.Members() {
 		if m.Role == port.RoleKeeper && m.State == port.MemberLive {
@@ -207,21 +211,21 @@
 	return rendezvous.New(keepers, xxhash.Sum64String).Lookup(strconv.Itoa(shard))
 }
 
-// write carries out what the lease asks for. A lost reply is settled by
-// reading again.
-func (l *leases) write(ctx context.Context, shard int, want bool) {
+// writeLease performs the write that the lease state requires. After a lost reply
+// it reads the lease again to determine the outcome.
+func (l *leases) writeLease(ctx context.Context, shard int, want bool) {
 	l.mu.Lock()
 	sent := l.opts.Now()
-	// No release while an order is under way: its successor would not wait
-	// for it.
-	w := l.shards[shard].Next(sent, want || l.orders[shard] > 0)
+	// The lease is not released while an order is under way, because the next
+	// holder would not wait for that order.
+	w := l.shards[shard].Next(sent, want || l.openOrders[shard] > 0)
 	l.mu.Unlock()
 	if w.Action == lease.ActionNone {
 		return
 	}
 	value, err := w.Record.Encode()
 	if err != nil {
-		l.failed(shardName(shard), err)
+		l.logFailure(shardName(shard), err)
 		return
 	}
 	call, cancel := context.WithTimeout(ctx, l.opts.CallTimeout)
@@ -233,25 +237,25 @@
 		l.shards[shard].Wrote(sent, l.opts.Now(), &w, object.Version)
 		l.mu.Unlock()
 	case errors.Is(err, port.ErrConflict):
-		l.see(shard, &object)
+		l.observeObject(shard, &object)
 	case errors.Is(err, port.ErrOutcomeUnknown):
-		l.settle(ctx, shard, sent, &w)
+		l.resolveUnknownWrite(ctx, shard, sent, &w)
 	default:
-		l.failed(shardName(shard), err)
+		l.logFailure(shardName(shard), err)
 	}
 }
 
-func (l *leases) settle(ctx context.Context, shard int, sent time.Time, w *lease.Write) {
+func (l *leases) resolveUnknownWrite(ctx context.Context, shard int, sent time.Time, w *lease.Write) {
 	call, cancel := context.WithTimeout(ctx, l.opts.CallTimeout)
 	defer cancel()
 	object, err := l.opts.Platform.Get(call, port.ObjectLease, shardName(shard))
 	if err != nil {
-		l.failed(shardName(shard), err)
+		l.logFailure(shardName(shard), err)
 		return
 	}
 	rec, err := lease.Decode(object.Value)
 	if err != nil {
-		l.failed(shardName(shard), err)
+		l.logFailure(shardName(shard), err)
 		return
 	}
 	l.mu.Lock()
@@ -264,13 +268,13 @@
 	l.shards[shard].Observe(now, object.Version, rec)
 }
 
-func (l *leases) see(shard int, object *port.Object) {
+func (l *leases) observeObject(shard int, object *port.Object) {
 	if object.Version == 0 {
 		return
 	}
 	rec, err := lease.Decode(object.Value)
 	if err != nil {
-		l.failed(shardName(shard), err)
+		l.logFailure(shardName(shard), err)
 		return
 	}
 	l.mu.Lock()
@@ -278,11 +282,11 @@
 	l.shards[shard].Observe(l.opts.Now(), object.Version, rec)
 }
 
-func (l *leases) failed(name string, err error) {
+func (l *leases) logFailure(name string, err error) {
 	l.opts.Logger.Warn().Str("event", "lease_failed").Str("object", name).Err(err).Msg("")
 }
 
-// shardOf maps an endpoint to its shard; false before the layout is known.
+// shardOf returns the shard of an endpoint, and false while the layout is not known.
 func (l *leases) shardOf(endpoint string) (int, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -292,7 +296,8 @@
 	return int(xxhash.Sum64String(endpoint) % uint64(len(l.shards))), true
 }
 
-// fence returns the fencing number of a shard that this keeper holds.
+// fence returns the fencing number of a shard and whether this keeper holds its
+// lease.
 func (l *leases) fence(shard int) (uint64, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -300,7 +305,8 @@
 	return s.Fence(), s.Holds(l.opts.Now())
 }
 
-// mayOrder is asked right before each order.
+// mayOrder reports whether the lease allows an order now. It is called right
+// before each order.
 func (l *leases) mayOrder(shard int, e *port.Endpoint) (uint64, lease.Refusal) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -315,27 +321,27 @@
 	return slices.ContainsFunc(l.shards, func(s *lease.Lease) bool { return s.Holds(now) })
 }
 
-// begin is mayOrder that also counts the order as under way, in one step, so
-// that the lease can't be given back in between.
-func (l *leases) begin(shard int, e *port.Endpoint) (uint64, lease.Refusal) {
+// beginOrder does the same as mayOrder and atomically counts the order as under
+// way, so that the lease cannot be released in between.
+func (l *leases) beginOrder(shard int, e *port.Endpoint) (uint64, lease.Refusal) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.shards[shard]
 	refusal := s.MayOrder(l.opts.Now(), e.FencesOrders)
 	if refusal == lease.RefusalNone {
-		l.orders[shard]++
+		l.openOrders[shard]++
 	}
 	return s.Fence(), refusal
 }
 
-func (l *leases) end(shard int) {
+func (l *leases) endOrder(shard int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.orders[shard]--
+	l.openOrders[shard]--
 }
 
-// owned reports whether this keeper holds the endpoint's lease.
-func (l *leases) owned(endpoint string) bool {
+// owns reports whether this keeper holds the endpoint's lease.
+func (l *leases) owns(endpoint string) bool {
 	shard, known := l.shardOf(endpoint)
 	if !known {
 		return false
--- a/internal/placement/ledger.go
+++ b/internal/placement/ledger.go
@@ -10,35 +10,36 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// ledgerName is the one object that holds all permits.
+// ledgerName is the name of the object that holds all permits.
 const ledgerName = "placement"
 
-// ledgerTries bounds how often a permit is tried against other keepers.
-const ledgerTries = 4
+// maxLedgerAttempts bounds the attempts to write the ledger in competition with
+// other keepers.
+const maxLedgerAttempts = 4
 
-// ledgerStore reads and writes the ledger by compare-and-set, one at a time.
+// ledgerStore reads and writes the ledger by compare-and-set, one change at a time.
 type ledgerStore struct {
 	opts *Options
 	mu   sync.Mutex
 }
 
-// counter counts the runners that serve a model, with their permits left out;
-// it may stop at enough.
-type counter func(l *placement.Ledger, model string, enough int) int
+// servingCounter counts the runners that serve a model, without those whose steps
+// have a permit to disrupt it. It may stop at needed.
+type servingCounter func(l *placement.Ledger, model string, needed int) int
 
-// take gets a permit, or says why not. The runners are counted after the
-// ledger was read and the ledger is written only if it is still the same, so
-// two keepers can't both count on the other's runner.
-func (s *ledgerStore) take(ctx context.Context, step *placement.Step, fence uint64, b placement.Budget, serving counter) string {
+// takePermit takes a permit, or returns the reason for the refusal. The runners are
+// counted after the ledger was read, and the ledger is written only if it is
+// unchanged, so two keepers cannot both rely on each other's runner.
+func (s *ledgerStore) takePermit(ctx context.Context, step *placement.Step, fence uint64, b placement.Budget, serving servingCounter) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	keep := map[string]int{}
+	required := map[string]int{}
 	for _, d := range step.Disrupts {
-		keep[d.Model] = d.Keep
+		required[d.Model] = d.Keep
 	}
 	refusal := ""
-	err := s.change(ctx, func(l *placement.Ledger) bool {
-		count := func(model string) int { return serving(l, model, keep[model]) }
+	err := s.update(ctx, func(l *placement.Ledger) bool {
+		count := func(model string) int { return serving(l, model, required[model]) }
 		refusal = l.Take(step, fence, b, count)
 		return refusal == ""
 	})
@@ -48,14 +49,14 @@
 	return refusal
 }
 
-// release gives back the permits that are over. A failure is left to the next
-// pass.
-func (s *ledgerStore) release(ctx context.Context, over func(placement.Permit) bool) {
+// releasePermits removes the permits that are finished. After a failure the next
+// pass tries again.
+func (s *ledgerStore) releasePermits(ctx context.Context, finished func(placement.Permit) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	err := s.change(ctx, func(l *placement.Ledger) bool {
+	err := s.update(ctx, func(l *placement.Ledger) bool {
 		before := len(l.Permits)
-		l.Permits = slices.DeleteFunc(l.Permits, over)
+		l.Permits = slices.DeleteFunc(l.Permits, finished)
 		return len(l.Permits) < before
 	})
 	if err != nil {
@@ -63,10 +64,10 @@
 	}
 }
 
-// change reads the ledger, lets f change it, and writes it where f says so.
-func (s *ledgerStore) change(ctx context.Context, f func(*placement.Ledger) bool) error {
+// update reads the ledger, applies f, and writes the ledger if f returns true.
+func (s *ledgerStore) update(ctx context.Context, f func(*placement.Ledger) bool) error {
 	var err error
-	for range ledgerTries {
+	for range maxLedgerAttempts {
 		var l *placement.Ledger
 		var version uint64
 		l, version, err = s.read(ctx)
@@ -77,8 +78,8 @@
 			return nil
 		}
 		err = s.write(ctx, l, version)
-		// After a lost reply the ledger is read again: f finds its own
-		// change there, or makes it once more.
+		// After a lost reply the ledger is read again: f finds its own change there, or
+		// makes it again.
 		if !errors.Is(err, port.ErrConflict) && !errors.Is(err, port.ErrOutcomeUnknown) {
 			return err
 		}
--- a/internal/placement/oracle_test.go
+++ b/internal/placement/oracle_test.go
@@ -11,14 +11,14 @@
 	_ "github.com/dragonflyrail/dragonflyrail/internal/testkit/fixedseed"
 )
 
-// Keepers freeze and wake up, the platform goes down, replies and orders are
-// lost, orders arrive late, keepers restart, versions change. At the runner
-// that ignores fencing numbers no older one is obeyed after a newer one, the
-// checking one never obeys one, loads stay within the budget, and no rollout
-// leaves a model without a runner that serves it.
+// Keepers freeze, resume and restart, the platform goes down, replies and orders
+// are lost, orders arrive late, and versions change. A runner that ignores fencing
+// numbers must not receive an older number after a newer one, a runner that checks
+// them must never accept an older one, loads must stay within the budget, and no
+// rollout may leave a model without a runner that serves it.
 func TestPlacementAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		m := &machine{t: rt, system: newSystem(rt, 3), frozen: make([]bool, 3)}
+		m := &stateMachine{t: rt, system: newSystem(rt, 3), frozen: make([]bool, 3)}
 		m.fleet.Add("a1", true, "m")
 		m.fleet.Add("b1", false, "m")
 		m.fleet.Add("c1", false)
@@ -32,52 +32,52 @@
 			m.step()
 			m.check()
 		}
-		m.settle()
+		m.converge()
 	})
 }
 
-type machine struct {
+type stateMachine struct {
 	*system
 	t       *rapid.T
 	frozen  []bool
 	version int
 	session int
-	late    []lateOrder
-	// fates of the next orders; they are drawn before a pass, as its orders
-	// are sent by other goroutines.
-	fates []int
+	delayed []delayedOrder
+	// faults holds the faults of the next orders. They are drawn before a pass
+	// because other goroutines send its orders.
+	faults []int
 }
 
-// obeyed is the fate of an order that nothing happens to.
-const obeyed = 9
+// noFault is the draw for an order that is delivered.
+const noFault = 9
 
-type lateOrder struct {
-	endpoint string
-	order    port.Order
-	latest   time.Time
+type delayedOrder struct {
+	endpoint  string
+	order     port.Order
+	deliverBy time.Time
 }
 
-// fault loses some orders; a lost one may have been obeyed, may come later,
-// or never.
-func (m *machine) fault(e port.Endpoint, o port.Order) error {
-	fate := obeyed
-	if len(m.fates) > 0 {
-		fate, m.fates = m.fates[0], m.fates[1:]
+// fault loses some orders. A lost order may never arrive, may have been carried
+// out, or may arrive later.
+func (m *stateMachine) fault(e port.Endpoint, o port.Order) error {
+	fault := noFault
+	if len(m.faults) > 0 {
+		fault, m.faults = m.faults[0], m.faults[1:]
 	}
-	switch fate {
+	switch fault {
 	case 0:
 		return port.ErrNotSent
 	case 1:
 		return port.ErrEndpointLost
 	case 2:
-		latest := m.now.Add(2 * testTerms.OrderTimeout)
-		m.late = append(m.late, lateOrder{e.ID, o, latest})
+		deliverBy := m.now.Add(2 * testTerms.OrderTimeout)
+		m.delayed = append(m.delayed, delayedOrder{e.ID, o, deliverBy})
 		return port.ErrEndpointLost
 	}
 	return nil
 }
 
-func (m *machine) step() {
+func (m *stateMachine) step() {
 	i := rapid.IntRange(0, len(m.loops)-1).Draw(m.t, "keeper")
 	action := rapid.SampledFrom([]string{
 		"lease", "lease", "lease", "pass", "pass", "pass", "time", "time", "freeze", "wake", "wake",
@@ -85,12 +85,12 @@
 	}).Draw(m.t, "action")
 	switch {
 	case action == "lease" && !m.frozen[i]:
-		m.lease(i)
+		m.leasePass(i)
 	case action == "pass" && !m.frozen[i]:
-		m.fates = rapid.SliceOfN(rapid.IntRange(0, obeyed), 3, 3).Draw(m.t, "fates")
+		m.faults = rapid.SliceOfN(rapid.IntRange(0, noFault), 3, 3).Draw(m.t, "faults")
 		m.pass(i)
 	case action == "time":
-		m.passTime(time.Duration(rapid.IntRange(100, 5000).Draw(m.t, "ms")) * time.Millisecond)
+		m.advanceTime(time.Duration(rapid.IntRange(100, 5000).Draw(m.t, "ms")) * time.Millisecond)
 	case action == "freeze" || action == "wake":
 		m.frozen[i] = action == "freeze"
 	case action == "down":
@@ -100,73 +100,73 @@
 	case action == "finish":
 		m.fleet.Finish()
 	case action == "deliver":
-		m.deliver(len(m.late))
+		m.deliverDelayed(len(m.delayed))
 	case action == "restart":
 		m.session++
-		m.start(m.t, i, fmt.Sprint("restart-", m.session))
+		m.startKeeper(m.t, i, fmt.Sprint("restart-", m.session))
 	case action == "revise":
 		m.version++
 		m.deploy(deploymentRecord("m", fmt.Sprint(m.version), rapid.IntRange(1, 2).Draw(m.t, "replicas"), 1))
 	}
 }
 
-// passTime delivers the late orders that can't be later.
-func (m *machine) passTime(d time.Duration) {
+// advanceTime delivers the delayed orders whose latest delivery falls within d.
+func (m *stateMachine) advanceTime(d time.Duration) {
 	end := m.now.Add(d)
-	var left []lateOrder
-	for _, l := range m.late {
-		if l.latest.Before(end) {
-			m.arrive(l)
+	var remaining []delayedOrder
+	for _, l := range m.delayed {
+		if l.deliverBy.Before(end) {
+			m.deliverOrder(l)
 		} else {
-			left = append(left, l)
+			remaining = append(remaining, l)
 		}
 	}
-	m.late = left
+	m.delayed = remaining
 	m.advance(d)
 }
 
-func (m *machine) deliver(n int) {
-	for _, l := range m.late[:n] {
-		m.arrive(l)
+func (m *stateMachine) deliverDelayed(n int) {
+	for _, l := range m.delayed[:n] {
+		m.deliverOrder(l)
 	}
-	m.late = m.late[n:]
+	m.delayed = m.delayed[n:]
 }
 
-func (m *machine) arrive(l lateOrder) {
+func (m *stateMachine) deliverOrder(l delayedOrder) {
 	_ = m.fleet.Deliver(l.endpoint, l.order)
 }
 
-func (m *machine) check() {
+func (m *stateMachine) check() {
 	for id, r := range m.fleet.Runners {
 		for i := 1; i < len(r.Heard); i++ {
 			if r.Heard[i] < r.Heard[i-1] {
-				m.t.Fatalf("%s obeyed fence %d after %d", id, r.Heard[i], r.Heard[i-1])
+				m.t.Fatalf("runner %s carried out an order with fencing number %d after %d", id, r.Heard[i], r.Heard[i-1])
 			}
 		}
 	}
 	if n := m.fleet.Loading(); n > 2 {
-		m.t.Fatalf("%d loads at the same time, the budget is 2", n)
+		m.t.Fatalf("%d concurrent loads, the budget is 2", n)
 	}
-	if any, _ := m.fleet.Serving("m", ""); any == 0 {
+	if serving, _ := m.fleet.Serving("m", ""); serving == 0 {
 		m.t.Fatal("no runner serves the model")
 	}
 }
 
-// settle ends the faults; the last revision must come into force.
-func (m *machine) settle() {
+// converge ends the faults and checks that the last revision comes into force.
+func (m *stateMachine) converge() {
 	m.platform.down, m.platform.loseReply, m.fleet.Fault = false, false, nil
-	m.deliver(len(m.late))
+	m.deliverDelayed(len(m.delayed))
 	m.deploy(deploymentRecord("m", "final", 2, 1))
 	for range 60 {
 		for i := range m.loops {
-			m.lease(i)
+			m.leasePass(i)
 			m.pass(i)
 		}
 		m.check()
 		m.fleet.Finish()
 		m.advance(2 * time.Second)
 	}
-	if any, right := m.fleet.Serving("m", "final"); any != 2 || right != 2 {
-		m.t.Fatalf("%d replicas, %d of them final", any, right)
+	if serving, current := m.fleet.Serving("m", "final"); serving != 2 || current != 2 {
+		m.t.Fatalf("%d replicas, %d of them with version final, want 2 of 2", serving, current)
 	}
 }
--- a/internal/placement/pass.go
+++ b/internal/placement/pass.go
@@ -24,18 +24,20 @@
 	outcomeUnknown = "unknown"
 )
 
-// Pass looks at all runners once and sends each of its own at most one order.
-// It returns when every order is answered or given up.
+// Pass reads the state of all runners once and sends at most one order to each
+// runner that this keeper holds. It returns when every order is answered or has
+// timed out.
 func (l *Loop) Pass(ctx context.Context) { l.pass(ctx, true) }
 
-// pass reads the states of all runners, or of its own first and of the others
-// only if something is to do. Whoever plans must know every runner's version:
-// two keepers that each took the other's runner for up to date would undo each
-// other's steps, or leave the spare replica of a rollout to the other.
+// pass reads the states of all runners, or first only those of the runners that
+// this keeper holds, and the others only if the plan has steps. A plan needs every
+// runner's version: if two keepers each assumed that the other's runner was up to
+// date, they would undo each other's steps, or each would leave the spare replica
+// of a rollout to the other.
 func (l *Loop) pass(ctx context.Context, all bool) {
 	// An incomplete set of records looks like one with deployments missing.
 	if !l.opts.View.Ready() || !l.leases.holdsAny() {
-		l.looked.next = l.opts.Interval
+		l.lastPass.nextInterval = l.opts.Interval
 		return
 	}
 	deployments := record.Deployments(l.opts.View.Records())
@@ -48,26 +50,27 @@
 		l.readStates(ctx, runners, true)
 		plan = placement.Make(deployments, runners)
 	}
-	l.finishPermits(ctx, runners)
+	l.releasePermits(ctx, runners)
 	for i := range plan.Shortfalls {
-		l.says.shortfall(&plan.Shortfalls[i])
+		l.recorder.recordShortfall(&plan.Shortfalls[i])
 	}
-	sent := l.carryOut(ctx, &plan, runners)
-	l.looked.next = l.nextLook(&plan, runners, sent)
+	sent := l.executeSteps(ctx, &plan, runners)
+	l.lastPass.nextInterval = l.intervalAfter(&plan, runners, sent)
 }
 
-// carryOut tries the steps of the runners held here and counts the orders.
-func (l *Loop) carryOut(ctx context.Context, plan *placement.Plan, runners []placement.Runner) int {
+// executeSteps attempts the steps of the runners that this keeper holds, and
+// returns the number of orders sent.
+func (l *Loop) executeSteps(ctx context.Context, plan *placement.Plan, runners []placement.Runner) int {
 	var sent atomic.Int64
 	var group errgroup.Group
 	group.SetLimit(l.opts.Parallel)
 	for i := range plan.Steps {
 		step := &plan.Steps[i]
-		if !l.leases.owned(step.Endpoint.ID) {
+		if !l.leases.owns(step.Endpoint.ID) {
 			continue
 		}
 		group.Go(func() error {
-			if l.attempt(ctx, step, runners) {
+			if l.attemptStep(ctx, step, runners) {
 				sent.Add(1)
 			}
 			return nil
@@ -77,7 +80,7 @@
 	return int(sent.Load())
 }
 
-// runners lists the runners as the keepers know them, states unknown.
+// runners lists the runners in the keeper's view, with unknown states.
 func (l *Loop) runners() []placement.Runner {
 	var runners []placement.Runner
 	for _, e := range l.opts.View.Endpoints() {
@@ -88,25 +91,26 @@
 	return runners
 }
 
-// readStates asks those runners for their state that are not known yet; others
-// than those held here only where all is set.
+// readStates reads the states that are not known yet, for all runners if all is
+// set, else only for the runners that this keeper holds.
 func (l *Loop) readStates(ctx context.Context, runners []placement.Runner, all bool) {
 	var group errgroup.Group
 	group.SetLimit(l.opts.Parallel)
 	for i := range runners {
-		if runners[i].Known || (!all && !l.leases.owned(runners[i].Endpoint.ID)) {
+		if runners[i].Known || (!all && !l.leases.owns(runners[i].Endpoint.ID)) {
 			continue
 		}
 		group.Go(func() error {
-			l.read(ctx, &runners[i])
+			l.readState(ctx, &runners[i])
 			return nil
 		})
 	}
 	_ = group.Wait()
 }
 
-// read fills in a runner's own word, unless it comes from another incarnation.
-func (l *Loop) read(ctx context.Context, r *placement.Runner) {
+// readState sets a runner's state from the runner's own reply, unless that reply
+// comes from an older incarnation.
+func (l *Loop) readState(ctx context.Context, r *placement.Runner) {
 	call, cancel := context.WithTimeout(ctx, l.opts.StateTimeout)
 	defer cancel()
 	state, err := l.opts.Orderer.State(call, r.Endpoint)
@@ -116,94 +120,95 @@
 	r.State, r.Known = state, true
 }
 
-// finishPermits gives back the permits of steps that are over. Only the holder
-// of a runner's lease does so, and only once it may order there itself: until
+// releasePermits releases the permits of steps that are finished. Only the holder
+// of a runner's lease does so, and only once it may send orders there itself: until
 // then an order of the former holder may still arrive.
-func (l *Loop) finishPermits(ctx context.Context, runners []placement.Runner) {
+func (l *Loop) releasePermits(ctx context.Context, runners []placement.Runner) {
 	if !l.leases.holdsAny() || len(runners) == 0 {
 		return
 	}
-	l.ledger.release(ctx, func(p placement.Permit) bool { return l.permitOver(&p, runners) })
+	l.ledger.releasePermits(ctx, func(p placement.Permit) bool { return l.permitFinished(&p, runners) })
 }
 
-func (l *Loop) permitOver(p *placement.Permit, runners []placement.Runner) bool {
+func (l *Loop) permitFinished(p *placement.Permit, runners []placement.Runner) bool {
 	i := slices.IndexFunc(runners, func(r placement.Runner) bool { return r.Endpoint.ID == p.Endpoint })
 	if i < 0 {
-		return l.leases.owned(p.Endpoint)
+		return l.leases.owns(p.Endpoint)
 	}
 	r := &runners[i]
 	shard, known := l.leases.shardOf(p.Endpoint)
 	if !known || l.isBlocked(p.Endpoint) {
 		return false
 	}
-	// Also a runner that checks fencing numbers obeys a late order of the
-	// former holder as long as it has heard nothing from this one.
-	unfenced := port.Endpoint{FencesOrders: false}
-	if _, refusal := l.leases.mayOrder(shard, &unfenced); refusal != lease.RefusalNone {
+	// A runner that checks fencing numbers also accepts a late order of the former
+	// holder until it has received an order from the new one.
+	withoutFencing := port.Endpoint{FencesOrders: false}
+	if _, refusal := l.leases.mayOrder(shard, &withoutFencing); refusal != lease.RefusalNone {
 		return false
 	}
 	return r.Endpoint.Incarnation > p.Incarnation || (r.Known && len(r.State.Loading) == 0)
 }
 
-// attempt sends one order if the lease and the ledger let it, and reports
-// whether it was sent.
-func (l *Loop) attempt(ctx context.Context, s *placement.Step, runners []placement.Runner) bool {
+// attemptStep sends one order if the lease and the ledger allow it, and reports
+// whether the order was sent.
+func (l *Loop) attemptStep(ctx context.Context, s *placement.Step, runners []placement.Runner) bool {
 	shard, known := l.leases.shardOf(s.Endpoint.ID)
 	if !known || l.isBlocked(s.Endpoint.ID) {
 		return false
 	}
 	fence, refusal := l.leases.mayOrder(shard, &s.Endpoint)
 	if refusal != lease.RefusalNone {
-		l.says.step(s, fence, string(refusal))
+		l.recorder.recordRefusedStep(s, fence, string(refusal))
 		return false
 	}
 	if s.Loads || len(s.Disrupts) > 0 {
-		if reason := l.permit(ctx, s, fence, runners); reason != "" {
-			l.says.step(s, fence, reason)
+		if reason := l.takePermit(ctx, s, fence, runners); reason != "" {
+			l.recorder.recordRefusedStep(s, fence, reason)
 			return false
 		}
 	}
-	// The permit took time: the lease is asked again, right before the send.
-	fence, refusal = l.leases.begin(shard, &s.Endpoint)
+	// Taking the permit took time, so the lease is checked again right before the
+	// order is sent.
+	fence, refusal = l.leases.beginOrder(shard, &s.Endpoint)
 	if refusal != lease.RefusalNone {
-		l.says.step(s, fence, string(refusal))
+		l.recorder.recordRefusedStep(s, fence, string(refusal))
 		return false
 	}
-	defer l.leases.end(shard)
-	l.send(s, fence)
+	defer l.leases.endOrder(shard)
+	l.sendOrder(s, fence)
 	return true
 }
 
-func (l *Loop) permit(ctx context.Context, s *placement.Step, fence uint64, runners []placement.Runner) string {
-	return l.ledger.take(ctx, s, fence, l.budget(), func(ledger *placement.Ledger, model string, enough int) int {
-		return l.countServing(ctx, s, ledger, model, enough, runners)
+func (l *Loop) takePermit(ctx context.Context, s *placement.Step, fence uint64, runners []placement.Runner) string {
+	return l.ledger.takePermit(ctx, s, fence, l.budget(), func(ledger *placement.Ledger, model string, needed int) int {
+		return l.countServing(ctx, s, ledger, model, needed, runners)
 	})
 }
 
-// countServing counts other runners that serve a model, by their own word,
-// until enough are found.
-func (l *Loop) countServing(ctx context.Context, s *placement.Step, ledger *placement.Ledger, model string, enough int, runners []placement.Runner) int {
-	n := 0
+// countServing counts the other runners that serve a model according to their own
+// replies, until needed are found.
+func (l *Loop) countServing(ctx context.Context, s *placement.Step, ledger *placement.Ledger, model string, needed int, runners []placement.Runner) int {
+	serving := 0
 	for i := range runners {
 		r := runners[i]
 		if r.Endpoint.ID == s.Endpoint.ID || !r.Serves(model) || ledger.Disturbed(r.Endpoint.ID, model) {
 			continue
 		}
 		r.Known = false
-		l.read(ctx, &r)
+		l.readState(ctx, &r)
 		if r.Known && r.Serves(model) {
-			n++
+			serving++
 		}
-		if n >= enough {
+		if serving >= needed {
 			break
 		}
 	}
-	return n
+	return serving
 }
 
-// send gives the order. It doesn't hang on the loop's context: an order that
-// was sent is waited for, also while the keeper stops.
-func (l *Loop) send(s *placement.Step, fence uint64) {
+// sendOrder sends the order. It does not use the loop's context: the reply to an
+// order that was sent is waited for, even while the keeper stops.
+func (l *Loop) sendOrder(s *placement.Step, fence uint64) {
 	o := s.Order
 	o.ID = uuid.NewString()
 	o.Fence = fence
@@ -212,13 +217,13 @@
 	err := l.opts.Orderer.Order(ctx, s.Endpoint, o)
 	outcome := outcomeOf(err)
 	if outcome == outcomeUnknown {
-		// It may still arrive, however early its connection broke: nothing
-		// else is sent until it can't any more.
-		patience := 2*l.opts.Terms.OrderTimeout + l.opts.Terms.Margin
-		l.block(s.Endpoint.ID, l.opts.Now().Add(patience))
+		// The order may still arrive, however early its connection broke. No other
+		// order is sent to the runner until it no longer can.
+		blockFor := 2*l.opts.Terms.OrderTimeout + l.opts.Terms.Margin
+		l.blockOrders(s.Endpoint.ID, l.opts.Now().Add(blockFor))
 	}
 	l.orders[outcome].Inc(1)
-	l.says.ordered(s, &o, outcome)
+	l.recorder.recordOrder(s, &o, outcome)
 }
 
 func outcomeOf(err error) string {
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -1,7 +1,7 @@
-// Package placement runs the placement of models for a keeper: it holds
-// leases over shards of endpoints, reads the runners' actual state, and sends
-// the orders that bring the model deployments into force. It keeps nothing: a
-// keeper that takes over a shard reads the state and goes on.
+// Package placement runs the placement of models for a keeper: it holds leases on
+// shards of endpoints, reads the actual state of the runners, and sends the orders
+// that bring the model deployments into force. It stores no state of its own; a
+// keeper that takes over a shard reads the actual state and continues from there.
 package placement
 
 import (
@@ -34,49 +34,48 @@
 	DefaultParallel      = 16
 )
 
-// View is what the keeper knows of the system.
+// View provides the keeper's view of the system.
 type View interface {
 	Records() []port.Record
 	Endpoints() []port.Endpoint
 	Members() []port.Member
-	// Ready reports whether Records is the whole set.
+	// Ready reports whether Records returns the complete set.
 	Ready() bool
 }
 
-// Options of a Loop. Platform, Orderer, Decisions, View, KeeperID and Session
-// are required.
+// Options configures a Loop. Platform, Orderer, Decisions, View, KeeperID and
+// Session are required.
 type Options struct {
 	Platform  port.Platform
 	Orderer   port.Orderer
 	Decisions port.DecisionSink
 	View      View
-	// KeeperID names the holder; Session is new with each start.
+	// KeeperID identifies the lease holder; Session is different after each start.
 	KeeperID string
 	Session  string
-	// Shards applies where the platform holds no layout yet.
+	// Shards is used only if the platform stores no layout yet.
 	Shards int
 	Terms  lease.Terms
-	// Interval is the time between two looks at the runners while there is
-	// something to do, IdleInterval that while nothing changes and every
-	// runner is as it should be. LeaseInterval is that between two looks at
-	// the leases.
+	// Interval is the time between two passes over the runners while there is work
+	// to do, IdleInterval while nothing changes and every runner is in its desired
+	// state. LeaseInterval is the time between two passes over the leases.
 	Interval      time.Duration
 	IdleInterval  time.Duration
 	LeaseInterval time.Duration
-	// TakeoverGrace is how long a keeper that is not the preferred one
-	// leaves an expired lease to the preferred one.
+	// TakeoverGrace is how long a keeper that is not the preferred one leaves an
+	// expired lease to the preferred one.
 	TakeoverGrace time.Duration
-	// GiveBackAfter is how long a shard's preferred keeper must have been
-	// live before another holder gives the shard back to it.
+	// GiveBackAfter is how long a shard's preferred keeper must have been live
+	// before another holder releases the shard to it.
 	GiveBackAfter time.Duration
-	// CallTimeout bounds a call to the platform, StateTimeout the reading of
-	// a runner's state.
+	// CallTimeout bounds a call to the platform, StateTimeout a read of a runner's
+	// state.
 	CallTimeout  time.Duration
 	StateTimeout time.Duration
-	// MaxLoads is the weight store's budget: loads at the same time, over
-	// all keepers.
+	// MaxLoads is the budget of the weight store: the number of concurrent loads
+	// over all keepers.
 	MaxLoads int
-	// Parallel bounds the runners asked at the same time.
+	// Parallel bounds the number of concurrent calls to runners.
 	Parallel int
 	// Now must be monotonic, as time.Now is within a process.
 	Now     func() time.Time
@@ -120,35 +119,36 @@
 
 func (discard) Write(p []byte) (int, error) { return len(p), nil }
 
-// Loop places models. Leases and runners are looked at apart, so that a slow
-// runner never costs a lease.
+// Loop places models. Leases and runners are processed by separate goroutines, so
+// that a slow runner never causes the loss of a lease.
 type Loop struct {
-	opts   Options
-	leases *leases
-	ledger *ledgerStore
-	says   *refusals
+	opts     Options
+	leases   *leases
+	ledger   *ledgerStore
+	recorder *decisionRecorder
 	// orders counts the orders sent, by outcome.
 	orders map[string]gometrics.Counter
 
-	// looked is what the last look rested on; it belongs to the one pass.
-	looked look
+	// lastPass is the state of the last pass. Only the goroutine that runs the
+	// passes uses it.
+	lastPass passState
 
 	mu sync.Mutex
-	// blocked holds the time before which a runner gets no order: the
-	// answer to its last one was lost, so it may still arrive.
-	blocked map[string]time.Time
+	// blockedUntil holds the time before which a runner gets no order, because the
+	// reply to its last order was lost and that order may still arrive.
+	blockedUntil map[string]time.Time
 }
 
-// New returns a Loop. It fails where the terms leave no room for an order.
+// New returns a Loop. It fails if the lease terms leave no time for an order.
 func New(o Options) (*Loop, error) {
 	o.setDefaults()
 	if err := o.Terms.Validate(); err != nil {
 		return nil, err
 	}
 	l := &Loop{
-		says:    newRefusals(o.Decisions, o.Now),
-		blocked: map[string]time.Time{},
-		orders:  map[string]gometrics.Counter{},
+		recorder:     newDecisionRecorder(o.Decisions, o.Now),
+		blockedUntil: map[string]time.Time{},
+		orders:       map[string]gometrics.Counter{},
 	}
 	l.opts = o
 	l.leases = newLeases(&l.opts)
@@ -159,22 +159,22 @@
 	return l, nil
 }
 
-// Run works until the context ends, then gives the leases back. No order is
-// cut off: the one under way is answered or runs into its timeout first.
+// Run works until the context ends, then releases the leases. It waits for orders
+// under way, until they are answered or time out.
 func (l *Loop) Run(ctx context.Context) {
-	var wait sync.WaitGroup
-	renewing, stop := context.WithCancel(context.Background())
-	wait.Go(func() { every(renewing, l.opts.LeaseInterval, l.leases.pass) })
-	every(ctx, l.opts.Interval, l.tick)
-	stop()
-	wait.Wait()
-	release, cancel := context.WithTimeout(context.Background(), l.opts.CallTimeout)
+	var group sync.WaitGroup
+	leaseCtx, stopLeases := context.WithCancel(context.Background())
+	group.Go(func() { runPeriodically(leaseCtx, l.opts.LeaseInterval, l.leases.pass) })
+	runPeriodically(ctx, l.opts.Interval, l.tick)
+	stopLeases()
+	group.Wait()
+	releaseCtx, cancel := context.WithTimeout(context.Background(), l.opts.CallTimeout)
 	defer cancel()
-	l.leases.release(release)
+	l.leases.release(releaseCtx)
 }
 
-// every calls f at once and then at each interval until the context ends.
-func every(ctx context.Context, interval time.Duration, f func(context.Context)) {
+// runPeriodically calls f at once and then at each interval until the context ends.
+func runPeriodically(ctx context.Context, interval time.Duration, f func(context.Context)) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
@@ -187,18 +187,18 @@
 	}
 }
 
-func (l *Loop) block(endpoint string, until time.Time) {
+func (l *Loop) blockOrders(endpoint string, until time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.blocked[endpoint] = until
+	l.blockedUntil[endpoint] = until
 }
 
 func (l *Loop) isBlocked(endpoint string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	until, found := l.blocked[endpoint]
+	until, found := l.blockedUntil[endpoint]
 	if found && !l.opts.Now().Before(until) {
-		delete(l.blocked, endpoint)
+		delete(l.blockedUntil, endpoint)
 		return false
 	}
 	return found
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -14,28 +14,28 @@
 	_ "github.com/dragonflyrail/dragonflyrail/internal/testkit/fixedseed"
 )
 
-func TestLoadsWithinTheBudgetUntilConverged(t *testing.T) {
+func TestLoadsStayWithinBudget(t *testing.T) {
 	s := newSystem(t, 1)
 	for i := range 5 {
 		s.fleet.Add(fmt.Sprint("a", i), false)
 	}
 	s.deploy(deploymentRecord("m", "1", 5, 1))
-	s.hold(t, 0)
+	s.acquireLease(t, 0)
 	for range 4 {
 		s.pass(0)
 		if n := s.fleet.Loading(); n > 2 {
 			t.Fatalf("%d loads at the same time, the budget is 2", n)
 		}
 		s.fleet.Finish()
-		s.lease(0)
+		s.leasePass(0)
 	}
-	if _, right := s.fleet.Serving("m", "1"); right != 5 {
-		t.Fatalf("%d replicas", right)
+	if _, current := s.fleet.Serving("m", "1"); current != 5 {
+		t.Fatalf("%d replicas serve version 1, want 5", current)
 	}
-	sent := s.fleet.Sent
+	sentBefore := s.fleet.Sent
 	s.pass(0)
-	if s.fleet.Sent != sent {
-		t.Fatal("orders go on after convergence")
+	if s.fleet.Sent != sentBefore {
+		t.Fatal("orders were sent after convergence")
 	}
 	orders, refusals := 0, 0
 	for _, d := range s.decisions(0) {
@@ -43,12 +43,12 @@
 		case verdictOrder:
 			orders++
 			if d.Fence == 0 || d.SubjectID == "" || d.ConfigurationVersion != 5 || d.Outcome != outcomeTaken {
-				t.Errorf("decision without its grounds: %+v", d)
+				t.Errorf("incomplete decision record: %+v", d)
 			}
 		case verdictRefuse:
 			refusals++
 			if !strings.Contains(d.Reason, "budget") {
-				t.Errorf("refusal without its reason: %+v", d)
+				t.Errorf("refusal without the reason \"budget\": %+v", d)
 			}
 		}
 	}
@@ -57,20 +57,21 @@
 	}
 }
 
-// oneRunner is a system with one runner that fences orders or not, has the
-// models ready in version 1, and shall serve m in the version; keeper 0 leads.
+// oneRunner returns a system with one runner that has the models ready in version 1,
+// and a deployment of m in the given version. fences sets whether the runner checks
+// fencing numbers. Keeper 0 holds the lease.
 func oneRunner(t *testing.T, keepers int, fences bool, version string, models ...string) *system {
 	t.Helper()
 	s := newSystem(t, keepers)
 	s.fleet.Add("a1", fences, models...)
 	s.deploy(deploymentRecord("m", version, 1, 1))
-	s.hold(t, 0)
+	s.acquireLease(t, 0)
 	return s
 }
 
-// The keeper is frozen while it asks for a permit, past its lease. The order
-// must not go out when it wakes up: the lease is asked again right before.
-func TestLeaseIsAskedAgainAfterThePermit(t *testing.T) {
+// Guards against sending an order after the lease expired while the keeper was
+// frozen between its request for a permit and the order.
+func TestLeaseIsCheckedAgainAfterPermit(t *testing.T) {
 	s := oneRunner(t, 1, true, "1")
 	s.platform.onPut = func(kind string) {
 		if kind == port.ObjectBudget {
@@ -79,79 +80,79 @@
 	}
 	s.pass(0)
 	if s.fleet.Sent != 0 {
-		t.Fatal("an order after the lease ran out")
+		t.Fatal("an order was sent after the lease expired")
 	}
 }
 
-// A keeper that has just started does not know all records. It must not take
-// the missing ones for deletions.
-func TestNoOrderBeforeTheRecordsAreComplete(t *testing.T) {
+// Guards against taking missing records for deletions at a keeper that has just
+// started and does not have all records yet.
+func TestNoOrdersOnIncompleteRecords(t *testing.T) {
 	s := oneRunner(t, 1, false, "1")
 	s.ready = false
 	s.pass(0)
 	if s.fleet.Sent != 0 {
-		t.Fatal("an order on incomplete records")
+		t.Fatal("an order was sent on incomplete records")
 	}
 }
 
-// The holder is frozen past its lease, a second keeper takes over and orders,
-// the first wakes up. It must not order any more.
-func TestFrozenHolderDoesNotOrder(t *testing.T) {
+// Guards against orders from a keeper that was frozen past the end of its lease,
+// after a second keeper has taken over and sent orders.
+func TestFormerHolderSendsNoOrders(t *testing.T) {
 	s := oneRunner(t, 2, false, "1")
-	s.lease(1)
+	s.leasePass(1)
 	s.advance(testTerms.Duration + testTerms.Margin + time.Second)
-	s.lease(1)
+	s.leasePass(1)
 	s.advance(testTerms.OrderTimeout + testTerms.Margin)
-	s.lease(1)
+	s.leasePass(1)
 	s.pass(0)
 	if s.fleet.Sent != 0 {
-		t.Fatal("the frozen holder ordered")
+		t.Fatal("the former holder sent an order")
 	}
 	s.pass(1)
 	if s.fleet.Sent != 1 {
-		t.Fatalf("the successor sent %d orders", s.fleet.Sent)
+		t.Fatalf("%d orders sent, want 1 by the successor", s.fleet.Sent)
 	}
 }
 
-// The holder dies while a runner loads. Its successor reads the runner's own
-// state and neither repeats the load nor takes its place in the budget away.
-func TestSuccessorGoesOnFromTheActualState(t *testing.T) {
+// Guards against repeating a load, or releasing its permit early, when the holder
+// dies while a runner loads. The successor reads the runner's actual state.
+func TestSuccessorResumesFromActualState(t *testing.T) {
 	s := oneRunner(t, 2, false, "1")
 	s.pass(0)
 	if s.fleet.Loading() != 1 {
 		t.Fatal("no load under way")
 	}
 	s.members = s.members[1:]
-	s.hold(t, 1)
+	s.acquireLease(t, 1)
 	s.pass(1)
 	if s.fleet.Sent != 1 {
 		t.Fatalf("%d orders, want the first one only", s.fleet.Sent)
 	}
 	ledger, _, err := s.loops[1].ledger.read(context.Background())
 	if err != nil || len(ledger.Permits) != 1 {
-		t.Fatalf("permits %+v, %v", ledger, err)
+		t.Fatalf("ledger %+v, error %v, want one permit", ledger, err)
 	}
 	s.fleet.Finish()
 	s.pass(1)
 	if ledger, _, _ = s.loops[1].ledger.read(context.Background()); len(ledger.Permits) != 0 {
-		t.Fatalf("the permit stays: %+v", ledger.Permits)
+		t.Fatalf("the permit was not released after the load: %+v", ledger.Permits)
 	}
 }
 
-// The holder's order to load is lost on its way and the holder dies. Its
-// successor has nothing to order there, but the order may still arrive: the
-// load keeps its place in the budget until it can't any more, also where the
-// runner checks fencing numbers, as it has heard no newer one.
-func TestPermitOutlivesTheFormerHolder(t *testing.T) {
+// Guards against releasing a permit while the former holder's order to load may
+// still arrive: the order was lost, its sender died, and the successor has no order
+// to send there. This also holds for a runner that checks fencing numbers, because
+// it has received no newer one.
+func TestPermitIsKeptWhileOrderMayArrive(t *testing.T) {
 	s := oneRunner(t, 2, true, "1")
 	s.fleet.Fault = func(port.Endpoint, port.Order) error { return port.ErrEndpointLost }
 	s.pass(0)
 	s.deploy(deploymentRecord("m", "1", 0, 1))
 	s.members = s.members[1:]
-	s.lease(1)
+	s.leasePass(1)
 	s.advance(testTerms.Duration + testTerms.Margin + time.Second)
-	s.lease(1)
-	permits := func() int {
+	s.leasePass(1)
+	permitCount := func() int {
 		s.pass(1)
 		ledger, _, err := s.loops[1].ledger.read(context.Background())
 		if err != nil {
@@ -159,69 +160,69 @@
 		}
 		return len(ledger.Permits)
 	}
-	if permits() != 1 {
-		t.Fatal("the permit was given back while the order may still arrive")
+	if permitCount() != 1 {
+		t.Fatal("the permit was released while the order may still arrive")
 	}
 	s.advance(testTerms.OrderTimeout + testTerms.Margin)
-	s.lease(1)
-	if permits() != 0 {
-		t.Fatal("the permit stays for ever")
+	s.leasePass(1)
+	if permitCount() != 0 {
+		t.Fatal("the permit was not released after the order can no longer arrive")
 	}
 }
 
-// The answer to an order is lost: it may still arrive. Nothing else goes to
-// that runner until it can't any more.
-func TestLostOrderBlocksItsRunner(t *testing.T) {
+// Guards against sending a second order to a runner while an order whose reply was
+// lost may still arrive.
+func TestOrderWithLostReplyBlocksRunner(t *testing.T) {
 	s := oneRunner(t, 1, false, "1")
 	s.fleet.Fault = func(port.Endpoint, port.Order) error { return port.ErrEndpointLost }
 	s.pass(0)
 	s.fleet.Fault = nil
 	for range 4 {
 		s.advance(2 * time.Second)
-		s.lease(0)
+		s.leasePass(0)
 		s.pass(0)
 		if s.fleet.Sent != 1 {
-			t.Fatal("a second order while the first may still arrive")
+			t.Fatal("a second order was sent while the first may still arrive")
 		}
 	}
 	s.advance(time.Second)
-	s.lease(0)
+	s.leasePass(0)
 	s.pass(0)
 	if s.fleet.Sent != 2 {
 		t.Fatalf("%d orders sent", s.fleet.Sent)
 	}
 }
 
-// One runner serves the model, there is no spare one. A new version is not
-// rolled out at the price of the last ready runner, and the operator can read
-// why. With a spare runner it is.
-func TestRolloutKeepsTheLastReadyRunner(t *testing.T) {
+// Guards against a rollout that takes the last ready runner of a model. Without a
+// spare runner the new version is not rolled out, and the reason is recorded for
+// the operator; with a spare runner it is rolled out.
+func TestRolloutKeepsLastReadyRunner(t *testing.T) {
 	s := oneRunner(t, 1, false, "2", "m")
 	s.pass(0)
 	if s.fleet.Sent != 0 {
-		t.Fatal("the last ready runner was taken")
+		t.Fatal("an order was sent to the last ready runner")
 	}
-	ds := s.decisions(0)
-	if len(ds) != 1 || !strings.Contains(ds[0].Reason, "last ready runner of m") || ds[0].SubjectID != "a1" {
-		t.Fatalf("got %+v", ds)
+	decisions := s.decisions(0)
+	if len(decisions) != 1 || !strings.Contains(decisions[0].Reason, "last ready runner of m") || decisions[0].SubjectID != "a1" {
+		t.Fatalf("got decisions %+v, want one refusal of a1 that names the last ready runner of m", decisions)
 	}
 	s.fleet.Add("b1", false)
 	for range 6 {
-		s.lease(0)
+		s.leasePass(0)
 		s.pass(0)
-		if any, _ := s.fleet.Serving("m", "2"); any == 0 {
+		if serving, _ := s.fleet.Serving("m", "2"); serving == 0 {
 			t.Fatal("no runner serves the model")
 		}
 		s.fleet.Finish()
 	}
-	if any, right := s.fleet.Serving("m", "2"); any != 1 || right != 1 {
-		t.Fatalf("%d runners serve it, %d in the new version", any, right)
+	if serving, current := s.fleet.Serving("m", "2"); serving != 1 || current != 1 {
+		t.Fatalf("%d runners serve the model, %d of them in the new version, want 1 of 1", serving, current)
 	}
 }
 
-// Two keepers, each with the lease of one of the last two runners, decide at
-// the same moment. Each counts on the other's runner; the ledger lets one go.
-func TestTwoHoldersDoNotTakeTheLastTwoRunners(t *testing.T) {
+// Guards against two keepers that concurrently take the last two runners, each
+// relying on the other's runner. The ledger must allow only one of them.
+func TestConcurrentHoldersKeepOneRunnerServing(t *testing.T) {
 	s := newSystem(t, 2)
 	s.fleet.Add("a1", false, "m")
 	s.fleet.Add("b1", false, "m")
@@ -229,10 +230,10 @@
 		r.InPlace = true
 	}
 	s.deploy(deploymentRecord("m", "2", 2, 2))
-	s.hold(t, 0)
-	s.hold(t, 1)
-	// Both leases are taken for one shard here, so the second keeper is
-	// given its own view of holding: what counts is the ledger's race.
+	s.acquireLease(t, 0)
+	s.acquireLease(t, 1)
+	// There is only one shard, whose lease keeper 1 now holds. Keeper 0 takes its
+	// permit without a lease, because the test concerns only the race on the ledger.
 	ctx := context.Background()
 	runners0 := s.loops[0].runners()
 	s.loops[0].readStates(ctx, runners0, true)
@@ -244,131 +245,133 @@
 		raced = true
 		s.pass(1)
 	}
-	step := planFor(t, s, "a1")
-	reason := s.loops[0].permit(ctx, step, 1, runners0)
+	step := stepFor(t, s, "a1")
+	reason := s.loops[0].takePermit(ctx, step, 1, runners0)
 	if !raced {
 		t.Fatal("the race did not take place")
 	}
 	if !strings.Contains(reason, "last ready runner") && !strings.Contains(reason, "only") {
-		t.Fatalf("both runners may be taken: %q", reason)
+		t.Fatalf("no refusal for the second runner, reason %q", reason)
 	}
-	if any, _ := s.fleet.Serving("m", "1"); any != 1 {
-		t.Fatalf("%d runners serve the model", any)
+	if serving, _ := s.fleet.Serving("m", "1"); serving != 1 {
+		t.Fatalf("%d runners serve the model, want 1", serving)
 	}
 }
 
-// The platform is down. The holder orders while its lease lasts by its own
-// clock, then stops; once the platform is back it takes the lease anew.
-func TestPlatformDownEndsOrdersWithTheLease(t *testing.T) {
+// Guards against orders without a valid lease while the platform is down. The
+// holder may send orders until its lease ends by its own clock, and takes the lease
+// again once the platform is back.
+func TestNoOrdersOnceLeaseExpiresInOutage(t *testing.T) {
 	s := oneRunner(t, 1, true, "1", "m")
 	s.platform.down = true
 	s.advance(testTerms.Duration)
-	s.lease(0)
+	s.leasePass(0)
 	s.deploy(deploymentRecord("m", "1", 0, 1))
 	s.pass(0)
 	if s.fleet.Sent != 0 {
-		t.Fatal("an order without a lease")
+		t.Fatal("an order was sent without a valid lease")
 	}
 	s.platform.down = false
-	s.hold(t, 0)
+	s.acquireLease(t, 0)
 	s.pass(0)
 	if s.fleet.Sent != 1 {
 		t.Fatalf("%d orders after the outage", s.fleet.Sent)
 	}
 }
 
-// The reply to a renewal is lost; it took effect. The lease goes on, and its
-// fencing number is the same.
-func TestLostRenewalIsRecognised(t *testing.T) {
+// Guards against losing a lease, or changing its fencing number, when a renewal
+// took effect but its reply was lost.
+func TestRenewalWithLostReplyIsRecognised(t *testing.T) {
 	s := newSystem(t, 1)
-	s.hold(t, 0)
+	s.acquireLease(t, 0)
 	fence, _ := s.loops[0].leases.fence(0)
 	s.advance(6 * time.Second)
 	s.platform.loseReply = true
-	s.lease(0)
+	s.leasePass(0)
 	s.advance(10 * time.Second)
-	got, holds := s.loops[0].leases.fence(0)
-	if !holds || got != fence {
-		t.Fatalf("holds %v, fence %d, was %d", holds, got, fence)
+	fenceAfter, holds := s.loops[0].leases.fence(0)
+	if !holds || fenceAfter != fence {
+		t.Fatalf("lease held: %v, fencing number %d, want %d", holds, fenceAfter, fence)
 	}
 }
 
-// The first keeper to start has every shard. Once another one has been live
-// for a while, it gives back those that the other is preferred for, but not
-// while an order is under way: the successor would not wait for it.
-func TestShardIsGivenBackToThePreferredKeeper(t *testing.T) {
+// Guards against one keeper holding all shards because it started first. Once
+// another keeper has been live for GiveBackAfter, the holder releases the shards
+// for which that keeper is preferred, but not while an order is under way, because
+// the successor would not wait for it.
+func TestShardReturnsToPreferredKeeper(t *testing.T) {
 	s := newSystem(t, 2)
 	preferred := 0
-	if s.loops[0].leases.prefer(0) == s.members[1].ID {
+	if s.loops[0].leases.preferredKeeper(0) == s.members[1].ID {
 		preferred = 1
 	}
 	other := 1 - preferred
 	members := s.members
 	s.members = members[other : other+1]
-	s.hold(t, other)
+	s.acquireLease(t, other)
 	s.members = members
-	held := func(i int) bool { return s.loops[i].leases.holdsAny() }
-	pass := func(d time.Duration) {
+	holds := func(i int) bool { return s.loops[i].leases.holdsAny() }
+	runFor := func(d time.Duration) {
 		for ; d > 0; d -= 3 * time.Second {
 			s.advance(3 * time.Second)
-			s.lease(other)
-			s.lease(preferred)
+			s.leasePass(other)
+			s.leasePass(preferred)
 		}
 	}
-	pass(DefaultGiveBackAfter - 6*time.Second)
-	if !held(other) || held(preferred) {
-		t.Fatal("given back too early")
+	runFor(DefaultGiveBackAfter - 6*time.Second)
+	if !holds(other) || holds(preferred) {
+		t.Fatal("the shard was released before GiveBackAfter")
 	}
-	if _, refusal := s.loops[other].leases.begin(0, &port.Endpoint{}); refusal != "" {
+	if _, refusal := s.loops[other].leases.beginOrder(0, &port.Endpoint{}); refusal != "" {
 		t.Fatal(refusal)
 	}
-	pass(30 * time.Second)
-	if !held(other) {
-		t.Fatal("given back while an order is under way")
+	runFor(30 * time.Second)
+	if !holds(other) {
+		t.Fatal("the shard was released while an order is under way")
 	}
-	s.loops[other].leases.end(0)
-	pass(3 * time.Second)
-	if held(other) || !held(preferred) {
-		t.Fatal("not given back")
+	s.loops[other].leases.endOrder(0)
+	runFor(3 * time.Second)
+	if holds(other) || !holds(preferred) {
+		t.Fatal("the shard was not released to the preferred keeper")
 	}
 }
 
-// Every runner is as it should be: the keeper asks them rarely, and at once
-// when a record changes.
-func TestSettledRunnersAreAskedRarely(t *testing.T) {
+// Guards against frequent polls of runners that are all in their desired state. A
+// changed record must still cause a pass at once.
+func TestConvergedRunnersArePolledRarely(t *testing.T) {
 	s := oneRunner(t, 1, false, "1", "m")
 	ctx := context.Background()
 	s.loops[0].tick(ctx)
-	asked := s.fleet.Asked
+	askedBefore := s.fleet.Asked
 	for range 5 {
 		s.advance(DefaultInterval)
-		s.lease(0)
+		s.leasePass(0)
 		s.loops[0].tick(ctx)
 	}
-	if s.fleet.Asked != asked {
-		t.Fatalf("asked %d times while nothing changed", s.fleet.Asked-asked)
+	if s.fleet.Asked != askedBefore {
+		t.Fatalf("%d state reads while nothing changed", s.fleet.Asked-askedBefore)
 	}
 	s.advance(DefaultIdleInterval)
-	s.lease(0)
-	s.lease(0)
+	s.leasePass(0)
+	s.leasePass(0)
 	s.loops[0].tick(ctx)
-	if s.fleet.Asked == asked {
-		t.Fatal("a runner that changed by itself is never seen")
+	if s.fleet.Asked == askedBefore {
+		t.Fatal("no state was read after IdleInterval")
 	}
 	r := deploymentRecord("m", "1", 0, 1)
 	r.Version++
 	s.deploy(r)
 	s.advance(testTerms.OrderTimeout + testTerms.Margin)
-	s.lease(0)
+	s.leasePass(0)
 	s.loops[0].tick(ctx)
 	if s.fleet.Sent != 1 {
-		t.Fatal("the changed record waits")
+		t.Fatal("no order was sent after the record changed")
 	}
 }
 
-// The runners of a model are ordered by different keepers. Each must know the
-// others' versions: taking them for up to date, one would unload the new
-// version that the other has just loaded, or nobody would load the spare one.
+// Guards against planning without the versions of runners that other keepers hold.
+// Assuming those to be up to date, one keeper would unload the new version that the
+// other has just loaded, or no keeper would load the spare replica.
 func TestRolloutAcrossKeepers(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := newShardedSystem(rt, 3, 8)
@@ -384,29 +387,29 @@
 		}
 		s.deploy(deploymentRecord("m", "1", replicas, 1))
 		for range 14 {
-			s.round() // the leases are taken and the successors' wait is over
+			s.round() // the leases are taken and their holders may send orders
 		}
 		s.deploy(deploymentRecord("m", "2", replicas, 1))
-		for quiet := 0; quiet < 3; quiet++ {
+		for quietRounds := 0; quietRounds < 3; quietRounds++ {
 			sent := s.fleet.Sent
 			s.round()
 			if s.fleet.Sent > sent {
-				quiet = 0
+				quietRounds = 0
 			}
 			if s.fleet.Sent > 10*n {
-				rt.Fatalf("%d orders for %d runners, and no end", s.fleet.Sent, n)
+				rt.Fatalf("%d orders for %d runners, the rollout does not converge", s.fleet.Sent, n)
 			}
-			if any, _ := s.fleet.Serving("m", ""); any == 0 {
+			if serving, _ := s.fleet.Serving("m", ""); serving == 0 {
 				rt.Fatal("no runner serves the model")
 			}
 		}
-		if any, right := s.fleet.Serving("m", "2"); any != replicas || right != replicas {
-			rt.Fatalf("%d of %d replicas, %d of them new", any, replicas, right)
+		if serving, current := s.fleet.Serving("m", "2"); serving != replicas || current != replicas {
+			rt.Fatalf("%d of %d replicas, %d of them with the new version", serving, replicas, current)
 		}
 	})
 }
 
-func TestRunGivesTheLeasesBack(t *testing.T) {
+func TestRunReleasesLeasesOnExit(t *testing.T) {
 	s := newSystem(t, 1)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
--- a/internal/placement/tick.go
+++ b/internal/placement/tick.go
@@ -11,37 +11,38 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/core/placement"
 )
 
-// refusedFactor spaces the looks while every step is refused, as the last
-// ready runner of a model is for as long as no other one comes.
-const refusedFactor = 5
+// refusedIntervalFactor multiplies the interval while every step is refused. The
+// step on the last ready runner of a model, for example, is refused until another
+// runner serves the model.
+const refusedIntervalFactor = 5
 
-// look is what the last pass saw.
-type look struct {
-	at time.Time
-	// input hashes the records, the endpoints and the leases held.
-	input uint64
-	// next is the time until the next look, if nothing changes.
-	next time.Duration
+// passState holds the time and the inputs of the last pass.
+type passState struct {
+	startedAt time.Time
+	// inputHash is the hash of the records, the endpoints and the leases held.
+	inputHash uint64
+	// nextInterval is the time until the next pass if nothing changes.
+	nextInterval time.Duration
 }
 
-// tick makes a pass when one is due: at once when a record, an endpoint or a
-// lease changes, often while something is under way, rarely while every runner
-// is as it should be. Asking all of them every two seconds would cost a keeper
-// more than the whole of its other control work.
+// tick makes a pass when one is due: at once when a record, an endpoint or a lease
+// changes, often while an order or a load is under way, rarely while every runner is
+// in its desired state. To read the state of all runners every two seconds would cost
+// a keeper more than the rest of its control work.
 func (l *Loop) tick(ctx context.Context) {
-	input := l.input()
+	input := l.hashInputs()
 	now := l.opts.Now()
-	changed := l.looked.input != input || l.looked.at.IsZero()
-	if !changed && now.Sub(l.looked.at) < l.looked.next {
+	changed := l.lastPass.inputHash != input || l.lastPass.startedAt.IsZero()
+	if !changed && now.Sub(l.lastPass.startedAt) < l.lastPass.nextInterval {
 		return
 	}
-	settled := !changed && l.looked.next >= l.opts.IdleInterval
-	l.looked.at, l.looked.input = now, input
-	l.pass(ctx, !settled)
+	converged := !changed && l.lastPass.nextInterval >= l.opts.IdleInterval
+	l.lastPass.startedAt, l.lastPass.inputHash = now, input
+	l.pass(ctx, !converged)
 }
 
-// nextLook is when to look again if nothing changes.
-func (l *Loop) nextLook(plan *placement.Plan, runners []placement.Runner, sent int) time.Duration {
+// intervalAfter returns the time until the next pass if nothing changes.
+func (l *Loop) intervalAfter(plan *placement.Plan, runners []placement.Runner, sent int) time.Duration {
 	loading := slices.ContainsFunc(runners, func(r placement.Runner) bool {
 		return r.Known && len(r.State.Loading) > 0
 	})
@@ -49,29 +50,29 @@
 	case sent > 0 || loading:
 		return l.opts.Interval
 	case len(plan.Steps) > 0:
-		return refusedFactor * l.opts.Interval
+		return refusedIntervalFactor * l.opts.Interval
 	default:
 		return l.opts.IdleInterval
 	}
 }
 
-// input hashes all that a plan rests on but the runners' own word.
-func (l *Loop) input() uint64 {
+// hashInputs hashes the inputs of a plan except the states read from the runners.
+func (l *Loop) hashInputs() uint64 {
 	h := xxhash.New()
-	number := func(n uint64) {
+	writeNumber := func(n uint64) {
 		var raw [8]byte
 		binary.BigEndian.PutUint64(raw[:], n)
 		_, _ = h.Write(raw[:])
 	}
 	for _, r := range l.opts.View.Records() {
 		_, _ = h.WriteString(r.Kind + "/" + r.Name)
-		number(r.Version)
+		writeNumber(r.Version)
 	}
 	for _, e := range l.opts.View.Endpoints() {
 		_, _ = h.WriteString(e.ID + "/" + string(e.State))
-		number(e.Incarnation)
-		if l.leases.owned(e.ID) {
-			number(1)
+		writeNumber(e.Incarnation)
+		if l.leases.owns(e.ID) {
+			writeNumber(1)
 		}
 		for _, m := range e.Models {
 			_, _ = h.WriteString(m)
