--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,5 +1,5 @@
-// Package fleet derives from the members how many daemons serve callers, and
-// which place this one has among them.
+// Package fleet derives from the member list how many daemons serve callers and
+// which rank this daemon has among them.
 package fleet
 
 import (
@@ -9,25 +9,25 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// Members is the part of the state that the fleet is derived from.
+// Members is the part of the state that Fleet uses.
 type Members interface {
 	Members() []port.Member
-	// Changed is closed at the next change of any of the state.
+	// Changed returns a channel that is closed at the next change of any of the state.
 	Changed() <-chan struct{}
 }
 
-// Fleet derives from the members what each decision asks for: how many
-// routers share the limits, and this one's place among them. It is read for
-// every request and changes with a member only, so it is kept until the state
-// changes: listing hundreds of members per request would cost more than the
-// decision itself. It is safe for concurrent use.
+// Fleet derives from the members the number of routers that share the limits and
+// this router's rank among them. Both are read for every request but change only
+// with a member, so the result is cached until the state changes: to list hundreds
+// of members per request would cost more than the decision itself. It is safe for
+// concurrent use.
 type Fleet struct {
-	selfID string
-	view   Members
-	kept   atomic.Pointer[snapshot]
+	selfID  string
+	members Members
+	cached  atomic.Pointer[snapshot]
 }
 
-// snapshot holds until changed is closed.
+// snapshot is valid until changed is closed.
 type snapshot struct {
 	changed <-chan struct{}
 	rank    int
@@ -35,17 +35,18 @@
 	keepers []string
 }
 
-// New returns the fleet as seen by the daemon of that id.
-func New(selfID string, view Members) *Fleet { return &Fleet{selfID: selfID, view: view} }
+// New returns the Fleet of the daemon with the id selfID.
+func New(selfID string, members Members) *Fleet { return &Fleet{selfID: selfID, members: members} }
 
-func (f *Fleet) state() *snapshot {
-	if s := f.kept.Load(); s != nil && !isClosed(s.changed) {
+func (f *Fleet) current() *snapshot {
+	if s := f.cached.Load(); s != nil && !isClosed(s.changed) {
 		return s
 	}
-	// Taken before the members are read: a change in between is seen next time.
-	s := &snapshot{changed: f.view.Changed()}
-	s.derive(f.selfID, f.view.Members())
-	f.kept.Store(s)
+	// The channel is fetched before the members are read, so that a change in
+	// between invalidates the snapshot.
+	s := &snapshot{changed: f.members.Changed()}
+	s.derive(f.selfID, f.members.Members())
+	f.cached.Store(s)
 	return s
 }
 
@@ -77,15 +78,16 @@
 	s.routers = len(ids)
 }
 
-// LiveRouters counts the routers that share the limits, this one included.
-func (f *Fleet) LiveRouters() int { return f.state().routers }
+// LiveRouters returns the number of routers that share the limits, including this
+// one.
+func (f *Fleet) LiveRouters() int { return f.current().routers }
 
-// RouterRank is this router's place among the live ones, by id, and their
-// count. Each router prefers the runners of its rank.
+// RouterRank returns this router's rank among the live routers, ordered by id, and
+// their number. Each router prefers the runners of its rank.
 func (f *Fleet) RouterRank() (rank, live int) {
-	s := f.state()
+	s := f.current()
 	return s.rank, s.routers
 }
 
-// LiveKeepers lists the peer addresses of the keepers known to be live.
-func (f *Fleet) LiveKeepers() []string { return f.state().keepers }
+// LiveKeepers returns the peer addresses of the keepers known to be live.
+func (f *Fleet) LiveKeepers() []string { return f.current().keepers }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -7,7 +7,7 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// fakeMembers is a view that counts how often its members are read.
+// fakeMembers is a member list that counts its reads.
 type fakeMembers struct {
 	members []port.Member
 	changed chan struct{}
@@ -36,10 +36,10 @@
 		members    []port.Member
 		rank, live int
 	}{
-		{"alone, itself not listed yet", nil, 0, 1},
-		{"in the middle", []port.Member{routerMember("r1", port.MemberLive), routerMember("r2", port.MemberLive), routerMember("r3", port.MemberLive), keeper}, 1, 3},
-		{"one before it leaves", []port.Member{routerMember("r1", port.MemberLeaving), routerMember("r2", port.MemberLive), routerMember("r3", port.MemberLive)}, 0, 2},
-		{"taken for suspect itself", []port.Member{routerMember("r1", port.MemberLive), routerMember("r2", port.MemberSuspect)}, 1, 2},
+		{"no members, this router not listed yet", nil, 0, 1},
+		{"between two other routers", []port.Member{routerMember("r1", port.MemberLive), routerMember("r2", port.MemberLive), routerMember("r3", port.MemberLive), keeper}, 1, 3},
+		{"a router of lower rank is leaving", []port.Member{routerMember("r1", port.MemberLeaving), routerMember("r2", port.MemberLive), routerMember("r3", port.MemberLive)}, 0, 2},
+		{"this router is itself suspect", []port.Member{routerMember("r1", port.MemberLive), routerMember("r2", port.MemberSuspect)}, 1, 2},
 	}
 	view := &fakeMembers{}
 	view.set()
@@ -64,10 +64,10 @@
 	}
 	view.set(routerMember("r1", port.MemberDead))
 	if live := f.LiveRouters(); live != 1 {
-		t.Fatalf("%d live after the change", live)
+		t.Fatalf("%d live routers after the change, want 1", live)
 	}
 	if view.reads != 2 {
-		t.Fatalf("members were read %d times for one change", view.reads)
+		t.Fatalf("members were read %d times, want 2: at the start and after the change", view.reads)
 	}
 }
 
@@ -88,7 +88,7 @@
 			})
 			b.Run("derived", func(b *testing.B) {
 				for range b.N {
-					f.kept.Store(nil)
+					f.cached.Store(nil)
 					f.RouterRank()
 				}
 			})
