--- a/internal/port/doc.go
+++ b/internal/port/doc.go
@@ -1,3 +1,3 @@
-// Package port holds the typed interfaces and messages between the decisions
-// in core and the adapters that reach the world. It imports neither.
+// Package port defines the interfaces and message types between the decisions in
+// core and the adapters that do the input and output. It imports neither.
 package port
--- a/internal/port/endpoint.go
+++ b/internal/port/endpoint.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// EndpointKind tells model runners from plain services.
+// EndpointKind distinguishes model runners from plain services.
 type EndpointKind string
 
 // The kinds of endpoint.
@@ -11,18 +11,18 @@
 	KindService EndpointKind = "service"
 )
 
-// EndpointState only grows within an incarnation, so that a late message
-// never brings back an endpoint that is leaving.
+// EndpointState only advances within an incarnation, so that a late message never
+// returns a leaving endpoint to service.
 type EndpointState string
 
-// The states of an endpoint, in their order.
+// The states of an endpoint, in the order in which they advance.
 const (
 	EndpointLive    EndpointState = "live"
 	EndpointLeaving EndpointState = "leaving"
 	EndpointGone    EndpointState = "gone"
 )
 
-// Endpoint is one runner or service endpoint as the system knows it.
+// Endpoint is a runner or service endpoint as known to the system.
 type Endpoint struct {
 	ID            string        `json:"id"`
 	Kind          EndpointKind  `json:"kind"`
@@ -31,46 +31,47 @@
 	FailureDomain string        `json:"failure_domain"`
 	Incarnation   uint64        `json:"incarnation"`
 	State         EndpointState `json:"state"`
-	// FencesOrders says whether the endpoint refuses an order with an old
-	// fencing number.
+	// FencesOrders reports whether the endpoint refuses an order with an old fencing
+	// number.
 	FencesOrders bool     `json:"fences_orders"`
 	Models       []string `json:"models,omitempty"`
-	// Slots is the number of requests that run at once; zero where the
-	// platform doesn't say.
+	// Slots is the number of requests that run concurrently; zero if the platform
+	// does not report it.
 	Slots int `json:"slots,omitempty"`
-	// CacheTokens is the room of a runner's cache where the operators say it;
-	// its own report goes before.
+	// CacheTokens is the capacity of a runner's cache in tokens, if the operators
+	// set it. The runner's own report takes precedence.
 	CacheTokens int `json:"cache_tokens,omitempty"`
-	// Revision is that of the platform's registry behind State. An entry of a
-	// larger revision goes before one that is known, also where that was
-	// leaving: an endpoint whose entry had lapsed is listed again. It is zero
-	// where the platform's list has no order; then State only grows.
+	// Revision is the revision of the platform's registry that State is based on.
+	// An entry with a larger revision replaces a known one, even one that is
+	// leaving: an endpoint whose entry had expired is listed again. It is zero if
+	// the platform's list has no order; then State only advances.
 	Revision StoreRevision `json:"revision,omitempty"`
 	// Unreachable is set while the keepers' probes fail. Unlike State it is
-	// taken back when they succeed again: a cut link heals.
+	// cleared when they succeed again, because a broken link may recover.
 	Unreachable bool `json:"unreachable,omitempty"`
-	// RateLimit is the requests a second that the endpoint says it takes from all
-	// daemons together; zero is no limit.
+	// RateLimit is the number of requests per second that the endpoint reports to
+	// accept from all daemons together; zero means no limit.
 	RateLimit float64 `json:"rate_limit,omitempty"`
-	// ColdFor is how long the endpoint stays cold after the registry's entry was
-	// written: it takes few requests until then.
+	// ColdFor is how long the endpoint stays cold after its registry entry was
+	// written. A cold endpoint accepts only few requests.
 	ColdFor time.Duration `json:"cold_for,omitempty"`
-	// ColdRate is the requests a second that the endpoint takes from all daemons
-	// together while it is cold; zero where it isn't. Each daemon sets it by what
-	// it knows.
+	// ColdRate is the number of requests per second that the endpoint accepts from
+	// all daemons together while it is cold; zero if it is not cold. Each daemon
+	// sets it from its own state.
 	ColdRate float64 `json:"cold_rate,omitempty"`
-	// Evacuated: nothing more is to be sent to the endpoints of its failure
-	// domain. Each daemon sets it by the evacuations that it knows.
+	// Evacuated is set if nothing more may be sent to the endpoints of this
+	// endpoint's failure domain. Each daemon sets it from the evacuations that it
+	// knows.
 	Evacuated bool `json:"evacuated,omitempty"`
 }
 
-// LoadReport is what an endpoint says of its own load. It is always late.
+// LoadReport is an endpoint's report of its own load. It is always out of date.
 type LoadReport struct {
 	EndpointID  string        `json:"endpoint"`
 	Incarnation uint64        `json:"incarnation"`
 	State       EndpointState `json:"state"`
-	// TakenUnixMillis is the endpoint's own clock; compare it only with
-	// other reports of the same endpoint.
+	// TakenUnixMillis is the time of the report by the endpoint's own clock. It may
+	// be compared only with other reports of the same endpoint.
 	TakenUnixMillis int64 `json:"taken_unix_millis"`
 	BlocksTotal     int   `json:"blocks_total"`
 	BlocksUsed      int   `json:"blocks_used"`
@@ -78,16 +79,17 @@
 	BlockTokens int `json:"block_tokens"`
 	Running     int `json:"running"`
 	Waiting     int `json:"waiting"`
-	// WaitingPromptTokens are prompt tokens not yet prefilled.
+	// WaitingPromptTokens is the number of prompt tokens not yet prefilled.
 	WaitingPromptTokens int `json:"waiting_prompt_tokens"`
-	// Preemptions counts since the engine started.
+	// Preemptions is the number of preemptions since the engine started.
 	Preemptions uint64 `json:"preemptions"`
-	// TokenMillis is the recent time of one decoding step.
+	// TokenMillis is the recent duration of one decoding step in milliseconds.
 	TokenMillis float64  `json:"token_millis"`
 	Models      []string `json:"models,omitempty"`
-	// LeavesIn is the time until the endpoint stops, where it knows; zero
-	// where it doesn't say.
+	// LeavesIn is the time until the endpoint stops; zero if the endpoint does not
+	// report it.
 	LeavesIn time.Duration `json:"leaves_in,omitempty"`
-	// Runs lists what runs there, of all routers, where the endpoint says so.
+	// Runs lists the requests of all routers that run at the endpoint, if the
+	// endpoint reports them.
 	Runs []Run `json:"runs,omitempty"`
 }
--- a/internal/port/engine.go
+++ b/internal/port/engine.go
@@ -7,23 +7,24 @@
 
 // Frame is one event of a generation.
 type Frame struct {
-	// Generation names the run the frame belongs to.
+	// Generation is the id of the generation that the frame belongs to.
 	Generation string `json:"generation"`
-	// Index counts tokens from 0; a final frame carries the count.
+	// Index is the token's index, starting at 0; on the final frame it is the
+	// number of tokens.
 	Index int    `json:"index"`
 	Text  string `json:"text,omitempty"`
 	// FinishReason is set on the final frame only.
 	FinishReason string `json:"finish_reason,omitempty"`
 	// TokenCount is the number of tokens, on the final frame only.
 	TokenCount int `json:"token_count,omitempty"`
-	// Load rides on some frames.
+	// Load is a load report that some frames carry.
 	Load *LoadReport `json:"load,omitempty"`
 }
 
 // Final reports whether the frame ends its generation.
 func (f *Frame) Final() bool { return f.FinishReason != "" }
 
-// GenerationStart is one dispatch to a runner.
+// GenerationStart is the dispatch of a generation to a runner.
 type GenerationStart struct {
 	Endpoint   Endpoint
 	Generation string
@@ -36,21 +37,23 @@
 
 // FrameStream yields the frames of one connection to an engine.
 type FrameStream interface {
-	// Frames yields each frame until the connection or the context ends.
-	// An error comes last; none before a final frame means that the
-	// connection closed early, which is not an end. It is ranged over once.
+	// Frames yields each frame until the connection or the context ends. An error
+	// is yielded last. If the sequence ends without an error or a final frame, the
+	// connection was closed early and the generation may still be running. The
+	// sequence can be iterated only once.
 	Frames(ctx context.Context) iter.Seq2[Frame, error]
-	// Close releases the connection; the engine goes on generating.
+	// Close releases the connection; the engine continues to generate.
 	Close() error
 }
 
-// GenerationStatus is what an engine says of a generation.
+// GenerationStatus is the status of a generation as reported by an engine.
 type GenerationStatus string
 
 // The statuses of a generation.
 const (
-	// GenerationUnknown: the engine never saw it. Only an answer to Cancel
-	// is final, as the engine then also refuses a dispatch that comes later.
+	// GenerationUnknown means that the engine has never received the generation. It
+	// is final only as the result of Cancel, after which the engine also refuses a
+	// later dispatch of the generation.
 	GenerationUnknown   GenerationStatus = "unknown"
 	GenerationQueued    GenerationStatus = "queued"
 	GenerationRunning   GenerationStatus = "running"
@@ -58,21 +61,21 @@
 	GenerationCancelled GenerationStatus = "cancelled"
 )
 
-// Engine reaches model runners.
+// Engine communicates with model runners.
 type Engine interface {
 	Start(ctx context.Context, s *GenerationStart) (FrameStream, error)
-	// Resume reads a generation again from the token with index from.
+	// Resume reads a generation again, starting at the token with the index from.
 	Resume(ctx context.Context, e Endpoint, generation string, from int) (FrameStream, error)
-	// Cancel ends a generation, or bars it where the engine never saw it,
-	// and returns the status it had before.
+	// Cancel ends a generation and returns its previous status. If the engine has
+	// never received the generation, it refuses a later dispatch of it.
 	Cancel(ctx context.Context, e Endpoint, generation string) (GenerationStatus, error)
 	Status(ctx context.Context, e Endpoint, generation string) (GenerationStatus, error)
 	Load(ctx context.Context, e Endpoint) (LoadReport, error)
-	// Look finds out whether an engine serves.
+	// Look checks whether an engine serves requests.
 	Look(ctx context.Context, e Endpoint) Presence
 }
 
-// OrderKind is what an order asks of a runner.
+// OrderKind is the action that an order requests from a runner.
 type OrderKind string
 
 // The kinds of order.
@@ -86,8 +89,8 @@
 // Order changes what a runner serves.
 type Order struct {
 	ID string `json:"id"`
-	// Fence is the lease's fencing number; engines that check it refuse
-	// a smaller one than they have seen.
+	// Fence is the lease's fencing number. Engines that check it refuse a number
+	// smaller than the largest one that they have received.
 	Fence   uint64    `json:"fence"`
 	Kind    OrderKind `json:"kind"`
 	Model   string    `json:"model"`
@@ -102,7 +105,8 @@
 	Incarnation uint64        `json:"incarnation"`
 	State       EndpointState `json:"state"`
 	Role        string        `json:"role"`
-	// Models maps a ready model to its version; Loading one under way.
+	// Models lists the ready models with their versions; Loading lists those that
+	// are being loaded.
 	Models    []ModelVersion `json:"models"`
 	Loading   []ModelVersion `json:"loading"`
 	LastFence uint64         `json:"last_fence"`
--- a/internal/port/exchange.go
+++ b/internal/port/exchange.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Exchange is one request that is passed on to an endpoint as it came: the
-// system doesn't read its body.
+// Exchange is a request that is forwarded to an endpoint unchanged; the system
+// does not interpret its body.
 type Exchange struct {
 	RequestID string
 	Endpoint  Endpoint
@@ -16,75 +16,80 @@
 	// Target is the path and query, byte for byte as the caller sent them.
 	Target string
 	Host   string
-	// Header holds the caller's headers that concern the endpoint.
+	// Header holds the caller's headers that are forwarded to the endpoint.
 	Header http.Header
 	Body   []byte
-	// Organisation is empty where the route asks for no key.
+	// Organisation is empty if the route requires no key.
 	Organisation string
-	// Remaining is the time after which the caller has no use for an answer.
+	// Remaining is the time left until the caller no longer needs a response.
 	Remaining time.Duration
-	// Generation is nil for calls of plain services.
+	// Generation is nil for requests to plain services.
 	Generation *GenerationTerms
 }
 
-// GenerationTerms are what the system asks of an engine beside the request.
+// GenerationTerms are options that the system passes to an engine in addition to
+// the request.
 type GenerationTerms struct {
-	// Rank is the request's urgency at the engine; zero goes first, and may
-	// preempt what runs there.
+	// Rank is the request's urgency at the engine. Requests of rank zero go first
+	// and may preempt running requests.
 	Rank int
-	// BackupAddress is the engine that gets a copy of the run's tokens while
-	// they grow; empty for none.
+	// BackupAddress is the address of the engine that receives a copy of the run's
+	// tokens as they are generated; empty for none.
 	BackupAddress string
-	// Continue, where set, takes up the run from a copy of its tokens.
+	// Continue, if set, continues the run from a copy of its tokens.
 	Continue *Continuation
 }
 
-// Continuation names the copy from which a run is taken up.
+// Continuation identifies the copy from which a run is continued.
 type Continuation struct {
-	// Address is the engine that gave out the handle, or that holds the
-	// backup.
+	// Address is the address of the engine that issued the handle, or that holds
+	// the backup.
 	Address string
-	// Handle names the copy; a backup is named by the request's id.
+	// Handle identifies the copy; for a backup it is the request's id.
 	Handle string
-	// LastEventID is the last event that the caller has, empty for none.
+	// LastEventID is the id of the last event that the caller received; empty for
+	// none.
 	LastEventID string
 }
 
-// Answer is what an endpoint answers to an Exchange.
+// Answer is an endpoint's response to an Exchange.
 type Answer struct {
 	Status int
 	Header http.Header
-	// Body is closed by whoever gets the answer. Its end is io.EOF only where
-	// the endpoint ended it properly.
+	// Body must be closed by the receiver of the Answer. It ends with io.EOF only
+	// if the endpoint ended it properly.
 	Body io.ReadCloser
-	// Length is the body's length, -1 where the endpoint doesn't say.
+	// Length is the body's length, -1 if the endpoint does not declare it.
 	Length int64
-	// Delimited: the end of the body shows by its length or framing, and not
-	// only by the end of the connection.
+	// Delimited is set if the end of the body is marked by its length or framing,
+	// rather than only by the end of the connection.
 	Delimited bool
-	// Load is the endpoint's word on its load, nil where it says none.
+	// Load is the load that the endpoint reports, nil if it reports none.
 	Load *LoadHint
-	// RateLimit is the requests a second that the endpoint takes from all daemons
-	// together, as long as its answers say so; nil where this one says none.
+	// RateLimit is the number of requests per second that the endpoint accepts from
+	// all daemons together, for as long as its responses report it; nil if this one
+	// does not.
 	RateLimit *float64
-	// ColdFor is how long the endpoint says that it stays cold, nil where it says
-	// nothing.
+	// ColdFor is how long the endpoint reports that it will stay cold, nil if it
+	// does not report it.
 	ColdFor *time.Duration
-	// Closing: the endpoint closes the connection, as one that leaves does.
+	// Closing is set if the endpoint closes the connection, as a leaving endpoint
+	// does.
 	Closing bool
 }
 
-// LoadHint is the short word on load that rides on answers.
+// LoadHint is the short load report in responses.
 type LoadHint struct {
 	Running int
 	Waiting int
 	Slots   int
 }
 
-// Run is one request that runs at an engine, by the engine's own word.
+// Run is a request that runs at an engine, as reported by the engine.
 type Run struct {
 	RequestID string
-	// Tokens is its room in the cache, Events the events it has made.
+	// Tokens is the number of tokens that the run occupies in the cache, Events the
+	// number of events that it has produced.
 	Tokens int
 	Events int
 	Rank   int
@@ -93,40 +98,42 @@
 // Copy is a copy of a run's tokens at another engine.
 type Copy struct {
 	Handle string
-	// Events is the number of events that the run had made.
+	// Events is the number of events that the run had produced.
 	Events int
 }
 
-// Presence is what a look at an endpoint shows.
+// Presence is the result of a check of whether an endpoint serves.
 type Presence int
 
-// The presences.
+// The values of Presence.
 const (
-	// PresenceUnknown: no answer in time, which may be the network's fault.
+	// PresenceUnknown means that no reply came in time, which may be due to the
+	// network.
 	PresenceUnknown Presence = iota
-	// PresenceServing: the endpoint itself answers.
+	// PresenceServing means that the endpoint itself replied.
 	PresenceServing
-	// PresenceSilent: connections are taken and end without an answer.
+	// PresenceSilent means that connections are accepted and end without a reply.
 	PresenceSilent
-	// PresenceGone: nothing listens at its address, or another endpoint does.
+	// PresenceGone means that nothing listens at the address, or that another
+	// endpoint does.
 	PresenceGone
 )
 
-// Exchanger reaches the endpoints of routes. Its errors are ErrNotSent,
+// Exchanger communicates with the endpoints of routes. Its errors are ErrNotSent,
 // ErrRefused, ErrMisdirected, ErrForeignAnswer, ErrEndpointLost and, for
 // copies, ErrNoGeneration and ErrNoRoom.
 type Exchanger interface {
-	// Send sends a request once. With ErrRefused it may return an answer, without
-	// a body, for what the endpoint says of itself.
+	// Send sends a request once. With ErrRefused it may return an Answer without a
+	// body, for what the endpoint reports on itself.
 	Send(ctx context.Context, x *Exchange) (*Answer, error)
 	// Load reads an endpoint's load.
 	Load(ctx context.Context, e Endpoint) (LoadReport, error)
-	// Copy copies a run's tokens from its engine to another; a repeated call
-	// sends what is new. With stop the run ends first, and only its
-	// continuation at either engine goes on.
+	// Copy copies a run's tokens from its engine to another; a repeated call sends
+	// only the new tokens. If stop is set, the run ends first, and only its
+	// continuation at either engine proceeds.
 	Copy(ctx context.Context, from Endpoint, requestID string, to Endpoint, stop bool) (Copy, error)
-	// Look finds out over a new connection whether an endpoint serves; path is
-	// that of its health check.
+	// Look checks over a new connection whether an endpoint serves; path is the
+	// path of its health check.
 	Look(ctx context.Context, e Endpoint, path string) Presence
 	// Release frees a copy that will not be used.
 	Release(ctx context.Context, e Endpoint, handle string) error
--- a/internal/port/explain.go
+++ b/internal/port/explain.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// DecisionRecord is one decision as logged and explained. One JSON log line
-// is written for each, with the same field names.
+// DecisionRecord is a decision in the form in which it is logged and explained.
+// Each is written as one JSON log line with the same field names.
 type DecisionRecord struct {
 	ID   string    `json:"decision_id"`
 	Time time.Time `json:"time"`
@@ -19,20 +19,22 @@
 	Endpoint string `json:"endpoint,omitempty"`
 	Attempt  int    `json:"attempt,omitempty"`
 	Outcome  string `json:"outcome,omitempty"`
-	// Fingerprint tells a request that is sent again, see package quarantine. It
-	// is set where an attempt ended without a whole answer.
+	// Fingerprint identifies a request that is sent again, see package quarantine.
+	// It is set if an attempt ended without a complete response.
 	Fingerprint string `json:"fingerprint,omitempty"`
-	// Crashes counts the endpoints that crashed while the request ran.
+	// Crashes is the number of endpoints that crashed while the request ran.
 	Crashes    int              `json:"crashes,omitempty"`
 	Candidates []CandidateScore `json:"candidates,omitempty"`
-	// ConfigurationVersion is the version the decision rested on.
+	// ConfigurationVersion is the version of the configuration that the decision
+	// is based on.
 	ConfigurationVersion uint64 `json:"configuration_version,omitempty"`
-	// Revision is that of the platform's registry which it rested on.
+	// Revision is the revision of the platform's registry that the decision is
+	// based on.
 	Revision StoreRevision `json:"revision,omitempty"`
-	// PlatformAgeMillis is how long ago the platform had last answered any
-	// daemon, -1 for never; nil where that played no part.
+	// PlatformAgeMillis is the time since the platform last answered any daemon, -1
+	// for never; nil if it had no influence on the decision.
 	PlatformAgeMillis *int64 `json:"platform_age_ms,omitempty"`
-	// Coordinator names the daemon by whose scheduler a generation was placed.
+	// Coordinator is the id of the daemon whose scheduler placed the generation.
 	Coordinator string `json:"coordinator,omitempty"`
 	Fence       uint64 `json:"fence,omitempty"`
 	// Delivered is set at the end of a stream.
@@ -40,8 +42,8 @@
 	Actor     string    `json:"actor,omitempty"`
 }
 
-// AgeMillis is an age as decisions hold it: -1 for a negative one, which stands
-// for never.
+// AgeMillis converts an age to the form used in decisions: a negative age, which
+// means never, becomes -1.
 func AgeMillis(age time.Duration) *int64 {
 	ms := int64(-1)
 	if age >= 0 {
@@ -50,26 +52,27 @@
 	return &ms
 }
 
-// Delivery is what a caller had of a stream.
+// Delivery describes the part of a stream that a caller received.
 type Delivery struct {
 	Events int `json:"events"`
-	// HeldMillis is the wait for a place, FirstMillis the time to the first
-	// event, both from the request's arrival.
+	// HeldMillis is the time until the request was placed, FirstMillis the time to
+	// the first event, both from the request's arrival.
 	HeldMillis  int64 `json:"held_ms"`
 	FirstMillis int64 `json:"first_event_ms"`
-	// GapMillis is the longest pause between two events, before GapEvent.
+	// GapMillis is the longest time between two events; GapEvent is the event that
+	// follows it.
 	GapMillis int64 `json:"longest_gap_ms"`
 	GapEvent  int   `json:"longest_gap_event"`
 	// Runners is the number of runners that the stream came from.
 	Runners int `json:"runners"`
 }
 
-// DecisionSink logs decisions and keeps the recent ones for explanations.
+// DecisionSink logs decisions and stores the recent ones for explanations.
 type DecisionSink interface {
 	Record(d *DecisionRecord)
 }
 
-// DecisionSource answers for past decisions, newest last.
+// DecisionSource returns past decisions, newest last.
 type DecisionSource interface {
 	Explain(subject, subjectID string) []DecisionRecord
 }
--- a/internal/port/platform.go
+++ b/internal/port/platform.go
@@ -10,16 +10,16 @@
 type Object struct {
 	Kind string `json:"kind"`
 	Name string `json:"name"`
-	// Version grows over all objects of the platform, never only over one.
+	// Version increases across all objects of the platform, not per object.
 	Version uint64          `json:"version"`
 	Value   json.RawMessage `json:"value"`
 }
 
-// ObjectPlatformEvacuation is a kind of platform objects that only the platform's
+// ObjectPlatformEvacuation is a kind of platform object that only the platform's
 // own operators write. An evacuation is in force as long as its object exists.
 const ObjectPlatformEvacuation = "platform-evacuations"
 
-// HostEntry is one line of the platform's lagging list of hosts.
+// HostEntry is an entry of the platform's list of hosts, which lags behind.
 type HostEntry struct {
 	Endpoint
 }
@@ -28,26 +28,27 @@
 // ErrNotFound, ErrPlatformUnavailable, ErrOutcomeUnknown, ErrThrottled and
 // ErrTooLarge.
 type Platform interface {
-	// Get reads one object. With ErrNotFound comes the version that stands for
-	// none, which names the era of the store: a write that rests on it shows
-	// by it that it is of that era.
+	// Get reads one object. With ErrNotFound it returns the version that stands for
+	// an absent object. That version contains the era of the store, so a write that
+	// expects it also states which era it is based on.
 	Get(ctx context.Context, kind, name string) (Object, error)
 	List(ctx context.Context, kind string) (objects []Object, revision StoreRevision, err error)
-	// Put writes where the stored version still is expect (revision zero: absent)
-	// and returns the new version. On conflict the current object comes
-	// back with ErrConflict. ErrOutcomeUnknown: the reply was lost; read
-	// again before saying anything of the write.
+	// Put writes if the stored version still equals expect (revision zero: absent)
+	// and returns the object with its new version. With ErrConflict it returns the
+	// current object. ErrOutcomeUnknown means that the reply was lost; only another
+	// read shows whether the write took effect.
 	Put(ctx context.Context, kind, name string, expect uint64, value json.RawMessage) (Object, error)
-	// Watch waits for changes of a kind past revision, up to wait.
+	// Watch waits up to wait for changes of a kind after revision.
 	Watch(ctx context.Context, kind string, revision StoreRevision, wait time.Duration) (changes []Object, newRevision StoreRevision, err error)
-	// Hosts reads the lagging list of live and leaving hosts.
+	// Hosts reads the list of live and leaving hosts, which lags behind.
 	Hosts(ctx context.Context) ([]HostEntry, error)
 }
 
-// ListedEndpoint is what the platform's registry says of one endpoint.
+// ListedEndpoint is the entry of an endpoint in the platform's registry.
 type ListedEndpoint struct {
 	Endpoint
-	// Removed: the registry no longer names it. Only ID and Revision are set.
+	// Removed is set if the registry no longer contains the endpoint. Only ID and
+	// Revision are then set.
 	Removed bool
 }
 
@@ -55,7 +56,7 @@
 // changes by a revision. Its errors are those of Platform.
 type EndpointRegistry interface {
 	ListEndpoints(ctx context.Context) (entries []ListedEndpoint, revision StoreRevision, err error)
-	// WatchEndpoints waits for changes past revision, up to wait.
+	// WatchEndpoints waits up to wait for changes after revision.
 	WatchEndpoints(ctx context.Context, revision StoreRevision, wait time.Duration) (changes []ListedEndpoint, newRevision StoreRevision, err error)
 }
 
--- a/internal/port/record.go
+++ b/internal/port/record.go
@@ -2,7 +2,7 @@
 
 import "encoding/json"
 
-// Record is one operator record at one version.
+// Record is one version of an operator record.
 type Record struct {
 	Kind    string          `json:"kind"`
 	Name    string          `json:"name"`
@@ -20,7 +20,7 @@
 	RoleKeeper MemberRole = "keeper"
 )
 
-// MemberState is what the others think of a daemon.
+// MemberState is the state of a daemon as seen by the others.
 type MemberState string
 
 // The states of a member.
@@ -48,16 +48,16 @@
 	HeardAgeMillis int64       `json:"heard_age_millis"`
 }
 
-// StateView is what a router sees of the system through the keepers. The
-// implementation lives in the spread adapter.
+// StateView is a router's view of the system, received through the keepers. It is
+// implemented by the spread adapter.
 type StateView interface {
 	// Records returns the record set in force.
 	Records() []Record
 	Endpoints() []Endpoint
 	Members() []Member
-	// Changed is closed at the next change of any of these.
+	// Changed returns a channel that is closed at the next change of any of these.
 	Changed() <-chan struct{}
-	// Synced is true once a keeper or a peer router gave a complete state.
+	// Synced reports whether a keeper or a peer router has sent a complete state.
 	Synced() bool
 }
 
@@ -68,7 +68,7 @@
 	AttemptID string
 }
 
-// ClaimVerdict is the answer to a claim.
+// ClaimVerdict is the result of a claim.
 type ClaimVerdict string
 
 // The verdicts on claims.
@@ -79,7 +79,7 @@
 	ClaimExpired     ClaimVerdict = "expired"
 )
 
-// ClaimOutcome is what became of a claimed call.
+// ClaimOutcome is the outcome of a claimed call.
 type ClaimOutcome string
 
 // The outcomes of claims.
--- a/internal/port/scheduler.go
+++ b/internal/port/scheduler.go
@@ -2,28 +2,29 @@
 
 import "time"
 
-// GenerationRequest is what admission and routing know of a request.
+// GenerationRequest holds the properties of a request that admission and routing
+// use.
 type GenerationRequest struct {
-	// RequestID is unique and names the router that decides.
+	// RequestID is unique and contains the id of the router that decides.
 	RequestID    string
 	Organisation string
-	// Pool is where it must run; empty for any pool that serves the model.
+	// Pool is the pool in which the request must run; empty for any pool that
+	// serves the model.
 	Pool  string
 	Model string
-	// Route is the route that it came by; empty where there is none.
+	// Route is the route by which the request came; empty for none.
 	Route        string
 	PromptTokens int
-	// MaxTokens bounds the output; zero when the caller set none.
+	// MaxTokens bounds the output; zero if the caller set no bound.
 	MaxTokens int
-	// LengthHint is the caller's own guess of the output; zero for none.
+	// LengthHint is the caller's estimate of the output in tokens; zero for none.
 	LengthHint int
-	// Objective is the time from arrival to the first token that is on time;
-	// zero where nobody names one.
+	// Objective is the target for the time from arrival to the first token; zero
+	// for none.
 	Objective time.Duration
-	// TokenGap is the time between two tokens that is on time; zero where nobody
-	// names one.
+	// TokenGap is the target for the time between two tokens; zero for none.
 	TokenGap time.Duration
-	// Rank is the urgency that the operators give it; zero goes first.
+	// Rank is the urgency that the operators assign; zero goes first.
 	Rank int
 	// PrefixHashes are the hashes of the prompt's leading blocks.
 	PrefixHashes []uint64
@@ -35,17 +36,17 @@
 	Deadline time.Time
 }
 
-// Verdict is what the scheduler decided.
+// Verdict is the scheduler's decision on a request.
 type Verdict int
 
-// The verdicts: place now, hold until asked again, or refuse for good.
+// The verdicts: place now, hold until submitted again, or refuse finally.
 const (
 	VerdictPlace Verdict = iota + 1
 	VerdictHold
 	VerdictRefuse
 )
 
-// String names the verdict as logs do.
+// String returns the name that logs use.
 func (v Verdict) String() string {
 	switch v {
 	case VerdictPlace:
@@ -59,11 +60,11 @@
 	}
 }
 
-// CandidateScore is one endpoint as a decision saw it. Lower scores win.
+// CandidateScore is the score of an endpoint in a decision. Lower scores win.
 type CandidateScore struct {
 	Endpoint string  `json:"endpoint"`
 	Score    float64 `json:"score"`
-	// Parts of the score, in the same unit.
+	// Overflow, Gap, Prefill and Prefix are the parts of the score, in its unit.
 	Overflow float64 `json:"overflow"`
 	Gap      float64 `json:"gap"`
 	Prefill  float64 `json:"prefill"`
@@ -72,47 +73,50 @@
 	Excluded string `json:"excluded,omitempty"`
 }
 
-// Decision is a choice with its reason.
+// Decision is a verdict with the chosen endpoint and the reason.
 type Decision struct {
 	Verdict    Verdict
 	Endpoint   Endpoint
 	Reason     string
 	Candidates []CandidateScore
-	// RetryAfter is the promise made with a refusal.
+	// RetryAfter is the time after which a refused caller may retry, as promised
+	// with the refusal.
 	RetryAfter time.Duration
-	// ConfigurationVersion is the routing configuration's version in force.
+	// ConfigurationVersion is the version of the routing configuration in force.
 	ConfigurationVersion uint64
-	// Priority goes to the engine with the request; larger is more urgent.
+	// Priority is passed to the engine with the request; larger is more urgent.
 	Priority int
-	// Coordinator names the daemon whose scheduler decided; empty for the asking one.
+	// Coordinator is the id of the daemon whose scheduler decided; empty if it was
+	// the daemon that asked.
 	Coordinator string
 }
 
 // Relocator is a Scheduler that also moves runs between runners.
 type Relocator interface {
 	Scheduler
-	// Relocate chooses the runner that takes over a placed request, whose own
-	// is leaving. From then on it is counted at both.
+	// Relocate chooses the runner that takes over a placed request from a leaving
+	// runner. From then on the request is counted at both.
 	Relocate(now time.Time, requestID string, terms Relocation) Decision
-	// Relocated ends a relocation: with moved the request runs at the new
-	// runner, else it stays at its old one.
+	// Relocated ends a relocation. If moved is set, the request now runs at the new
+	// runner, otherwise it stays at the old one.
 	Relocated(now time.Time, requestID string, moved bool)
-	// Adopt counts a request as running that another scheduler placed.
+	// Adopt counts a running request that another scheduler placed.
 	Adopt(now time.Time, r *RunningRequest)
 }
 
-// RunningRequest is a generation that runs, as its daemon knows it.
+// RunningRequest is a running generation as known to its daemon.
 type RunningRequest struct {
 	Request    GenerationRequest
 	EndpointID string
 	Tokens     int
 }
 
-// Relocation is what a move of a run depends on.
+// Relocation constrains the choice of the runner that takes over a run.
 type Relocation struct {
-	// Excluded names the runners that failed to take it.
+	// Excluded lists the runners that failed to take over the run.
 	Excluded []string
-	// FailureDomain is where it runs now; empty where that doesn't matter.
+	// FailureDomain is the failure domain in which the run is now; empty if that
+	// does not matter.
 	FailureDomain string
 }
 
@@ -122,31 +126,32 @@
 // The ways an attempt ends.
 const (
 	FinishDone FinishKind = iota + 1
-	// FinishNotStarted is an attempt that never reached the engine.
+	// FinishNotStarted is the end of an attempt that never reached the engine.
 	FinishNotStarted
 	FinishFailed
 	FinishCancelled
-	// FinishElsewhere is a run that another scheduler counts from now on, or whose end
-	// nobody knows: nothing is learned from it.
+	// FinishElsewhere is the end of a run that another scheduler counts from now on,
+	// or whose outcome is unknown; it does not update any estimate.
 	FinishElsewhere
 )
 
 // Scheduler decides on generations: admission, then routing. It is safe for
-// concurrent use and takes every time from its caller.
+// concurrent use and receives the current time from its caller.
 type Scheduler interface {
-	// Submit asks for a decision. A place verdict also records the attempt
-	// as running. After a hold verdict, wait on Ready or until the deadline.
+	// Submit requests a decision. A place verdict also records the attempt as
+	// running. After a hold verdict, wait for Ready or until the deadline, then
+	// submit again.
 	Submit(now time.Time, r *GenerationRequest) Decision
-	// Ready yields a channel that is closed once a held request should be
+	// Ready returns a channel that is closed once a held request should be
 	// submitted again.
 	Ready(requestID string) <-chan struct{}
-	// Withdraw forgets a held request whose caller has gone.
+	// Withdraw removes a held request whose caller has disconnected.
 	Withdraw(now time.Time, requestID string)
 	// Progress reports the tokens seen so far for a placed request.
 	Progress(now time.Time, requestID string, tokens int)
-	// Finished ends a placed attempt and frees its share.
+	// Finished ends a placed attempt and frees the capacity that it used.
 	Finished(now time.Time, requestID string, tokens int, kind FinishKind)
-	// Report takes an endpoint's load report.
+	// Report processes an endpoint's load report.
 	Report(now time.Time, r *LoadReport)
 	// SetEndpoints replaces the endpoints that may be chosen.
 	SetEndpoints(now time.Time, es []Endpoint)
@@ -156,29 +161,29 @@
 	Tick(now time.Time)
 }
 
-// Policy is the part of the records that the scheduler obeys.
+// Policy is the part of the records that configures the scheduler.
 type Policy struct {
 	// Version is the routing configuration's version.
 	Version uint64
-	// Weights by model; the empty model is the default.
+	// Weights by model; the entry of the empty model is the default.
 	Weights map[string]Weights
-	// Organisations by name; the empty name is the default.
+	// Organisations by name; the entry of the empty name is the default.
 	Organisations map[string]OrganisationLimits
 }
 
-// Weights of one routing configuration.
+// Weights are the weights and limits of one routing configuration.
 type Weights struct {
-	// Overflow weighs the chance that the cache overflows: stalls and
-	// preemptions.
+	// Overflow weighs the probability that the cache overflows, which causes stalls
+	// and preemptions.
 	Overflow float64 `json:"overflow"`
 	// Gap weighs the time between tokens.
 	Gap float64 `json:"gap"`
-	// Prefill weighs the prompt tokens ahead on the endpoint.
+	// Prefill weighs the prompt tokens that the endpoint has yet to prefill.
 	Prefill float64 `json:"prefill"`
 	// Prefix is the credit for a cached prefix.
 	Prefix float64 `json:"prefix"`
-	// OverflowLimit is the highest accepted chance of overflow, 0 to 1;
-	// above it a request is held.
+	// OverflowLimit is the highest accepted probability of overflow, 0 to 1; above
+	// it a request is held.
 	OverflowLimit float64 `json:"overflow_limit"`
 	// BatchLimit bounds the running generations of one runner.
 	BatchLimit int `json:"batch_limit"`
@@ -192,25 +197,24 @@
 type OrganisationLimits struct {
 	// Priority is passed to the engines; larger is more urgent.
 	Priority int `json:"priority"`
-	// Share is the relative weight among organisations that wait.
+	// Share is the relative weight among organisations with waiting requests.
 	Share float64 `json:"share"`
-	// TokensPerSecond bounds admitted work across all routers; zero is
-	// no bound.
+	// TokensPerSecond bounds admitted work across all routers; zero means no bound.
 	TokensPerSecond float64 `json:"tokens_per_second"`
-	// Concurrency bounds open requests across all routers; zero is no bound.
+	// Concurrency bounds open requests across all routers; zero means no bound.
 	Concurrency int `json:"concurrency"`
 }
 
-// RouterCounter tells the scheduler how many routers share the limits.
+// RouterCounter provides the number of routers that share the limits.
 type RouterCounter interface {
-	// LiveRouters counts the routers that serve, this one included.
+	// LiveRouters returns the number of live routers, including this one.
 	LiveRouters() int
 }
 
-// RouterRanker is a RouterCounter that also knows this router's place among
-// the live ones, ordered by id. Routers then prefer different runners.
+// RouterRanker is a RouterCounter that also provides this router's rank among the
+// live routers, ordered by id, so that routers prefer different runners.
 type RouterRanker interface {
 	RouterCounter
-	// RouterRank returns the place, from 0, and the number of live routers.
+	// RouterRank returns the rank, from 0, and the number of live routers.
 	RouterRank() (rank, live int)
 }
