--- a/internal/core/claim/barred.go
+++ b/internal/core/claim/barred.go
@@ -2,22 +2,23 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// barred are attempts that must not be granted any more, by the hash of their
-// ids, with the time of the bar in Unix milliseconds. A collision of hashes
-// refuses one attempt as not_run, which is harmless.
-type barred map[uint64]int64
+// barredAttempts maps the hash of the id of each attempt that must no longer be
+// granted to the time when it was barredAttempts, in Unix milliseconds. A hash collision
+// refuses an unrelated attempt as not_run, which is harmless.
+type barredAttempts map[uint64]int64
 
-func (b barred) has(attemptID string) bool {
+func (b barredAttempts) has(attemptID string) bool {
 	_, found := b[xxhash.Sum64String(attemptID)]
 	return found
 }
 
-func (b barred) add(attemptID string, unixMillis int64) {
+func (b barredAttempts) add(attemptID string, unixMillis int64) {
 	b[xxhash.Sum64String(attemptID)] = unixMillis
 }
 
-// dropBefore reports whether it dropped anything.
-func (b barred) dropBefore(unixMillis int64) bool {
+// dropBefore removes the attempts barred before unixMillis and reports whether
+// there were any.
+func (b barredAttempts) dropBefore(unixMillis int64) bool {
 	dropped := false
 	for hash, at := range b {
 		if at < unixMillis {
--- a/internal/core/claim/codec.go
+++ b/internal/core/claim/codec.go
@@ -16,38 +16,41 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// FormatVersion is the newest form of a shard's bytes that this release reads.
+// FormatVersion is the newest version of the protobuf encoding of a shard that
+// this release reads.
 const FormatVersion = 1
 
-// The forms of a shard's JSON value. An older release refuses sealedFormat: it
-// would not look at the sealed parts and grant a key that stands in one.
+// The format versions of a shard's JSON value. A release without support for
+// sealed parts refuses sealedFormat: it would ignore the parts and could grant a
+// key whose tombstone is in one of them.
 const (
 	plainFormat  = 1
 	sealedFormat = 2
 )
 
-// Errors of stored shards.
+// Errors of decoding a stored shard.
 var (
-	// ErrNewerFormat: a newer release wrote the shard; it is left alone.
+	// ErrNewerFormat: a newer release wrote the shard; it is not modified.
 	ErrNewerFormat = merry.Sentinel("claims: the shard has a newer format; update this daemon")
-	// ErrCorrupt: the shard's bytes break the format.
+	// ErrCorrupt: the stored bytes violate the format.
 	ErrCorrupt = merry.Sentinel("claims: the shard is corrupt")
 )
 
-// Upper bounds of encoded parts, in bytes: tags, lengths and full varints.
+// Upper bounds of the encoded sizes, in bytes, with field tags, length prefixes
+// and varints of maximum length.
 const (
-	headerCost   = 16
-	lengthPrefix = 4
-	fixedCost    = 60
-	bucketCost   = 24
-	barredCost   = 24
+	maxHeaderBytes       = 16
+	maxLengthPrefixBytes = 4
+	maxFixedClaimBytes   = 60
+	maxBucketBytes       = 24
+	maxBarredBytes       = 24
 )
 
 // storedValue is the JSON value of a platform object of kind "claims".
 type storedValue struct {
-	FormatVersion int    `json:"format_version"`
-	Claims        []byte `json:"claims"`
-	Ring          *ring  `json:"ring,omitempty"`
+	FormatVersion int       `json:"format_version"`
+	Claims        []byte    `json:"claims"`
+	Sealed        *partList `json:"ring,omitempty"`
 }
 
 // EncodeValue returns the shard as the JSON value of a platform object.
@@ -57,15 +60,15 @@
 		return nil, err
 	}
 	stored := storedValue{FormatVersion: plainFormat, Claims: raw}
-	if len(s.ring.Versions) > 0 {
+	if len(s.sealed.Versions) > 0 {
 		stored.FormatVersion = sealedFormat
-		stored.Ring = &s.ring
+		stored.Sealed = &s.sealed
 	}
 	value, err := json.Marshal(stored)
 	return value, merry.Prepend(err, "claims")
 }
 
-// DecodeValue reads what EncodeValue wrote.
+// DecodeValue decodes a value encoded by EncodeValue.
 func DecodeValue(value json.RawMessage) (*Shard, error) {
 	var stored storedValue
 	if err := json.Unmarshal(value, &stored); err != nil {
@@ -74,18 +77,18 @@
 	if stored.FormatVersion > sealedFormat {
 		return nil, ErrNewerFormat
 	}
-	if stored.FormatVersion == sealedFormat && stored.Ring == nil {
+	if stored.FormatVersion == sealedFormat && stored.Sealed == nil {
 		return nil, merry.Prepend(ErrCorrupt, "the list of sealed parts is missing")
 	}
 	s, err := Decode(stored.Claims)
-	if err != nil || stored.Ring == nil {
+	if err != nil || stored.Sealed == nil {
 		return s, err
 	}
-	if err := stored.Ring.check(); err != nil {
+	if err := stored.Sealed.check(); err != nil {
 		return nil, err
 	}
-	s.ring = *stored.Ring
-	s.ring.loaded = make([]*Sealed, len(s.ring.Parts))
+	s.sealed = *stored.Sealed
+	s.sealed.loaded = make([]*Sealed, len(s.sealed.Parts))
 	return s, nil
 }
 
@@ -96,16 +99,16 @@
 		m.BaseUnixMillis = s.claims[0].ClaimedUnixMillis
 	}
 	m.Issuers = slices.Sorted(maps.Keys(s.issuers))
-	numbers := make(map[string]uint32, len(m.Issuers))
+	issuerNumbers := make(map[string]uint32, len(m.Issuers))
 	for i, issuer := range m.Issuers {
-		numbers[issuer] = uint32(i + 1)
+		issuerNumbers[issuer] = uint32(i + 1)
 	}
 	m.Claims = make([]*claimsv1.Claim, 0, len(s.claims))
 	for i := range s.claims {
-		m.Claims = append(m.Claims, encodeClaim(&s.claims[i], m.BaseUnixMillis, numbers))
+		m.Claims = append(m.Claims, encodeClaim(&s.claims[i], m.BaseUnixMillis, issuerNumbers))
 	}
-	for _, bucket := range slices.Sorted(maps.Keys(s.tombs.buckets)) {
-		m.Tombstones = append(m.Tombstones, encodeBucket(bucket, s.tombs.buckets[bucket]))
+	for _, bucket := range slices.Sorted(maps.Keys(s.tombstones.buckets)) {
+		m.Tombstones = append(m.Tombstones, encodeBucket(bucket, s.tombstones.buckets[bucket]))
 	}
 	for _, hash := range slices.Sorted(maps.Keys(s.barred)) {
 		m.Barred = append(m.Barred, &claimsv1.Barred{AttemptHash: hash, BarredUnixMillis: s.barred[hash]})
@@ -145,7 +148,8 @@
 	return &claimsv1.Tombstones{BucketUnixMillis: bucket, KeyPrefixes: raw}
 }
 
-// Decode reads what Encode wrote. The bytes come from outside this process.
+// Decode decodes bytes encoded by Encode. The bytes come from outside this
+// process and are not trusted.
 func Decode(raw []byte) (*Shard, error) {
 	var m claimsv1.Shard
 	if err := proto.Unmarshal(raw, &m); err != nil {
@@ -165,7 +169,7 @@
 	}
 	s.reset(claims)
 	if len(s.index) != len(claims) {
-		return nil, merry.Prepend(ErrCorrupt, "a key stands twice")
+		return nil, merry.Prepend(ErrCorrupt, "two claims have the same key hash")
 	}
 	for _, b := range m.GetBarred() {
 		s.barred[b.GetAttemptHash()] = b.GetBarredUnixMillis()
@@ -177,16 +181,16 @@
 	for _, b := range buckets {
 		raw := b.GetKeyPrefixes()
 		if len(raw)%prefixBytes != 0 {
-			return merry.Prepend(ErrCorrupt, "tombstones of odd length")
+			return merry.Prepend(ErrCorrupt, "the length of the tombstone prefixes is not a multiple of 8")
 		}
 		for prefix := range slices.Chunk(raw, prefixBytes) {
 			p := binary.BigEndian.Uint64(prefix)
-			if s.tombs.index[p] {
+			if s.tombstones.index[p] {
 				continue
 			}
-			s.tombs.index[p] = true
+			s.tombstones.index[p] = true
 			bucket := b.GetBucketUnixMillis()
-			s.tombs.buckets[bucket] = append(s.tombs.buckets[bucket], p)
+			s.tombstones.buckets[bucket] = append(s.tombstones.buckets[bucket], p)
 		}
 	}
 	return nil
@@ -200,12 +204,12 @@
 		ClaimedUnixMillis: m.GetBaseUnixMillis() + c.GetClaimedDeltaMillis(),
 	}
 	if len(c.GetKeyHash()) != len(st.KeyHash) {
-		return st, merry.Prepend(ErrCorrupt, "key hash of wrong length")
+		return st, merry.Prepend(ErrCorrupt, "the key hash of a claim is not 16 bytes long")
 	}
 	copy(st.KeyHash[:], c.GetKeyHash())
 	if n := c.GetIssuer(); n > 0 {
 		if int64(n) > int64(len(m.GetIssuers())) || len(c.GetRequestUuid()) != len(uuid.UUID{}) {
-			return st, merry.Prepend(ErrCorrupt, "request id without issuer or uuid")
+			return st, merry.Prepend(ErrCorrupt, "the request id of a claim has an unknown issuer or an invalid UUID")
 		}
 		st.RequestID = m.GetIssuers()[n-1] + "." + uuid.UUID(c.GetRequestUuid()).String()
 	}
@@ -248,12 +252,14 @@
 	case claimsv1.Outcome_OUTCOME_UNKNOWN:
 		return port.ClaimUnknown, nil
 	default:
-		// Taking an outcome of a later release for another could free a key.
-		return "", merry.Prepend(ErrCorrupt, "unknown outcome")
+		// Treating an outcome of a later release as a known one could release a
+		// key for a second run.
+		return "", merry.Prepend(ErrCorrupt, "a claim has an unknown outcome")
 	}
 }
 
-// splitRequestID takes <issuer>.<uuid> apart where it can be rebuilt exactly.
+// splitRequestID splits an id of the form <issuer>.<uuid>. ok is false unless the
+// two parts can be joined to exactly the same id.
 func splitRequestID(id string) (issuer string, u uuid.UUID, ok bool) {
 	dot := strings.LastIndexByte(id, '.')
 	if dot < 0 {
@@ -263,17 +269,19 @@
 	return id[:dot], u, ok
 }
 
-// canonicalUUID parses a UUID that String gives back unchanged.
+// canonicalUUID parses s and reports whether s is a UUID in canonical form, which
+// String reproduces unchanged.
 func canonicalUUID(s string) (uuid.UUID, bool) {
 	u, err := uuid.Parse(s)
 	return u, err == nil && u.String() == s
 }
 
-// claimCost is an upper bound of a claim's encoded size, issuer left out.
-func claimCost(st *port.ClaimState) int {
-	cost := fixedCost
+// maxClaimBytes is an upper bound of the encoded size of a claim without its
+// issuer.
+func maxClaimBytes(st *port.ClaimState) int {
+	cost := maxFixedClaimBytes
 	if _, _, ok := splitRequestID(st.RequestID); !ok {
-		cost += len(st.RequestID) + lengthPrefix
+		cost += len(st.RequestID) + maxLengthPrefixBytes
 	}
 	if _, ok := canonicalUUID(st.AttemptID); ok {
 		return cost + len(uuid.UUID{})
@@ -282,5 +290,5 @@
 	if !found {
 		suffix = st.AttemptID
 	}
-	return cost + len(suffix) + lengthPrefix
+	return cost + len(suffix) + maxLengthPrefixBytes
 }
--- a/internal/core/claim/shard.go
+++ b/internal/core/claim/shard.go
@@ -8,55 +8,58 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// KeyHash is the hash of an organisation and its idempotency key.
+// KeyHash is the hash of an organisation and one of its idempotency keys.
 type KeyHash = [16]byte
 
-// Reason says why a claim is unavailable.
+// Reason is the cause of an unavailable verdict.
 type Reason string
 
-// The reasons of unavailable claims.
+// The reasons for an unavailable verdict.
 const (
-	// ReasonPlatform: the platform is down or throttled; nothing was written.
+	// ReasonPlatform: the platform is unreachable or throttles calls; nothing was
+	// written.
 	ReasonPlatform Reason = "platform"
-	// ReasonUnsettled: a write's reply was lost and reading again failed too.
-	// The claim is not granted, but the key may stand as claimed.
+	// ReasonUnsettled: the reply to a write was lost, and so was the read that
+	// should have shown its result. The claim is not granted, but the key may be
+	// stored as claimed.
 	ReasonUnsettled Reason = "unsettled"
-	// ReasonFull: the shard holds as much as one object may.
+	// ReasonFull: the shard has reached the maximum size of an object.
 	ReasonFull Reason = "full"
-	// ReasonBusy: too many claims wait for the same shard, or other writers
-	// kept winning the shard.
+	// ReasonBusy: too many claims wait for the same shard, or writes of the
+	// shard kept conflicting with those of other keepers.
 	ReasonBusy Reason = "busy"
-	// ReasonOverdue: the asker's deadline passed before a write began.
+	// ReasonOverdue: the deadline of the request passed before a write began.
 	ReasonOverdue Reason = "overdue"
 	// ReasonFormat: the shard is corrupt or was written by a newer release.
 	ReasonFormat Reason = "format"
 )
 
-// Result is the verdict on one claim.
+// Result is the result of one claim.
 type Result struct {
 	Verdict port.ClaimVerdict
-	// Holder is set when held.
+	// Holder is the state of the existing claim; set if Verdict is held.
 	Holder port.ClaimState
-	// Reason is set when unavailable.
+	// Reason is set if Verdict is unavailable.
 	Reason Reason
 }
 
-// Limits bound a shard.
+// Limits bound the size of a shard and the retention of its entries.
 type Limits struct {
-	// MaxBytes bounds the encoded shard before base64.
+	// MaxBytes is the maximum encoded size of a shard before base64.
 	MaxBytes int
-	// Retention is how long a claim's state is remembered.
+	// Retention is how long the state of a claim is kept.
 	Retention time.Duration
-	// TombstoneRetention is how long after that its key is still refused.
+	// TombstoneRetention is how long after Retention the key is still refused.
 	TombstoneRetention time.Duration
-	// NotRunMemory is how long an attempt settled as not_run stays barred.
+	// NotRunMemory is how long an attempt that was settled as not_run is barred.
 	NotRunMemory time.Duration
-	// SealBytes is the size of the tombstones from which they go to an object
-	// of their own; zero or less keeps them in the shard.
+	// SealBytes is the size of the tombstones in the head from which on they
+	// are moved to a sealed part; zero or less keeps them in the head.
 	SealBytes int
 }
 
-// bucketsPerRetention sets how finely tombstones are dated.
+// bucketsPerRetention is the number of time buckets per retention; tombstones
+// keep the time of their claim to the bucket.
 const bucketsPerRetention = 8
 
 func (l *Limits) bucketMillis() int64 {
@@ -67,50 +70,49 @@
 type Shard struct {
 	claims []port.ClaimState
 	index  map[KeyHash]int
-	// issuers counts the claims of each issuer: one without claims is neither
-	// stored nor part of the bound.
-	issuers map[string]int
-	tombs   *tombstones
-	ring    ring
-	barred  barred
-	bytes   int
-	changed bool
+	// issuers counts the claims of each issuer. An issuer without claims is
+	// neither stored nor included in the size bound.
+	issuers    map[string]int
+	tombstones *tombstones
+	sealed     partList
+	barred     barredAttempts
+	bytes      int
+	changed    bool
 }
 
 // NewShard returns an empty shard.
 func NewShard() *Shard {
-	return &Shard{index: map[KeyHash]int{}, issuers: map[string]int{}, tombs: newTombstones(), barred: barred{}}
+	return &Shard{index: map[KeyHash]int{}, issuers: map[string]int{}, tombstones: newTombstones(), barred: barredAttempts{}}
 }
 
-// Clone returns a copy that may be changed apart, with Changed false.
+// Clone returns an independent copy whose Changed is false.
 func (s *Shard) Clone() *Shard {
 	return &Shard{
-		claims:  slices.Clone(s.claims),
-		index:   maps.Clone(s.index),
-		issuers: maps.Clone(s.issuers),
-		tombs:   s.tombs,
-		ring:    s.ring.clone(),
-		barred:  maps.Clone(s.barred),
-		bytes:   s.bytes,
+		claims:     slices.Clone(s.claims),
+		index:      maps.Clone(s.index),
+		issuers:    maps.Clone(s.issuers),
+		tombstones: s.tombstones,
+		sealed:     s.sealed.clone(),
+		barred:     maps.Clone(s.barred),
+		bytes:      s.bytes,
 	}
 }
 
-// Changed reports whether the shard differs from what it was cloned or
-// decoded from.
+// Changed reports whether the shard was changed after it was cloned or decoded.
 func (s *Shard) Changed() bool { return s.changed }
 
-// Len counts the remembered claims, tombstones left out.
+// Len returns the number of claims whose state is kept, without tombstones.
 func (s *Shard) Len() int { return len(s.claims) }
 
-// Tombstones counts the keys that are refused as expired.
-func (s *Shard) Tombstones() int { return len(s.tombs.index) + s.ring.count() }
+// Tombstones returns the number of tombstones, those in sealed parts included.
+func (s *Shard) Tombstones() int { return len(s.tombstones.index) + s.sealed.count() }
 
 // Bytes is an upper bound of the encoded size before base64.
 func (s *Shard) Bytes() int {
-	return headerCost + s.bytes + s.tombs.bytes() + len(s.barred)*barredCost + len(s.ring.Versions)*slotCost
+	return maxHeaderBytes + s.bytes + s.tombstones.bytes() + len(s.barred)*maxBarredBytes + len(s.sealed.Versions)*maxSlotBytes
 }
 
-// Lookup returns the remembered state of a key.
+// Lookup returns the state of a key's claim.
 func (s *Shard) Lookup(key KeyHash) (port.ClaimState, bool) {
 	i, found := s.index[key]
 	if !found {
@@ -119,37 +121,39 @@
 	return s.claims[i], true
 }
 
-// Claim decides on one claim and records it when granted.
+// Claim processes one claim and records it if it is granted.
 func (s *Shard) Claim(now time.Time, e port.ClaimEntry, l *Limits) Result {
-	// An attempt settled as not_run is barred: its router gave it up, and a
-	// request for it that a frozen keeper still holds must not take the key.
+	// An attempt settled as not_run is barred: its router has abandoned it, and
+	// a delayed request for it at a frozen keeper must not claim the key.
 	if s.barred.has(e.AttemptID) {
 		return Result{Verdict: port.ClaimHeld, Holder: notRunState(now, e)}
 	}
 	if i, found := s.index[e.KeyHash]; found {
-		return s.claimKnown(now, i, e, l)
+		return s.claimExistingKey(now, i, e, l)
 	}
-	// A key past the retention is refused: its outcome is forgotten, and
-	// running it again could be the second run of a non-idempotent call.
-	// One in a part that was not read can't be seen, so that nothing is granted.
+	// A key past the retention is refused: its outcome is no longer known, and
+	// running it could be the second run of a non-idempotent call. Without the
+	// contents of all sealed parts such keys can't be recognised, so that no new
+	// key is granted.
 	if !s.Complete() {
 		return Result{Verdict: port.ClaimUnavailable, Reason: ReasonPlatform}
 	}
-	if s.tombs.has(e.KeyHash) || s.ring.has(e.KeyHash) {
+	if s.tombstones.has(e.KeyHash) || s.sealed.has(e.KeyHash) {
 		return Result{Verdict: port.ClaimExpired}
 	}
 	st := newState(now, e)
-	if s.Bytes()+s.cost(&st) > l.MaxBytes {
+	if s.Bytes()+s.maxAddedBytes(&st) > l.MaxBytes {
 		return Result{Verdict: port.ClaimUnavailable, Reason: ReasonFull}
 	}
 	s.add(st)
 	return Result{Verdict: port.ClaimGranted}
 }
 
-func (s *Shard) claimKnown(now time.Time, i int, e port.ClaimEntry, l *Limits) Result {
+func (s *Shard) claimExistingKey(now time.Time, i int, e port.ClaimEntry, l *Limits) Result {
 	held := s.claims[i]
-	// A reply was lost, or another keeper wrote this attempt already: the
-	// same attempt dispatches once, however often it is told so.
+	// The reply was lost, or another keeper has already recorded this attempt.
+	// Granting it again is safe: an attempt dispatches once, however many grants
+	// it receives.
 	if held.AttemptID == e.AttemptID && held.Outcome == port.ClaimedOnly {
 		return Result{Verdict: port.ClaimGranted}
 	}
@@ -164,10 +168,11 @@
 	return Result{Verdict: port.ClaimHeld, Holder: held}
 }
 
-// Settle records an outcome and reports whether the shard knows it now. Only
-// the attempt that holds the key can settle it. A not_run for an unknown
-// or overtaken attempt bars it: its claim may still be under way at a frozen
-// keeper, and the write that bars it also makes that claim's write fail.
+// Settle records an outcome and reports whether the shard now contains it. Only
+// the attempt that holds the key can settle it. A not_run from an attempt that is
+// unknown or no longer holds the key bars that attempt: its claim may still be
+// pending at a frozen keeper, and the write that bars the attempt also makes that
+// keeper's write fail.
 func (s *Shard) Settle(now time.Time, st port.ClaimState, l *Limits) bool {
 	if st.Outcome == port.ClaimedOnly {
 		return false
@@ -180,7 +185,7 @@
 	if held.AttemptID != st.AttemptID {
 		return s.bar(now, &st, l)
 	}
-	if !settles(held.Outcome, st.Outcome) {
+	if !validTransition(held.Outcome, st.Outcome) {
 		return held.Outcome == st.Outcome
 	}
 	held.Outcome = st.Outcome
@@ -189,9 +194,9 @@
 	return true
 }
 
-// settles reports whether an outcome may follow another: what is known never
-// becomes less so, and not_run stands for good.
-func settles(from, to port.ClaimOutcome) bool {
+// validTransition reports whether an outcome may replace another. A known outcome,
+// not_run included, is final; unknown may only be replaced by a known one.
+func validTransition(from, to port.ClaimOutcome) bool {
 	return from == port.ClaimedOnly || (from == port.ClaimUnknown && to != port.ClaimUnknown)
 }
 
@@ -202,7 +207,7 @@
 	if s.barred.has(st.AttemptID) {
 		return true
 	}
-	if s.Bytes()+barredCost > l.MaxBytes {
+	if s.Bytes()+maxBarredBytes > l.MaxBytes {
 		return false
 	}
 	s.barred.add(st.AttemptID, now.UnixMilli())
@@ -210,9 +215,9 @@
 	return true
 }
 
-// Prune turns claims past the retention into tombstones, forgets barred
-// attempts and drops old tombstones. It does nothing until a whole bucket of
-// claims is due, so that not every write pays for it.
+// Prune replaces claims past the retention by tombstones and drops expired barred
+// attempts and tombstones. Claims are not processed until one is due by a whole
+// time bucket, so that the cost does not arise at every write.
 func (s *Shard) Prune(now time.Time, l *Limits) {
 	s.dropOldTombstones(now, l)
 	if s.barred.dropBefore(now.Add(-l.NotRunMemory).UnixMilli()) {
@@ -220,7 +225,7 @@
 	}
 	slack := time.Duration(l.bucketMillis()) * time.Millisecond
 	if !slices.ContainsFunc(s.claims, func(c port.ClaimState) bool {
-		return age(now, &c) > keepFor(&c, l)+slack
+		return age(now, &c) > retentionOf(&c, l)+slack
 	}) {
 		return
 	}
@@ -228,14 +233,14 @@
 	var expired []port.ClaimState
 	for _, c := range s.claims {
 		switch {
-		case age(now, &c) <= keepFor(&c, l):
+		case age(now, &c) <= retentionOf(&c, l):
 			kept = append(kept, c)
 		case c.Outcome != port.ClaimNotRun:
 			expired = append(expired, c)
 		}
 	}
 	if len(expired) > 0 {
-		s.tombs = s.tombs.with(expired, l.bucketMillis())
+		s.tombstones = s.tombstones.withClaims(expired, l.bucketMillis())
 	}
 	s.reset(kept)
 	s.changed = true
@@ -243,14 +248,14 @@
 
 func (s *Shard) dropOldTombstones(now time.Time, l *Limits) {
 	oldest := now.Add(-l.Retention - l.TombstoneRetention).UnixMilli()
-	next, dropped := s.tombs.since(oldest, l.bucketMillis())
-	s.tombs = next
-	if s.ring.dropBefore(oldest, l.bucketMillis()) || dropped {
+	next, dropped := s.tombstones.withoutBefore(oldest, l.bucketMillis())
+	s.tombstones = next
+	if s.sealed.dropBefore(oldest, l.bucketMillis()) || dropped {
 		s.changed = true
 	}
 }
 
-func keepFor(c *port.ClaimState, l *Limits) time.Duration {
+func retentionOf(c *port.ClaimState, l *Limits) time.Duration {
 	if c.Outcome == port.ClaimNotRun {
 		return l.NotRunMemory
 	}
@@ -284,49 +289,49 @@
 	s.bytes = 0
 	for i := range claims {
 		s.index[claims[i].KeyHash] = i
-		s.count(&claims[i])
+		s.addToTotals(&claims[i])
 	}
 }
 
 func (s *Shard) add(st port.ClaimState) {
 	s.index[st.KeyHash] = len(s.claims)
 	s.claims = append(s.claims, st)
-	s.count(&st)
+	s.addToTotals(&st)
 	s.changed = true
 }
 
 func (s *Shard) replace(i int, st port.ClaimState) {
-	s.discount(&s.claims[i])
+	s.removeFromTotals(&s.claims[i])
 	s.claims[i] = st
-	s.count(&st)
+	s.addToTotals(&st)
 	s.changed = true
 }
 
-func (s *Shard) count(st *port.ClaimState) {
-	s.bytes += s.cost(st)
+func (s *Shard) addToTotals(st *port.ClaimState) {
+	s.bytes += s.maxAddedBytes(st)
 	if issuer, _, ok := splitRequestID(st.RequestID); ok {
 		s.issuers[issuer]++
 	}
 }
 
-// discount undoes count. An issuer whose last claim goes must go too: it
-// would be written again with each group, and the shard would be full before
-// its time.
-func (s *Shard) discount(st *port.ClaimState) {
+// removeFromTotals reverses addToTotals. An issuer is removed with its last claim:
+// otherwise it would be stored with every write, and the shard would reach its
+// size limit early.
+func (s *Shard) removeFromTotals(st *port.ClaimState) {
 	if issuer, _, ok := splitRequestID(st.RequestID); ok {
 		s.issuers[issuer]--
 		if s.issuers[issuer] == 0 {
 			delete(s.issuers, issuer)
 		}
 	}
-	s.bytes -= s.cost(st)
+	s.bytes -= s.maxAddedBytes(st)
 }
 
-// cost is what a claim adds to the encoded size at most.
-func (s *Shard) cost(st *port.ClaimState) int {
-	cost := claimCost(st)
+// maxAddedBytes is an upper bound of what a claim adds to the encoded size.
+func (s *Shard) maxAddedBytes(st *port.ClaimState) int {
+	cost := maxClaimBytes(st)
 	if issuer, _, ok := splitRequestID(st.RequestID); ok && s.issuers[issuer] == 0 {
-		cost += len(issuer) + lengthPrefix
+		cost += len(issuer) + maxLengthPrefixBytes
 	}
 	return cost
 }
--- a/internal/core/claim/shard_test.go
+++ b/internal/core/claim/shard_test.go
@@ -38,8 +38,9 @@
 	}
 }
 
-// Only not_run, and only by the attempt that holds the key, frees it.
-func TestOnlyNotRunOfTheHolderFreesAKey(t *testing.T) {
+// A key becomes available again only if the attempt that holds it settles it as
+// not_run.
+func TestOnlyNotRunOfHolderReleasesKey(t *testing.T) {
 	cases := []struct {
 		name    string
 		settle  port.ClaimState
@@ -49,8 +50,8 @@
 		{"failed", settled(entry(1, "a"), port.ClaimFailed), port.ClaimHeld},
 		{"unknown", settled(entry(1, "a"), port.ClaimUnknown), port.ClaimHeld},
 		{"claimed", settled(entry(1, "a"), port.ClaimedOnly), port.ClaimHeld},
-		{"another's not_run", settled(entry(1, "b"), port.ClaimNotRun), port.ClaimHeld},
-		{"own not_run", settled(entry(1, "a"), port.ClaimNotRun), port.ClaimGranted},
+		{"not_run of another attempt", settled(entry(1, "b"), port.ClaimNotRun), port.ClaimHeld},
+		{"not_run of the holder", settled(entry(1, "a"), port.ClaimNotRun), port.ClaimGranted},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -62,8 +63,8 @@
 	}
 }
 
-// not_run after done would let a second run through.
-func TestKnownOutcomesStand(t *testing.T) {
+// A known outcome is final: not_run after done would permit a second run.
+func TestKnownOutcomesAreFinal(t *testing.T) {
 	for _, first := range []port.ClaimOutcome{port.ClaimDone, port.ClaimFailed, port.ClaimNotRun} {
 		for _, second := range []port.ClaimOutcome{port.ClaimDone, port.ClaimFailed, port.ClaimNotRun, port.ClaimUnknown} {
 			s := NewShard()
@@ -71,84 +72,84 @@
 			s.Settle(start, settled(entry(1, "a"), first), &testLimits)
 			s.Settle(start, settled(entry(1, "a"), second), &testLimits)
 			if got, _ := s.Lookup(KeyHash{1}); got.Outcome != first {
-				t.Errorf("%s after %s: %s", second, first, got.Outcome)
+				t.Errorf("outcome %s after %s: stored %s", second, first, got.Outcome)
 			}
 		}
 	}
 }
 
-// A caller sends a key again long after its outcome was forgotten. It is
-// refused: running it could be the second run.
+// A key that is reused after its outcome has been dropped is refused: running it
+// could be the second run.
 func TestKeyPastRetentionIsRefused(t *testing.T) {
 	s := NewShard()
 	wantVerdict(t, s.Claim(start, entry(1, "a"), &testLimits), port.ClaimGranted)
-	late := start.Add(testLimits.Retention + time.Millisecond)
-	wantVerdict(t, s.Claim(late, entry(1, "b"), &testLimits), port.ClaimExpired)
-	late = start.Add(2 * testLimits.Retention)
-	s.Prune(late, &testLimits)
+	afterRetention := start.Add(testLimits.Retention + time.Millisecond)
+	wantVerdict(t, s.Claim(afterRetention, entry(1, "b"), &testLimits), port.ClaimExpired)
+	afterRetention = start.Add(2 * testLimits.Retention)
+	s.Prune(afterRetention, &testLimits)
 	if s.Len() != 0 || s.Tombstones() != 1 {
-		t.Fatalf("%d claims, %d tombstones", s.Len(), s.Tombstones())
+		t.Fatalf("got %d claims and %d tombstones, want 0 and 1", s.Len(), s.Tombstones())
 	}
-	wantVerdict(t, s.Claim(late, entry(1, "b"), &testLimits), port.ClaimExpired)
-	s = reread(t, s)
-	wantVerdict(t, s.Claim(late, entry(1, "b"), &testLimits), port.ClaimExpired)
-	gone := start.Add(testLimits.Retention + testLimits.TombstoneRetention + time.Hour)
-	s.Prune(gone, &testLimits)
+	wantVerdict(t, s.Claim(afterRetention, entry(1, "b"), &testLimits), port.ClaimExpired)
+	s = reload(t, s)
+	wantVerdict(t, s.Claim(afterRetention, entry(1, "b"), &testLimits), port.ClaimExpired)
+	afterTombstones := start.Add(testLimits.Retention + testLimits.TombstoneRetention + time.Hour)
+	s.Prune(afterTombstones, &testLimits)
 	if s.Tombstones() != 0 {
-		t.Fatal("the tombstone stays for ever")
+		t.Fatal("the expired tombstone was not dropped")
 	}
 }
 
-// Attempt "a" was given up while "b" had the key, or before "b" took it. When
-// "b" did not run either, a claim for "a" that a frozen keeper still holds
-// must not take the free key, as nobody would ever give it back.
-func TestOvertakenAttemptStaysBarred(t *testing.T) {
-	for _, givenUpFirst := range []bool{true, false} {
+// Attempt "a" is abandoned before "b" claims the key, or while "b" holds it. After
+// "b" is settled as not_run, a delayed claim for "a" at a frozen keeper must not
+// get the key, as no router would ever settle it.
+func TestSupersededAttemptStaysBarred(t *testing.T) {
+	for _, abandonedFirst := range []bool{true, false} {
 		s := NewShard()
-		if givenUpFirst {
+		if abandonedFirst {
 			s.Settle(start, settled(entry(1, "a"), port.ClaimNotRun), &testLimits)
 		}
 		wantVerdict(t, s.Claim(start, entry(1, "b"), &testLimits), port.ClaimGranted)
 		s.Settle(start, settled(entry(1, "a"), port.ClaimNotRun), &testLimits)
 		s.Settle(start, settled(entry(1, "b"), port.ClaimNotRun), &testLimits)
-		s = reread(t, s)
+		s = reload(t, s)
 		wantVerdict(t, s.Claim(start, entry(1, "a"), &testLimits), port.ClaimHeld)
 		wantVerdict(t, s.Claim(start, entry(1, "c"), &testLimits), port.ClaimGranted)
 		s.Prune(start.Add(2*testLimits.NotRunMemory), &testLimits)
 		if len(s.barred) != 0 {
-			t.Fatal("barred for ever")
+			t.Fatal("the expired barred attempt was not dropped")
 		}
 	}
 }
 
-// Giving up an attempt must change the stored shard even where another
-// attempt that did not run stands under the key: the new version is what makes
-// a write of the given-up claim fail that is still on its way.
-func TestGivingUpAlwaysWrites(t *testing.T) {
+// Abandoning an attempt must change the stored shard, even if another attempt was
+// settled as not_run under the key before: a pending write of the abandoned claim
+// fails only because the object has a new version.
+func TestAbandoningAttemptChangesShard(t *testing.T) {
 	s := NewShard()
 	s.Settle(start, settled(entry(1, "a"), port.ClaimNotRun), &testLimits)
 	c := s.Clone()
 	if !c.Settle(start, settled(entry(1, "b"), port.ClaimNotRun), &testLimits) || !c.Changed() {
-		t.Fatal("the shard is unchanged")
+		t.Fatal("settling the second attempt as not_run did not change the shard")
 	}
 }
 
-// A key whose attempt did not run leaves no tombstone: it may be used again.
+// A key whose attempt did not run gets no tombstone, as it may be used again.
 func TestNotRunLeavesNoTombstone(t *testing.T) {
 	s := NewShard()
 	s.Claim(start, entry(1, "a"), &testLimits)
 	s.Settle(start, settled(entry(1, "a"), port.ClaimNotRun), &testLimits)
-	late := start.Add(2 * testLimits.Retention)
-	s.Prune(late, &testLimits)
+	afterRetention := start.Add(2 * testLimits.Retention)
+	s.Prune(afterRetention, &testLimits)
 	if s.Len() != 0 {
-		t.Fatal("barred for ever")
+		t.Fatal("the expired not_run claim was not dropped")
 	}
-	wantVerdict(t, s.Claim(late, entry(1, "b"), &testLimits), port.ClaimGranted)
+	wantVerdict(t, s.Claim(afterRetention, entry(1, "b"), &testLimits), port.ClaimGranted)
 }
 
-// A shard that holds as much as one object may refuses new keys, and goes on
-// answering for the ones it holds.
-func TestFullShardRefuses(t *testing.T) {
+// A shard at its maximum size refuses new keys and still processes claims and
+// outcomes of the keys that it contains.
+func TestFullShardRefusesNewKeys(t *testing.T) {
 	limits := testLimits
 	limits.MaxBytes = 4000
 	s := NewShard()
@@ -160,21 +161,21 @@
 		}
 	}
 	if refused.Verdict != port.ClaimUnavailable || refused.Reason != ReasonFull {
-		t.Fatalf("got %+v after %d", refused, n)
+		t.Fatalf("got %+v after %d claims, want unavailable with reason full", refused, n)
 	}
 	wantVerdict(t, s.Claim(start, entry(0, "b"), &limits), port.ClaimHeld)
 	if !s.Settle(start, settled(entry(0, "a"), port.ClaimNotRun), &limits) {
-		t.Fatal("a full shard must still free keys")
+		t.Fatal("a full shard did not record a not_run outcome")
 	}
 	wantVerdict(t, s.Claim(start, entry(0, "b"), &limits), port.ClaimGranted)
 	raw, err := s.Encode()
 	if err != nil || len(raw) > limits.MaxBytes {
-		t.Fatalf("%d bytes, %v", len(raw), err)
+		t.Fatalf("the full shard encodes to %d bytes, error %v", len(raw), err)
 	}
 }
 
-// Whatever a shard went through, its stored form reads back the same and is
-// never larger than the bound it is admitted by.
+// After any sequence of operations a shard survives encoding and decoding
+// unchanged, and its encoded size does not exceed its bound.
 func TestEncodeRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := randomShard(t)
@@ -183,39 +184,39 @@
 			t.Fatal(err)
 		}
 		if len(raw) > s.Bytes() {
-			t.Fatalf("%d bytes encoded, bound %d", len(raw), s.Bytes())
+			t.Fatalf("encoded size is %d bytes, more than the bound of %d", len(raw), s.Bytes())
 		}
-		again, err := Decode(raw)
+		decoded, err := Decode(raw)
 		if err != nil {
 			t.Fatal(err)
 		}
-		rewritten, err := again.Encode()
+		rewritten, err := decoded.Encode()
 		if err != nil {
 			t.Fatal(err)
 		}
 		if string(rewritten) != string(raw) {
-			t.Fatalf("%d bytes became %d", len(raw), len(rewritten))
+			t.Fatalf("the encoding changed: %d bytes before decoding, %d after", len(raw), len(rewritten))
 		}
-		if fmt.Sprint(again.claims) != fmt.Sprint(s.claims) {
-			t.Fatalf("claims differ:\n%v\n%v", s.claims, again.claims)
+		if fmt.Sprint(decoded.claims) != fmt.Sprint(s.claims) {
+			t.Fatalf("claims differ:\n%v\n%v", s.claims, decoded.claims)
 		}
-		if fmt.Sprint(again.tombs.index) != fmt.Sprint(s.tombs.index) {
+		if fmt.Sprint(decoded.tombstones.index) != fmt.Sprint(s.tombstones.index) {
 			t.Fatal("tombstones differ")
 		}
-		if fmt.Sprint(again.barred) != fmt.Sprint(s.barred) {
+		if fmt.Sprint(decoded.barred) != fmt.Sprint(s.barred) {
 			t.Fatal("barred attempts differ")
 		}
-		if again.Bytes() != s.Bytes() {
-			t.Fatalf("bound %d became %d", s.Bytes(), again.Bytes())
+		if decoded.Bytes() != s.Bytes() {
+			t.Fatalf("the size bound changed: %d before decoding, %d after", s.Bytes(), decoded.Bytes())
 		}
 	})
 }
 
-// What rapid found with seed 991 (DRAGONFLYRAIL_SEED=1, 3000 checks): a key
-// whose attempt did not run is claimed by another router's attempt. The first
-// router has no claim left, yet its name stayed in the stored shard and in the
-// bound, which fell from 109 to 97 when the shard was read again.
-func TestReplacedClaimTakesItsIssuerAlong(t *testing.T) {
+// A key whose attempt did not run is claimed by an attempt of another router. If
+// the first router, which has no claim left, stays in the list of issuers, it is
+// stored and counted, and the size bound differs after decoding (97 instead of
+// 109 in this case).
+func TestReplacingClaimRemovesUnusedIssuer(t *testing.T) {
 	id := uuid.NewSHA1(uuid.Nil, []byte("request")).String()
 	first := port.ClaimEntry{RequestID: "router-1." + id, AttemptID: "router-1." + id + "/1"}
 	second := port.ClaimEntry{RequestID: "a.b." + id, AttemptID: "a.b." + id + "/1"}
@@ -228,19 +229,19 @@
 		t.Fatal(err)
 	}
 	if strings.Contains(string(raw), "router-1") {
-		t.Error("an issuer without claims is stored")
+		t.Error("an issuer without claims was stored")
 	}
-	again, err := Decode(raw)
+	decoded, err := Decode(raw)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if again.Bytes() != s.Bytes() || len(raw) > s.Bytes() {
-		t.Errorf("%d bytes, bound %d became %d", len(raw), s.Bytes(), again.Bytes())
+	if decoded.Bytes() != s.Bytes() || len(raw) > s.Bytes() {
+		t.Errorf("encoded size %d, bound %d before decoding and %d after", len(raw), s.Bytes(), decoded.Bytes())
 	}
 }
 
-// Keepers' clocks differ, and issuers may be many: the bound by which a shard
-// admits claims holds all the same, before it is stored and after.
+// The encoded size stays within its bound, before and after decoding, also with
+// clock skew between keepers and many issuers.
 func TestBytesBoundsEncodedSize(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := NewShard()
@@ -258,18 +259,19 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		again, err := Decode(raw)
+		decoded, err := Decode(raw)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if len(raw) > s.Bytes() || len(raw) > again.Bytes() {
-			t.Fatalf("%d bytes encoded, bound %d before and %d after", len(raw), s.Bytes(), again.Bytes())
+		if len(raw) > s.Bytes() || len(raw) > decoded.Bytes() {
+			t.Fatalf("encoded size is %d bytes, more than the bound of %d before decoding or %d after", len(raw), s.Bytes(), decoded.Bytes())
 		}
 	})
 }
 
-// A clone is written to the platform while the original still answers.
-func TestCloneIsApart(t *testing.T) {
+// Changes of a clone must not show in the original, which still serves requests
+// while the clone is written to the platform.
+func TestCloneIsIndependent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := randomShard(t)
 		before, _ := s.Encode()
@@ -282,7 +284,7 @@
 		}
 		after, _ := s.Encode()
 		if string(before) != string(after) {
-			t.Fatal("a change of the clone shows in the original")
+			t.Fatal("changing the clone changed the original")
 		}
 	})
 }
@@ -325,20 +327,20 @@
 	return s
 }
 
-func reread(t *testing.T, s *Shard) *Shard {
+func reload(t *testing.T, s *Shard) *Shard {
 	t.Helper()
 	value, err := s.EncodeValue()
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, err := DecodeValue(value)
+	decoded, err := DecodeValue(value)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return again
+	return decoded
 }
 
-func TestDecodeRefusesANewerFormat(t *testing.T) {
+func TestDecodeRejectsNewerFormat(t *testing.T) {
 	if _, err := DecodeValue([]byte(`{"format_version":3,"claims":""}`)); !errors.Is(err, ErrNewerFormat) {
 		t.Fatalf("got %v", err)
 	}
@@ -349,7 +351,7 @@
 
 func TestKeyTooOld(t *testing.T) {
 	v7 := uuid.Must(uuid.NewV7())
-	made := time.Unix(v7.Time().UnixTime())
+	created := time.Unix(v7.Time().UnixTime())
 	cases := []struct {
 		name, key string
 		after     time.Duration
@@ -357,18 +359,18 @@
 	}{
 		{"fresh", v7.String(), time.Minute, false},
 		{"old", v7.String(), 2 * time.Hour, true},
-		{"no time in it", uuid.NewString(), 100 * time.Hour, false},
+		{"UUID without a time", uuid.NewString(), 100 * time.Hour, false},
 		{"not a uuid", "invoice-17", 100 * time.Hour, false},
 	}
 	for _, c := range cases {
-		if got := KeyTooOld(c.key, made.Add(c.after), time.Hour); got != c.want {
+		if got := KeyTooOld(c.key, created.Add(c.after), time.Hour); got != c.want {
 			t.Errorf("%s: got %v", c.name, got)
 		}
 	}
 }
 
-// FuzzDecode: bytes from the platform never panic, and what is accepted
-// survives being written again.
+// FuzzDecode checks that no bytes from the platform cause a panic, and that a shard
+// that is accepted survives encoding and decoding.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, raw []byte) {
@@ -376,21 +378,21 @@
 		if err != nil {
 			return
 		}
-		again, err := s.Encode()
+		reencoded, err := s.Encode()
 		if err != nil {
 			t.Fatal(err)
 		}
-		second, err := Decode(again)
+		decoded, err := Decode(reencoded)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if second.Len() != s.Len() || second.Tombstones() != s.Tombstones() {
+		if decoded.Len() != s.Len() || decoded.Tombstones() != s.Tombstones() {
 			t.Fatal("claims or tombstones were lost")
 		}
 	})
 }
 
-// FuzzDecodeValue covers the JSON around the bytes.
+// FuzzDecodeValue checks that no JSON value around the encoded shard causes a panic.
 func FuzzDecodeValue(f *testing.F) {
 	f.Add([]byte(`{"format_version":1,"claims":"CAE="}`))
 	f.Add([]byte(`{"format_version":9}`))
--- a/internal/core/claim/tombstone.go
+++ b/internal/core/claim/tombstone.go
@@ -8,12 +8,13 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// prefixBytes is how much of a key hash a tombstone keeps. Two keys of one
-// shard that share it make the newer one refused as expired, never run twice.
+// prefixBytes is the number of leading bytes of a key hash that a tombstone
+// stores. If two keys of a shard share this prefix, the newer one is refused as
+// expired; neither runs twice.
 const prefixBytes = 8
 
-// tombstones are the keys past the retention, by the bucket of time of their
-// claims. A value is never changed, so that clones of a shard share it.
+// tombstones holds the prefixes of the key hashes past the retention, by the time
+// bucket of their claims. It is immutable, so that clones of a shard can share it.
 type tombstones struct {
 	buckets map[int64][]uint64
 	index   map[uint64]bool
@@ -29,11 +30,11 @@
 
 // bytes is an upper bound of the encoded size.
 func (t *tombstones) bytes() int {
-	return len(t.index)*prefixBytes + len(t.buckets)*bucketCost
+	return len(t.index)*prefixBytes + len(t.buckets)*maxBucketBytes
 }
 
-// with returns a copy that holds the claims too.
-func (t *tombstones) with(claims []port.ClaimState, bucketMillis int64) *tombstones {
+// withClaims returns a copy that also contains the keys of the claims.
+func (t *tombstones) withClaims(claims []port.ClaimState, bucketMillis int64) *tombstones {
 	next := &tombstones{buckets: maps.Clone(t.buckets), index: maps.Clone(t.index)}
 	added := map[int64][]uint64{}
 	for i := range claims {
@@ -51,8 +52,9 @@
 	return next
 }
 
-// since returns a copy without the buckets that end before oldest.
-func (t *tombstones) since(oldest, bucketMillis int64) (next *tombstones, dropped bool) {
+// withoutBefore returns a copy without the buckets that end before oldest, or t
+// itself if there are none.
+func (t *tombstones) withoutBefore(oldest, bucketMillis int64) (next *tombstones, dropped bool) {
 	for bucket := range t.buckets {
 		dropped = dropped || bucket+bucketMillis < oldest
 	}
