--- a/internal/core/stream/doc.go
+++ b/internal/core/stream/doc.go
@@ -1,5 +1,5 @@
-// Package stream decides what to do with one run of a generation: which
-// frames the caller gets, when to resume, when to probe and when to give up.
-// It holds no socket and no clock: the driver feeds events and carries out
-// the command that each one yields.
+// Package stream contains the state machine of one run of a generation. It
+// decides which frames are delivered to the caller, and when to resume, probe and
+// cancel the run. It uses no sockets and no clock: the driver passes in events and
+// executes the command that each of them returns.
 package stream
--- a/internal/core/stream/machine.go
+++ b/internal/core/stream/machine.go
@@ -6,111 +6,120 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// EventKind tells what happened on the way to the engine or the caller.
+// EventKind is the kind of an event on the connection to the engine or the caller.
 type EventKind int
 
-// The events that a driver feeds.
+// The kinds of events that the driver passes to Step.
 const (
 	// EventBegin is the first event of each run.
 	EventBegin EventKind = iota + 1
-	// EventOpened: a dispatch or a resume is answered with a stream.
+	// EventOpened: the engine answered a dispatch or a resume with a stream.
 	EventOpened
 	// EventFrame carries a frame.
 	EventFrame
-	// EventClosed: the connection ended or the reader's buffer overflowed.
+	// EventClosed: the connection was closed or the reader's buffer overflowed.
 	EventClosed
-	// EventSilent: no frame came within the stall timeout.
+	// EventSilent: no frame arrived within the stall timeout.
 	EventSilent
-	// EventNotSent: no byte of the call left this process.
+	// EventNotSent: no byte of the call was sent.
 	EventNotSent
-	// EventRefused: the engine said that it did not start the generation.
+	// EventRefused: the engine reported that it did not start the generation.
 	EventRefused
-	// EventRejected: the engine said that the request itself is wrong.
+	// EventRejected: the engine reported that the request is invalid.
 	EventRejected
-	// EventLost: a call was sent and got no answer.
+	// EventLost: a call was sent and no answer arrived.
 	EventLost
-	// EventNoGeneration: a resume found no such generation.
+	// EventNoGeneration: the engine of a resume does not know the generation.
 	EventNoGeneration
-	// EventStatus answers a probe, or a cancel with the status before it.
+	// EventStatus carries the status that answers a probe, or the status before
+	// a cancel that answers the cancel.
 	EventStatus
-	// EventForgotten: the engine answers a cancel, but it has restarted since
-	// the dispatch, so its not knowing the generation proves nothing.
+	// EventForgotten: the engine answered a cancel but has restarted since the
+	// dispatch. That it does not know the generation does not prove that the
+	// generation never ran.
 	EventForgotten
 	// EventCallerGone: the caller closed its connection.
 	EventCallerGone
-	// EventHandover: this router stops; the caller is told to resume the run
-	// elsewhere.
+	// EventHandover: this router shuts down; the caller is told to resume the
+	// run at another router.
 	EventHandover
 )
 
-// Event is one thing that happened.
+// Event is an input of the state machine. Frame is set for EventFrame, Status for
+// EventStatus.
 type Event struct {
 	Kind   EventKind
 	Frame  port.Frame
 	Status port.GenerationStatus
 }
 
-// CommandKind tells the driver what to do next.
+// CommandKind is the kind of a command to the driver.
 type CommandKind int
 
-// The commands.
+// The kinds of commands.
 const (
 	// CommandDispatch starts the generation at the engine.
 	CommandDispatch CommandKind = iota + 1
 	// CommandRead waits for the next frame of the open connection.
 	CommandRead
-	// CommandDeliver gives the frame to the caller, then reads on.
+	// CommandDeliver sends the frame to the caller and then reads the next one.
 	CommandDeliver
-	// CommandResume opens a new connection from token From after Delay.
+	// CommandResume opens a new connection after Delay, starting at token From.
 	CommandResume
-	// CommandProbe asks the engine for the status after Delay.
+	// CommandProbe queries the status of the generation after Delay.
 	CommandProbe
-	// CommandCancel ends or bars the generation at the engine after Delay.
+	// CommandCancel cancels the generation after Delay. The engine bars an id that
+	// it does not know.
 	CommandCancel
-	// CommandComplete gives the final frame to the caller; the run is done.
+	// CommandComplete sends the final frame to the caller and ends the run.
 	CommandComplete
-	// CommandEnd stops without a complete answer.
+	// CommandEnd ends the run without a complete answer.
 	CommandEnd
 )
 
-// Command is what to do next.
+// Command tells the driver what to do next.
 type Command struct {
 	Kind  CommandKind
 	Frame port.Frame
-	// From is the index of the first token wanted by a resume.
+	// From is the index of the first token to request with CommandResume.
 	From  int
 	Delay time.Duration
-	// Fate and Reason are set with CommandEnd and CommandComplete.
+	// Fate is set for CommandEnd and CommandComplete. Reason is also set for
+	// CommandResume, CommandProbe and CommandCancel.
 	Fate   Fate
 	Reason string
-	// CancelPending: the cancel was not seen and must be repeated.
+	// CancelPending: the engine has not confirmed the cancel, which must be
+	// repeated.
 	CancelPending bool
 }
 
-// Fate is what is known of a run once it is over.
+// Fate is the known outcome of a run that has ended.
 type Fate int
 
-// The fates of a run.
+// The outcomes of a run.
 const (
-	// FateDone: the caller has every token and the final count agrees.
+	// FateDone: the caller received every token, and the final count agrees.
 	FateDone Fate = iota + 1
-	// FateNotSent: nothing reached the engine.
+	// FateNotSent: nothing was sent to the engine.
 	FateNotSent
-	// FateRefused: the engine said that it did not start it.
+	// FateRefused: the engine reported that it did not start the generation.
 	FateRefused
-	// FateRejected: the engine did not start it, as the request is wrong.
+	// FateRejected: the engine did not start the generation, as the request is
+	// invalid.
 	FateRejected
-	// FateBarred: the engine never saw it and now refuses it.
+	// FateBarred: the engine never received the generation and now refuses its id.
 	FateBarred
-	// FateRan: it ran and its answer is not whole.
+	// FateRan: the engine had accepted the generation, and its answer is incomplete.
 	FateRan
-	// FateUnknown: it may have run, and no token reached the caller.
+	// FateUnknown: the generation may have run; no token was delivered to the
+	// caller.
 	FateUnknown
-	// FateLeft: the caller has gone and may resume; the engine goes on.
+	// FateLeft: the run was not cancelled and may continue at the engine; the
+	// caller may resume it.
 	FateLeft
 )
 
-// String names the fate as logs do.
+// String returns the name of the outcome as used in logs.
 func (f Fate) String() string {
 	names := [...]string{"none", "done", "not_sent", "refused", "rejected", "barred", "ran", "unknown", "left"}
 	if f < 0 || int(f) >= len(names) {
@@ -119,44 +128,47 @@
 	return names[f]
 }
 
-// Mode tells how the run reached this router.
+// Mode is how this router came to handle the run.
 type Mode int
 
 // The modes.
 const (
-	// ModeOwned: this router dispatches and may cancel.
+	// ModeOwned: this router dispatches the run and may cancel it.
 	ModeOwned Mode = iota + 1
-	// ModeAdopted: a caller resumes a run that some router dispatched. It
-	// is never cancelled here, as another router may reach the engine.
+	// ModeAdopted: a caller resumes a run that any router may have dispatched.
+	// This router never cancels it, as another router may still reach the engine.
 	ModeAdopted
 )
 
-// Limits bound a run's patience.
+// Limits bound the retries of a run.
 type Limits struct {
-	// Failures is the number of failed steps in a row, without a token
-	// between them, after which the run is given up before its first token,
-	// and StartedFailures after it: there a link that is cut for some
-	// seconds must not cost a report that can't move. Before it a request that
-	// may move does so as soon as a lost dispatch and a lost probe agree: each
-	// costs its caller a whole timeout while other engines are idle.
+	// Failures is the number of consecutive failed steps, without a token in
+	// between, after which the run is abandoned before its first token;
+	// StartedFailures is the same after the first token. A run that has started
+	// can't be moved to another engine, so that it must survive a link failure of
+	// some seconds. A request that has not started can move, and does so as soon
+	// as a dispatch and a probe are both unanswered: each of them costs the caller
+	// a whole timeout while other engines may be idle.
 	Failures        int
 	StartedFailures int
-	// QueuedRounds bounds the probes that find it still queued before its
-	// first token, and RunningRounds those that find it running.
+	// QueuedRounds is the maximum number of probes before the first token that
+	// find the generation queued, and RunningRounds of those that find it running.
 	QueuedRounds  int
 	RunningRounds int
-	// StartedRounds bounds the probes between two tokens. It is long: a
-	// crowded engine preempts a report for as long as it must, and giving
-	// up would throw away what nobody can generate again.
+	// StartedRounds is the maximum number of probes between two tokens. It is
+	// high because an overloaded engine may preempt a generation for long, and the
+	// tokens of an abandoned generation can't be reproduced.
 	StartedRounds int
-	// CancelTries bounds the cancels before the answer is given without one.
+	// CancelTries is the maximum number of unanswered cancels before the run ends
+	// without a confirmed cancel.
 	CancelTries int
-	// Backoff is the first delay; it doubles up to MaxBackoff.
+	// Backoff is the initial retry delay; it doubles up to MaxBackoff.
 	Backoff    time.Duration
 	MaxBackoff time.Duration
 }
 
-// DefaultLimits fit engines a millisecond away.
+// DefaultLimits returns limits for engines at a network latency of about a
+// millisecond.
 func DefaultLimits() Limits {
 	return Limits{
 		Failures: 2, StartedFailures: 12, QueuedRounds: 30, RunningRounds: 15, StartedRounds: 300, CancelTries: 2,
@@ -176,37 +188,38 @@
 	phaseEnded
 )
 
-// Machine follows one run. It is not safe for concurrent use.
+// Machine is the state machine of one run. It is not safe for concurrent use.
 type Machine struct {
 	generation string
 	mode       Mode
 	limits     Limits
-	// resumable: the caller holds a token once it has the first frame.
+	// resumable: the caller has a resume token once it has received the first
+	// frame.
 	resumable bool
 
-	phase    phase
-	start    int
-	next     int
-	failures int
-	rounds   int
-	cancels  int
-	dropped  int
-	resumes  int
-	reason   string
+	phase      phase
+	start      int
+	next       int
+	failures   int
+	idleProbes int
+	cancels    int
+	dropped    int
+	resumes    int
+	reason     string
 }
 
-// Options of a run.
+// Options configures the state machine of a run.
 type Options struct {
 	Generation string
 	Mode       Mode
-	// From is the index of the first token the caller lacks.
+	// From is the index of the first token that the caller has not received.
 	From int
-	// Resumable: the caller can come back for the rest.
+	// Resumable: the caller can resume the run for the remaining tokens.
 	Resumable bool
 	Limits    Limits
 }
 
-// New returns a machine that waits for EventBegin.
+// New returns a machine that expects EventBegin.
 func New(o Options) *Machine {
 	return &Machine{
 		generation: o.Generation, mode: o.Mode, limits: o.Limits,
@@ -214,19 +227,20 @@
 	}
 }
 
-// Next is the index of the first token the caller lacks.
+// Next returns the index of the first token that the caller has not received.
 func (m *Machine) Next() int { return m.next }
 
-// Delivered reports whether a token of this run reached the caller.
+// Delivered reports whether the caller has received a token of the generation.
 func (m *Machine) Delivered() bool { return m.next > 0 }
 
-// Dropped counts the frames kept from the caller: duplicates and others'.
+// Dropped returns the number of frames that were not delivered because they were
+// duplicates or belonged to another generation.
 func (m *Machine) Dropped() int { return m.dropped }
 
-// Resumes counts the resumes asked for.
+// Resumes returns the number of resume commands issued.
 func (m *Machine) Resumes() int { return m.resumes }
 
-// Step takes one event and returns what to do next.
+// Step processes an event and returns the next command.
 func (m *Machine) Step(e Event) Command {
 	if m.phase == phaseEnded {
 		return Command{Kind: CommandEnd, Fate: FateRan, Reason: "the run was over"}
@@ -241,15 +255,15 @@
 	case phaseIdle:
 		return m.begin()
 	case phaseDispatching:
-		return m.dispatching(e)
+		return m.stepDispatching(e)
 	case phaseReading:
-		return m.reading(e)
+		return m.stepReading(e)
 	case phaseProbing:
-		return m.probing(e)
+		return m.stepProbing(e)
 	case phaseResuming:
-		return m.resuming(e)
+		return m.stepResuming(e)
 	default:
-		return m.cancelling(e)
+		return m.stepCancelling(e)
 	}
 }
 
@@ -261,7 +275,7 @@
 	return Command{Kind: CommandDispatch}
 }
 
-func (m *Machine) dispatching(e Event) Command {
+func (m *Machine) stepDispatching(e Event) Command {
 	switch e.Kind {
 	case EventOpened:
 		return m.read()
@@ -272,52 +286,56 @@
 	case EventRejected:
 		return m.end(FateRejected, "the engine says that it can't take such a request")
 	default:
-		// The dispatch may have arrived although its answer did not, so
-		// a second one could run twice: ask before anything else.
-		return m.failed("the dispatch got no answer", m.probe)
+		// The engine may have received the dispatch although its answer was
+		// lost, and a second dispatch could run the generation twice. The status
+		// is therefore probed first.
+		return m.retryOrGiveUp("the dispatch got no answer", m.probe)
 	}
 }
 
-func (m *Machine) reading(e Event) Command {
+func (m *Machine) stepReading(e Event) Command {
 	switch e.Kind {
 	case EventFrame:
-		return m.frame(e.Frame)
+		return m.handleFrame(e.Frame)
 	case EventSilent:
-		// A stalled link is not a dead engine: ask before giving up.
+		// The engine may be alive behind a stalled link: its status is probed
+		// before the run is abandoned.
 		m.reason = "no frame within the stall timeout"
 		return m.probe()
 	default:
-		// A connection that closes early is no end; only the final count is.
-		return m.failed("the connection closed before the final frame", m.again)
+		// Only a final frame with a matching token count ends the run, not the
+		// end of the connection.
+		return m.retryOrGiveUp("the connection closed before the final frame", m.resumeAfterFailure)
 	}
 }
 
-// frame keeps the promise of each token once, in order, from one generation.
-func (m *Machine) frame(f port.Frame) Command {
+// handleFrame ensures that each token is delivered once, in order, and from a single
+// generation.
+func (m *Machine) handleFrame(f port.Frame) Command {
 	if f.Generation != m.generation {
-		// Crossed or late frames of another run would mix two answers.
+		// Misrouted or late frames of another run would mix two answers.
 		m.dropped++
 		return m.read()
 	}
 	if f.Final() {
-		return m.final(f)
+		return m.handleFinal(f)
 	}
 	if f.Index < m.next {
 		m.dropped++
 		return m.read()
 	}
 	if f.Index > m.next {
-		return m.failed("a frame is missing", m.again)
+		return m.retryOrGiveUp("a frame is missing", m.resumeAfterFailure)
 	}
 	m.next++
-	m.failures, m.rounds = 0, 0
+	m.failures, m.idleProbes = 0, 0
 	return Command{Kind: CommandDeliver, Frame: f}
 }
 
-func (m *Machine) final(f port.Frame) Command {
+func (m *Machine) handleFinal(f port.Frame) Command {
 	switch {
 	case f.TokenCount > m.next:
-		return m.failed("tokens are missing before the final frame", m.again)
+		return m.retryOrGiveUp("tokens are missing before the final frame", m.resumeAfterFailure)
 	case f.TokenCount < m.next && m.next != m.start:
 		return m.end(FateRan, "the engine's final count is below the tokens it sent")
 	}
@@ -325,80 +343,82 @@
 	return Command{Kind: CommandComplete, Frame: f, Fate: FateDone, Reason: f.FinishReason}
 }
 
-func (m *Machine) probing(e Event) Command {
+func (m *Machine) stepProbing(e Event) Command {
 	if e.Kind != EventStatus {
-		return m.failed("the engine does not answer a probe", m.probe)
+		return m.retryOrGiveUp("the engine does not answer a probe", m.probe)
 	}
 	switch e.Status {
 	case port.GenerationQueued:
-		return m.patience(m.limits.QueuedRounds, "the engine keeps it queued")
+		return m.resumeWithinLimit(m.limits.QueuedRounds, "the engine keeps it queued")
 	case port.GenerationRunning:
-		return m.patience(m.limits.RunningRounds, "the engine runs it without a token")
+		return m.resumeWithinLimit(m.limits.RunningRounds, "the engine runs it without a token")
 	case port.GenerationFinished:
-		return m.failed("the end did not arrive", m.again)
+		return m.retryOrGiveUp("the end did not arrive", m.resumeAfterFailure)
 	case port.GenerationCancelled:
 		return m.end(FateRan, "the engine cancelled it")
 	default:
-		return m.noGeneration()
+		return m.generationNotFound()
 	}
 }
 
-// patience counts the probes that found the engine alive but gave no token.
-func (m *Machine) patience(limit int, reason string) Command {
-	m.rounds++
+// resumeWithinLimit counts the answered probes since the last token. It resumes the
+// run, or gives it up once the count has reached the limit.
+func (m *Machine) resumeWithinLimit(limit int, reason string) Command {
+	m.idleProbes++
 	if m.Delivered() {
 		limit = m.limits.StartedRounds
 	}
-	if m.rounds >= limit {
+	if m.idleProbes >= limit {
 		return m.giveUp(reason)
 	}
 	return m.resume(reason)
 }
 
-func (m *Machine) resuming(e Event) Command {
+func (m *Machine) stepResuming(e Event) Command {
 	switch e.Kind {
 	case EventOpened:
 		return m.read()
 	case EventNoGeneration:
-		return m.noGeneration()
+		return m.generationNotFound()
 	default:
-		return m.failed("the engine does not answer a resume", m.again)
+		return m.retryOrGiveUp("the engine does not answer a resume", m.resumeAfterFailure)
 	}
 }
 
-// noGeneration: the engine has no memory of it. Before the first token the
-// dispatch may still be on its way, so it is barred before anything else.
-func (m *Machine) noGeneration() Command {
+// generationNotFound handles an engine that does not know the generation. Before the
+// first token the dispatch may still be in transit, so that it is barred by a cancel
+// first.
+func (m *Machine) generationNotFound() Command {
 	if m.mode == ModeOwned && !m.Delivered() {
 		return m.cancel("the engine does not know the generation")
 	}
 	return m.end(FateRan, "the engine no longer holds the generation")
 }
 
-func (m *Machine) cancelling(e Event) Command {
+func (m *Machine) stepCancelling(e Event) Command {
 	if e.Kind == EventForgotten {
-		// Whatever ran is gone with the engine's memory: nothing is left to
-		// cancel, and nothing is left that could tell.
-		return m.end(m.lostFate(), m.reason+"; the engine has restarted")
+		// The engine lost its state in the restart: there is nothing to cancel,
+		// and whether the generation ran can't be determined.
+		return m.end(m.fateWithoutAnswer(), m.reason+"; the engine has restarted")
 	}
 	if e.Kind != EventStatus {
 		m.cancels++
 		if m.cancels < m.limits.CancelTries {
 			return Command{Kind: CommandCancel, Delay: m.limits.Backoff, Reason: m.reason}
 		}
-		c := m.end(m.lostFate(), m.reason)
+		c := m.end(m.fateWithoutAnswer(), m.reason)
 		c.CancelPending = true
 		return c
 	}
-	// Only the answer to a cancel proves that it never ran: the engine bars
-	// an unknown id, so a dispatch still on its way is refused on arrival.
+	// Only the answer to a cancel proves that the generation never ran: the
+	// engine bars an unknown id and refuses a dispatch that arrives later.
 	if e.Status == port.GenerationUnknown && !m.Delivered() {
 		return m.end(FateBarred, m.reason)
 	}
 	return m.end(FateRan, m.reason)
 }
 
-func (m *Machine) lostFate() Fate {
+func (m *Machine) fateWithoutAnswer() Fate {
 	if m.Delivered() {
 		return FateRan
 	}
@@ -413,15 +433,16 @@
 		return m.end(FateLeft, "the caller has gone and may resume")
 	}
 	if m.phase == phaseCancelling {
-		c := m.end(m.lostFate(), "the caller has gone")
+		c := m.end(m.fateWithoutAnswer(), "the caller has gone")
 		c.CancelPending = true
 		return c
 	}
 	return m.cancel("the caller has gone")
 }
 
-// handover leaves a run that the engine is known to hold, token or not, as
-// the caller is told how to resume it; one that may not exist is cancelled.
+// handover ends a run without a cancel if the engine is known to have it, with or
+// without a delivered token, as the caller is told how to resume it. A run that may
+// not exist at the engine is handled as if the caller had gone.
 func (m *Machine) handover() Command {
 	switch m.phase {
 	case phaseReading, phaseResuming:
@@ -430,8 +451,9 @@
 	return m.callerGone()
 }
 
-// failed counts a step without a token; next is the step that tries again.
-func (m *Machine) failed(reason string, next func() Command) Command {
+// retryOrGiveUp counts a retryOrGiveUp step. It retries with next, or gives up once the
+// count has reached the limit.
+func (m *Machine) retryOrGiveUp(reason string, next func() Command) Command {
 	m.failures++
 	m.reason = reason
 	limit := m.limits.Failures
@@ -465,7 +487,7 @@
 	return Command{Kind: CommandRead}
 }
 
-func (m *Machine) again() Command { return m.resume(m.reason) }
+func (m *Machine) resumeAfterFailure() Command { return m.resume(m.reason) }
 
 func (m *Machine) resume(reason string) Command {
 	m.phase = phaseResuming
--- a/internal/core/stream/machine_test.go
+++ b/internal/core/stream/machine_test.go
@@ -6,26 +6,26 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-const own = "router-1.a.1"
+const testGeneration = "router-1.a.1"
 
-func token(i int) Event {
-	return Event{Kind: EventFrame, Frame: port.Frame{Generation: own, Index: i}}
+func tokenEvent(i int) Event {
+	return Event{Kind: EventFrame, Frame: port.Frame{Generation: testGeneration, Index: i}}
 }
 
-func final(count int) Event {
+func finalEvent(count int) Event {
 	return Event{Kind: EventFrame, Frame: port.Frame{
-		Generation: own, Index: count, FinishReason: "stop", TokenCount: count,
+		Generation: testGeneration, Index: count, FinishReason: "stop", TokenCount: count,
 	}}
 }
 
-func status(s port.GenerationStatus) Event { return Event{Kind: EventStatus, Status: s} }
+func statusEvent(s port.GenerationStatus) Event { return Event{Kind: EventStatus, Status: s} }
 
-func kind(k EventKind) Event { return Event{Kind: k} }
+func eventOf(k EventKind) Event { return Event{Kind: k} }
 
-// opened returns a machine that has delivered n tokens.
-func opened(t *testing.T, o Options, n int) *Machine {
+// openMachine returns a machine that is reading and has delivered n tokens.
+func openMachine(t *testing.T, o Options, n int) *Machine {
 	t.Helper()
-	o.Generation = own
+	o.Generation = testGeneration
 	if o.Mode == 0 {
 		o.Mode = ModeOwned
 	}
@@ -33,100 +33,101 @@
 		o.Limits = DefaultLimits()
 	}
 	m := New(o)
-	m.Step(kind(EventBegin))
-	m.Step(kind(EventOpened))
+	m.Step(eventOf(EventBegin))
+	m.Step(eventOf(EventOpened))
 	for i := range n {
-		if c := m.Step(token(o.From + i)); c.Kind != CommandDeliver {
+		if c := m.Step(tokenEvent(o.From + i)); c.Kind != CommandDeliver {
 			t.Fatalf("token %d: got command %d", i, c.Kind)
 		}
 	}
 	return m
 }
 
-// The caller would see two answers mixed: the engine crosses frames of another
-// generation into the connection, among them that generation's end. They are
-// dropped; the own ones go on.
-func TestCrossedFramesAreDropped(t *testing.T) {
-	m := opened(t, Options{}, 2)
-	crossed := token(2)
-	crossed.Frame.Generation = "router-1.b.1"
-	if c := m.Step(crossed); c.Kind != CommandRead {
-		t.Fatalf("crossed token: got %+v", c)
+// The engine sends frames of another generation, its final frame included, on the
+// connection. They are dropped, as the caller would receive a mix of two answers;
+// the frames of the right generation are still delivered.
+func TestFramesOfOtherGenerationsAreDropped(t *testing.T) {
+	m := openMachine(t, Options{}, 2)
+	foreign := tokenEvent(2)
+	foreign.Frame.Generation = "router-1.b.1"
+	if c := m.Step(foreign); c.Kind != CommandRead {
+		t.Fatalf("token of another generation: got %+v", c)
 	}
-	end := final(2)
+	end := finalEvent(2)
 	end.Frame.Generation = "router-1.b.1"
 	if c := m.Step(end); c.Kind != CommandRead {
-		t.Fatalf("crossed end: got %+v", c)
+		t.Fatalf("final frame of another generation: got %+v", c)
 	}
-	if c := m.Step(token(2)); c.Kind != CommandDeliver || m.Dropped() != 2 {
-		t.Fatalf("own token: got %+v, dropped %d", c, m.Dropped())
+	if c := m.Step(tokenEvent(2)); c.Kind != CommandDeliver || m.Dropped() != 2 {
+		t.Fatalf("next token: got %+v, dropped %d frames, want 2", c, m.Dropped())
 	}
 }
 
-// The caller would get a token twice: a resume begins a little early, or the
-// link delivers a frame again.
+// A token that arrives twice is delivered once. This happens if a resume starts
+// before the first missing token, or if the link repeats a frame.
 func TestDuplicatesAreDropped(t *testing.T) {
-	m := opened(t, Options{}, 3)
+	m := openMachine(t, Options{}, 3)
 	for i := range 3 {
-		if c := m.Step(token(i)); c.Kind != CommandRead {
+		if c := m.Step(tokenEvent(i)); c.Kind != CommandRead {
 			t.Fatalf("duplicate %d: got %+v", i, c)
 		}
 	}
-	if c := m.Step(token(3)); c.Kind != CommandDeliver {
+	if c := m.Step(tokenEvent(3)); c.Kind != CommandDeliver {
 		t.Fatalf("next token: got %+v", c)
 	}
 }
 
-// The caller would miss a token in the middle: a frame is lost on the way. The
-// stream resumes from the missing one, at the same endpoint.
+// If a frame is lost, the stream resumes from the missing token at the same
+// endpoint; otherwise the caller would miss a token in the middle.
 func TestGapResumesFromTheMissingToken(t *testing.T) {
-	m := opened(t, Options{}, 3)
-	c := m.Step(token(5))
+	m := openMachine(t, Options{}, 3)
+	c := m.Step(tokenEvent(5))
 	if c.Kind != CommandResume || c.From != 3 {
 		t.Fatalf("got %+v, want a resume from 3", c)
 	}
 }
 
-// The caller would take half an answer for a whole one: the connection closes
-// early, or the final frame comes before the tokens it counts.
-func TestEarlyCloseIsNoEnd(t *testing.T) {
-	m := opened(t, Options{}, 3)
-	if c := m.Step(kind(EventClosed)); c.Kind != CommandResume || c.From != 3 {
+// A connection that closes early, or a final frame that arrives before all the
+// tokens that it counts, does not complete the run; otherwise the caller would
+// take a partial answer for a complete one.
+func TestEarlyCloseDoesNotComplete(t *testing.T) {
+	m := openMachine(t, Options{}, 3)
+	if c := m.Step(eventOf(EventClosed)); c.Kind != CommandResume || c.From != 3 {
 		t.Fatalf("closed: got %+v", c)
 	}
-	m.Step(kind(EventOpened))
-	if c := m.Step(final(5)); c.Kind != CommandResume || c.From != 3 {
+	m.Step(eventOf(EventOpened))
+	if c := m.Step(finalEvent(5)); c.Kind != CommandResume || c.From != 3 {
 		t.Fatalf("final frame too early: got %+v", c)
 	}
-	m.Step(kind(EventOpened))
-	m.Step(token(3))
-	m.Step(token(4))
-	if c := m.Step(final(5)); c.Kind != CommandComplete || c.Fate != FateDone {
+	m.Step(eventOf(EventOpened))
+	m.Step(tokenEvent(3))
+	m.Step(tokenEvent(4))
+	if c := m.Step(finalEvent(5)); c.Kind != CommandComplete || c.Fate != FateDone {
 		t.Fatalf("final frame: got %+v", c)
 	}
 }
 
-// The engine counts fewer tokens than it sent, so the answer can't be trusted
-// to be whole: it is called failed, not done.
+// A final count below the number of tokens sent fails the run, as the answer may be
+// incomplete.
 func TestFinalCountBelowTheTokensSentFails(t *testing.T) {
-	m := opened(t, Options{}, 3)
-	if c := m.Step(final(2)); c.Kind != CommandEnd || c.Fate != FateRan {
+	m := openMachine(t, Options{}, 3)
+	if c := m.Step(finalEvent(2)); c.Kind != CommandEnd || c.Fate != FateRan {
 		t.Fatalf("got %+v", c)
 	}
 }
 
-// A caller that already has the last event resumes once more: it gets the end
-// again and no token.
+// A caller that has already received the last event and resumes gets the final
+// frame again and no token.
 func TestResumeAfterTheEndCompletes(t *testing.T) {
-	m := opened(t, Options{Mode: ModeAdopted, From: 6}, 0)
-	if c := m.Step(final(5)); c.Kind != CommandComplete {
+	m := openMachine(t, Options{Mode: ModeAdopted, From: 6}, 0)
+	if c := m.Step(finalEvent(5)); c.Kind != CommandComplete {
 		t.Fatalf("got %+v", c)
 	}
 }
 
-// The link or the engine stalls: a probe tells that the run is alive, and the
-// stream resumes. A report that a crowded engine has preempted must not be
-// given up for that; one that never gets a first token moves on sooner.
+// After a stall of the link or the engine a probe shows that the run is alive, and
+// the stream resumes. A generation that an overloaded engine has preempted is not
+// abandoned early; one without a first token is abandoned after fewer probes.
 func TestStallProbesThenResumesThenGivesUp(t *testing.T) {
 	limits := DefaultLimits()
 	cases := []struct {
@@ -143,21 +144,21 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			m := opened(t, Options{Resumable: true}, c.delivered)
+			m := openMachine(t, Options{Resumable: true}, c.delivered)
 			for round := 1; ; round++ {
-				if got := m.Step(kind(EventSilent)); got.Kind != CommandProbe {
+				if got := m.Step(eventOf(EventSilent)); got.Kind != CommandProbe {
 					t.Fatalf("silent: got %+v", got)
 				}
-				got := m.Step(status(c.status))
+				got := m.Step(statusEvent(c.status))
 				if got.Kind == CommandCancel && round == c.rounds {
 					break
 				}
 				if got.Kind != CommandResume || got.From != c.delivered {
 					t.Fatalf("round %d of %d: got %+v", round, c.rounds, got)
 				}
-				m.Step(kind(EventOpened))
+				m.Step(eventOf(EventOpened))
 			}
-			got := m.Step(status(c.status))
+			got := m.Step(statusEvent(c.status))
 			if got.Kind != CommandEnd || got.Fate != c.fate || got.CancelPending {
 				t.Fatalf("cancelled: got %+v", got)
 			}
@@ -165,29 +166,30 @@
 	}
 }
 
-// What may be said of a dispatch that got no answer, by what the engine says
-// when it is asked to cancel.
-func TestFateOfALostDispatch(t *testing.T) {
+// The outcome of a dispatch without an answer depends on the engine's answer to the
+// cancel.
+func TestFateOfUnansweredDispatch(t *testing.T) {
 	cases := []struct {
 		name   string
 		answer Event
 		want   Fate
 	}{
-		{"barred before it arrived", status(port.GenerationUnknown), FateBarred},
-		{"it was queued", status(port.GenerationQueued), FateRan},
-		{"it ran", status(port.GenerationRunning), FateRan},
-		{"it had finished", status(port.GenerationFinished), FateRan},
-		{"the engine has restarted", kind(EventForgotten), FateUnknown},
+		{"barred before the dispatch arrived", statusEvent(port.GenerationUnknown), FateBarred},
+		{"queued", statusEvent(port.GenerationQueued), FateRan},
+		{"running", statusEvent(port.GenerationRunning), FateRan},
+		{"finished", statusEvent(port.GenerationFinished), FateRan},
+		{"the engine has restarted", eventOf(EventForgotten), FateUnknown},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			m := New(Options{Generation: own, Mode: ModeOwned, Limits: DefaultLimits()})
-			m.Step(kind(EventBegin))
-			if got := m.Step(kind(EventLost)); got.Kind != CommandProbe {
+			m := New(Options{Generation: testGeneration, Mode: ModeOwned, Limits: DefaultLimits()})
+			m.Step(eventOf(EventBegin))
+			if got := m.Step(eventOf(EventLost)); got.Kind != CommandProbe {
 				t.Fatalf("lost: got %+v", got)
 			}
-			// A probe's unknown proves nothing: the dispatch may be on its way.
-			if got := m.Step(status(port.GenerationUnknown)); got.Kind != CommandCancel {
+			// A probe that returns unknown does not prove that the generation
+			// never runs: the dispatch may still be in transit.
+			if got := m.Step(statusEvent(port.GenerationUnknown)); got.Kind != CommandCancel {
 				t.Fatalf("probe: got %+v", got)
 			}
 			if got := m.Step(c.answer); got.Kind != CommandEnd || got.Fate != c.want {
@@ -197,62 +199,64 @@
 	}
 }
 
-// The engine answers nothing any more: the caller hears unknown, and the
-// cancel is left to be repeated until it is seen.
-func TestLostCancelIsLeftPending(t *testing.T) {
-	m := New(Options{Generation: own, Mode: ModeOwned, Limits: DefaultLimits()})
-	c := m.Step(kind(EventBegin))
+// If the engine stops answering, the outcome is unknown, and the cancel is left
+// pending to be repeated until the engine confirms it.
+func TestUnansweredCancelStaysPending(t *testing.T) {
+	m := New(Options{Generation: testGeneration, Mode: ModeOwned, Limits: DefaultLimits()})
+	c := m.Step(eventOf(EventBegin))
 	for range 100 {
 		if c.Kind == CommandEnd {
 			break
 		}
-		c = m.Step(kind(EventLost))
+		c = m.Step(eventOf(EventLost))
 	}
 	if c.Kind != CommandEnd || c.Fate != FateUnknown || !c.CancelPending {
 		t.Fatalf("got %+v", c)
 	}
 }
 
-// The link to the engine is cut. Before the first token the request soon moves
-// on; after it nothing can replace the run, so the cut is waited for longer.
-func TestCutLinkIsWaitedForOnceTokensCame(t *testing.T) {
+// The link to the engine fails. Before the first token the run is abandoned after
+// few failures, as the request can move to another engine. After it the run can't be
+// replaced, so that more failures are tolerated.
+func TestMoreLinkFailuresToleratedAfterFirstToken(t *testing.T) {
 	limits := DefaultLimits()
 	for delivered, want := range map[int]int{0: limits.Failures, 1: limits.StartedFailures} {
-		m := opened(t, Options{Resumable: true}, delivered)
-		c := m.Step(kind(EventClosed))
+		m := openMachine(t, Options{Resumable: true}, delivered)
+		c := m.Step(eventOf(EventClosed))
 		failures := 1
 		for c.Kind == CommandResume && failures < 100 {
-			c = m.Step(kind(EventLost))
+			c = m.Step(eventOf(EventLost))
 			failures++
 		}
 		if c.Kind != CommandCancel || failures != want {
-			t.Errorf("%d tokens: %+v after %d failures, want a cancel after %d", delivered, c, failures, want)
+			t.Errorf("with %d tokens delivered: got %+v after %d failures, want a cancel after %d", delivered, c, failures, want)
 		}
 	}
 }
 
-// A router stops while the caller reads: the run goes on for the caller to
-// resume elsewhere, and is not cancelled.
-func TestHandoverLeavesTheRun(t *testing.T) {
-	m := opened(t, Options{Resumable: true}, 2)
-	if c := m.Step(kind(EventHandover)); c.Kind != CommandEnd || c.Fate != FateLeft || c.CancelPending {
+// A router shuts down while the caller reads: the run is not cancelled, so that the
+// caller can resume it at another router.
+func TestHandoverDoesNotCancel(t *testing.T) {
+	m := openMachine(t, Options{Resumable: true}, 2)
+	if c := m.Step(eventOf(EventHandover)); c.Kind != CommandEnd || c.Fate != FateLeft || c.CancelPending {
 		t.Fatalf("got %+v", c)
 	}
 }
 
-// A caller that goes before its first token can't resume, so the run is
-// cancelled and frees its memory; after it, the run is left to be resumed.
+// A caller that disconnects before its first token can't resume, so that the run is
+// cancelled and its memory is freed. After the first token the run continues, to be
+// resumed, if the caller has a resume token.
 func TestCallerGone(t *testing.T) {
-	m := opened(t, Options{Resumable: true}, 0)
-	if c := m.Step(kind(EventCallerGone)); c.Kind != CommandCancel {
+	m := openMachine(t, Options{Resumable: true}, 0)
+	if c := m.Step(eventOf(EventCallerGone)); c.Kind != CommandCancel {
 		t.Fatalf("before the first token: got %+v", c)
 	}
-	m = opened(t, Options{Resumable: true}, 1)
-	if c := m.Step(kind(EventCallerGone)); c.Kind != CommandEnd || c.Fate != FateLeft {
-		t.Fatalf("after it: got %+v", c)
+	m = openMachine(t, Options{Resumable: true}, 1)
+	if c := m.Step(eventOf(EventCallerGone)); c.Kind != CommandEnd || c.Fate != FateLeft {
+		t.Fatalf("after the first token: got %+v", c)
 	}
-	m = opened(t, Options{}, 1)
-	if c := m.Step(kind(EventCallerGone)); c.Kind != CommandCancel {
-		t.Fatalf("a caller without a token: got %+v", c)
+	m = openMachine(t, Options{}, 1)
+	if c := m.Step(eventOf(EventCallerGone)); c.Kind != CommandCancel {
+		t.Fatalf("caller without a resume token: got %+v", c)
 	}
 }
--- a/internal/core/stream/token.go
+++ b/internal/core/stream/token.go
@@ -12,7 +12,7 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// Errors about resume tokens. A caller learns no more than that.
+// Errors of resume tokens. They are all that is disclosed to a caller.
 var (
 	ErrBadToken     = merry.Sentinel("stream: the resume token is not valid")
 	ErrForeignToken = merry.Sentinel("stream: the resume token belongs to another organisation")
@@ -23,12 +23,12 @@
 	MaxTokenBytes = 1024
 	macBytes      = 16
 	tokenVersion  = 1
-	// MaxIndex bounds the index in an event id.
+	// MaxIndex is the maximum token index in an event id.
 	MaxIndex = 1 << 30
 )
 
-// Token describes a run well enough to resume it at a router that has never
-// seen it.
+// Token contains what a router needs to resume a run that it did not handle
+// before.
 type Token struct {
 	EndpointID   string
 	Address      string
@@ -37,7 +37,8 @@
 	Organisation string
 }
 
-// tokenDocument is the token on the wire, in DER: compact and canonical.
+// tokenDocument is the encoded form of a token. The encoding is DER, which is
+// compact and canonical.
 type tokenDocument struct {
 	Version      int
 	EndpointID   string `asn1:"utf8"`
@@ -47,34 +48,37 @@
 	Organisation string `asn1:"utf8"`
 }
 
-// Tokens makes and checks resume tokens. A token names an address that a
-// router will connect to: without the keyed checksum a caller could make the
-// routers call any address of its choice, or read another's generation. The
-// key is shared by the routers alone.
+// Tokens issues and verifies resume tokens. A token contains the address that a
+// router connects to. Without the message authentication code a caller could make
+// routers connect to an address of its choice, or read the generation of another
+// caller. Only the routers know the keys.
 type Tokens struct {
 	keys [][]byte
 }
 
-// NewTokens signs with the first key and accepts any of them, so that keys
-// can be replaced while old tokens are still in use.
+// NewTokens returns Tokens that sign with the first key and accept tokens signed
+// with any of the keys, so that keys can be rotated while old tokens are in use.
 func NewTokens(keys ...[]byte) *Tokens { return &Tokens{keys: keys} }
 
-// Encode returns the token as text that is safe in a URL path.
+// Encode returns the signed token as text that is safe in a URL path.
 func (t *Tokens) Encode(tok Token) string {
 	raw, err := asn1.Marshal(tokenDocument{
 		Version: tokenVersion, EndpointID: tok.EndpointID, Address: tok.Address,
 		Incarnation: int64(tok.Incarnation), Generation: tok.Generation, Organisation: tok.Organisation,
 	})
 	if err != nil {
-		// Only a text that is not UTF-8 fails, and ids are checked earlier.
+		// Marshal fails only on strings that are not UTF-8, and ids are validated
+		// before.
 		return ""
 	}
 	return base64.RawURLEncoding.EncodeToString(append(mac(t.keys[0], raw), raw...))
 }
 
-// Decode checks the token and that it belongs to the organisation.
+// Decode verifies and decodes a token. It returns ErrForeignToken if the token
+// belongs to another organisation.
 func (t *Tokens) Decode(text, organisation string) (Token, error) {
-	// The decoder skips line breaks, so one token would have many spellings.
+	// The base64 decoder ignores line breaks, which would allow several texts
+	// for one token.
 	if len(text) > MaxTokenBytes || strings.ContainsAny(text, "\r\n") {
 		return Token{}, ErrBadToken
 	}
@@ -82,7 +86,7 @@
 	if err != nil || len(raw) <= macBytes {
 		return Token{}, ErrBadToken
 	}
-	if !t.genuine(raw[:macBytes], raw[macBytes:]) {
+	if !t.validMAC(raw[:macBytes], raw[macBytes:]) {
 		return Token{}, ErrBadToken
 	}
 	var d tokenDocument
@@ -102,7 +106,7 @@
 	}, nil
 }
 
-func (t *Tokens) genuine(sum, raw []byte) bool {
+func (t *Tokens) validMAC(sum, raw []byte) bool {
 	for _, key := range t.keys {
 		if hmac.Equal(sum, mac(key, raw)) {
 			return true
@@ -117,10 +121,11 @@
 	return h.Sum(nil)[:macBytes]
 }
 
-// EventID joins a token and an index as the id of a caller's event.
+// EventID returns the id of an event sent to a caller: the token and the index,
+// separated by a colon.
 func EventID(token string, index int) string { return token + ":" + strconv.Itoa(index) }
 
-// SplitEventID takes an event id apart.
+// SplitEventID splits an event id into its token and index.
 func SplitEventID(id string) (token string, index int, err error) {
 	token, digits, found := strings.Cut(id, ":")
 	if !found {
--- a/internal/core/stream/token_test.go
+++ b/internal/core/stream/token_test.go
@@ -27,13 +27,13 @@
 	}
 }
 
-// A caller that could forge a token would make routers connect to an address
-// of its choice, or read another organisation's answer.
+// A caller that could forge a token could make routers connect to an address of its
+// choice, or read the answer of another organisation.
 func TestForgedAndForeignTokensAreRefused(t *testing.T) {
 	tokens := NewTokens(keyA)
 	text := tokens.Encode(sampleToken())
 	if _, err := tokens.Decode(text, "bayani"); !errors.Is(err, ErrForeignToken) {
-		t.Fatalf("foreign: got %v", err)
+		t.Fatalf("token of another organisation: got %v", err)
 	}
 	if _, err := NewTokens(keyB).Decode(text, "kegsetu"); !errors.Is(err, ErrBadToken) {
 		t.Fatalf("signed with another key: got %v", err)
@@ -45,12 +45,12 @@
 		}
 		changed := text[:i] + replacement + text[i+1:]
 		if _, err := tokens.Decode(changed, "kegsetu"); err == nil {
-			t.Fatalf("accepted with character %d changed", i)
+			t.Fatalf("a token with character %d changed was accepted", i)
 		}
 	}
 }
 
-func TestTokenNamesAnAddressByNumber(t *testing.T) {
+func TestTokenAddressMustBeNumeric(t *testing.T) {
 	tok := sampleToken()
 	tok.Address = "example.org:80"
 	tokens := NewTokens(keyA)
@@ -66,7 +66,7 @@
 	}
 	for _, bad := range []string{"", "abc", "abc:", "abc:-1", "abc:x", "abc:99999999999", "abc:1:2"} {
 		if _, _, err := SplitEventID(bad); err == nil {
-			t.Errorf("%q was accepted", bad)
+			t.Errorf("event id %q was accepted", bad)
 		}
 	}
 }
@@ -84,14 +84,14 @@
 		if err != nil {
 			return
 		}
-		if again := tokens.Encode(tok); again != text {
-			t.Fatalf("%q decodes, but encodes as %q", text, again)
+		if reencoded := tokens.Encode(tok); reencoded != text {
+			t.Fatalf("%q decodes, but encodes as %q", text, reencoded)
 		}
 	})
 }
 
-// A document under a genuine checksum may still be one that an older or newer
-// router made: it is refused or read, and never half read.
+// FuzzSignedTokenDecode checks that a correctly signed document, which an older or
+// newer router may have written, is either refused or decoded completely.
 func FuzzSignedTokenDecode(f *testing.F) {
 	tokens := NewTokens(keyA)
 	f.Add([]byte{0x30, 0x00})
