--- a/internal/core/placement/ledger.go
+++ b/internal/core/placement/ledger.go
@@ -8,36 +8,38 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// LedgerFormat is the newest stored form that this release reads.
+// LedgerFormat is the newest format of the stored ledger that this release reads.
 const LedgerFormat = 1
 
-// Errors of the stored ledger.
+// Errors of decoding a stored ledger.
 var (
 	ErrLedgerCorrupt = merry.Sentinel("placement: the stored ledger can't be read")
 	ErrLedgerNewer   = merry.Sentinel("placement: the stored ledger has a newer format; update this daemon")
 )
 
-// Permit lets one step of one runner go on. A runner has at most one.
+// Permit allows one runner to execute one step. A runner has at most one permit.
 type Permit struct {
 	Endpoint    string `json:"endpoint"`
 	Incarnation uint64 `json:"incarnation"`
-	// Loads counts against the budget of the weight store.
+	// Loads: the step counts against the load budget of the weight store.
 	Loads bool `json:"loads,omitempty"`
-	// Models are not counted as ready on the runner.
+	// Models are those that the step disrupts; they do not count as ready on the
+	// runner.
 	Models []string `json:"models,omitempty"`
-	// Fence is that of the lease under which it was taken.
+	// Fence is the fencing number of the lease under which the permit was taken.
 	Fence uint64 `json:"fence"`
 }
 
-// Ledger holds the permits of all lease holders in one platform object, taken
-// and given back by compare-and-set: it is how loads share the weight store's
-// budget, and how two holders never take a model's last two runners at once.
+// Ledger contains the permits of all lease holders. It is stored in one platform
+// object and changed by compare-and-set. It enforces the load budget of the weight
+// store across holders, and prevents two holders from disrupting the last two
+// runners of a model at the same time.
 type Ledger struct {
 	FormatVersion int      `json:"format_version"`
 	Permits       []Permit `json:"permits"`
 }
 
-// DecodeLedger reads a stored ledger.
+// DecodeLedger decodes a stored ledger.
 func DecodeLedger(value json.RawMessage) (*Ledger, error) {
 	var l Ledger
 	if err := json.Unmarshal(value, &l); err != nil {
@@ -49,7 +51,7 @@
 	return &l, nil
 }
 
-// Encode returns the stored form.
+// Encode returns the ledger in its stored format.
 func (l *Ledger) Encode() (json.RawMessage, error) {
 	l.FormatVersion = LedgerFormat
 	if l.Permits == nil {
@@ -68,21 +70,22 @@
 	return l.Permits[i], true
 }
 
-// Disturbed reports whether a runner's model is not to be counted as ready.
+// Disturbed reports whether a permit disrupts the model on the runner, so that it
+// does not count as ready there.
 func (l *Ledger) Disturbed(endpoint, model string) bool {
 	p, found := l.Find(endpoint)
 	return found && slices.Contains(p.Models, model)
 }
 
-// Release gives a runner's permit back and reports whether it had one.
+// Release removes a runner's permit and reports whether there was one.
 func (l *Ledger) Release(endpoint string) bool {
 	before := len(l.Permits)
 	l.Permits = slices.DeleteFunc(l.Permits, func(p Permit) bool { return p.Endpoint == endpoint })
 	return len(l.Permits) < before
 }
 
-// Prune drops the permits of runners that are gone or started anew. Alive
-// returns a runner's incarnation.
+// Prune removes the permits of runners that no longer exist or have restarted, and
+// reports whether there were any. Alive returns the current incarnation of a runner.
 func (l *Ledger) Prune(alive func(endpoint string) (incarnation uint64, found bool)) bool {
 	before := len(l.Permits)
 	l.Permits = slices.DeleteFunc(l.Permits, func(p Permit) bool {
@@ -92,22 +95,23 @@
 	return len(l.Permits) < before
 }
 
-// Budget bounds what runs at the same time.
+// Budget limits concurrent steps.
 type Budget struct {
-	// Loads is the number of loads at the weight store.
+	// Loads is the maximum number of concurrent loads from the weight store.
 	Loads int
 }
 
-// Take records the permit for a step, or says why not. Serving counts the
-// runners, others than the step's, that serve a model and have no permit for
-// it; it must have been read after the ledger was.
+// Take records a permit for the step, or returns the reason for refusing it.
+// Serving returns the number of runners, without that of the step, that serve a
+// model and have no permit that disrupts it. Its data must have been read after the
+// ledger.
 func (l *Ledger) Take(s *Step, fence uint64, b Budget, serving func(model string) int) (refusal string) {
-	if s.Loads && l.loads(s.Endpoint.ID) >= b.Loads {
+	if s.Loads && l.countLoads(s.Endpoint.ID) >= b.Loads {
 		return fmt.Sprintf("the weight store's budget of %d loads is spent", b.Loads)
 	}
 	for _, d := range s.Disrupts {
 		if n := serving(d.Model); n < d.Keep {
-			return lastReady(&d, n)
+			return disruptionRefusal(&d, n)
 		}
 	}
 	l.Release(s.Endpoint.ID)
@@ -119,14 +123,14 @@
 	return ""
 }
 
-func lastReady(d *Disruption, others int) string {
+func disruptionRefusal(d *Disruption, others int) string {
 	if others == 0 {
 		return "it is the last ready runner of " + d.Model
 	}
 	return fmt.Sprintf("only %d other runners serve %s and %d must", others, d.Model, d.Keep)
 }
 
-func (l *Ledger) loads(except string) int {
+func (l *Ledger) countLoads(except string) int {
 	n := 0
 	for _, p := range l.Permits {
 		if p.Loads && p.Endpoint != except {
--- a/internal/core/placement/placement.go
+++ b/internal/core/placement/placement.go
@@ -1,7 +1,7 @@
-// Package placement decides which runner loads what: from the model
-// deployments in force and the runners' actual state to the next step of each
-// runner. It is level-triggered: it looks at what is, never at what was
-// ordered before, so that a daemon that takes over goes on from there.
+// Package placement decides which runners load which models. From the model
+// deployments in force and the actual state of the runners it derives the next step
+// of each runner. It is level-triggered: it depends on the current state and not on
+// earlier orders, so that another daemon can take over at any time.
 package placement
 
 import (
@@ -11,34 +11,36 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// Runner is one runner as placement sees it.
+// Runner is the known state of one runner.
 type Runner struct {
 	Endpoint port.Endpoint
-	// State is the runner's own word, where Known; else only the models of
-	// the endpoint are known, without versions.
+	// State is the state reported by the runner; valid if Known. Otherwise only
+	// the models of the endpoint are known, without their versions.
 	State port.RunnerState
 	Known bool
 }
 
-// ready returns the ready version of a model; it is empty where unknown.
-func (r *Runner) ready(model string) (port.ModelVersion, bool) {
+// readyVersion returns the version of a model that is readyVersion on the runner, without
+// a version number if the state of the runner is not known.
+func (r *Runner) readyVersion(model string) (port.ModelVersion, bool) {
 	if !r.Known {
 		return port.ModelVersion{Model: model}, slices.Contains(r.Endpoint.Models, model)
 	}
-	return find(r.State.Models, model)
+	return findModel(r.State.Models, model)
 }
 
-// Serves reports whether the model is ready on the runner and takes work.
+// Serves reports whether the model is ready on the runner and the runner accepts
+// requests.
 func (r *Runner) Serves(model string) bool {
-	_, ready := r.ready(model)
+	_, ready := r.readyVersion(model)
 	return ready && r.live()
 }
 
-func (r *Runner) loading(model string) (port.ModelVersion, bool) {
+func (r *Runner) loadingVersion(model string) (port.ModelVersion, bool) {
 	if !r.Known {
 		return port.ModelVersion{}, false
 	}
-	return find(r.State.Loading, model)
+	return findModel(r.State.Loading, model)
 }
 
 func (r *Runner) live() bool {
@@ -48,14 +50,14 @@
 	return r.Endpoint.State == port.EndpointLive
 }
 
-func (r *Runner) models() int {
+func (r *Runner) modelCount() int {
 	if !r.Known {
 		return len(r.Endpoint.Models)
 	}
 	return len(r.State.Models) + len(r.State.Loading)
 }
 
-func find(models []port.ModelVersion, model string) (port.ModelVersion, bool) {
+func findModel(models []port.ModelVersion, model string) (port.ModelVersion, bool) {
 	i := slices.IndexFunc(models, func(m port.ModelVersion) bool { return m.Model == model })
 	if i < 0 {
 		return port.ModelVersion{}, false
@@ -63,28 +65,29 @@
 	return models[i], true
 }
 
-// Disruption is a model that a step takes from its runner, for a time or for
-// good.
+// Disruption is a model that a step makes unavailable on its runner, temporarily or
+// permanently.
 type Disruption struct {
 	Model string
-	// Keep is how many other runners must have the model ready.
+	// Keep is the number of other runners that must have the model ready.
 	Keep int
 }
 
-// Step is the next order for one runner, without id and fencing number.
+// Step is the next order for one runner, without its id and fencing number.
 type Step struct {
 	Endpoint port.Endpoint
 	Order    port.Order
 	// Loads: the step reads from the weight store.
 	Loads    bool
 	Disrupts []Disruption
-	// Deployment is the record's name, ConfigurationVersion its version.
+	// Deployment and ConfigurationVersion are the name and the version of the
+	// deployment record.
 	Deployment           string
 	ConfigurationVersion uint64
 	Reason               string
 }
 
-// Shortfall is a deployment that can't be met as it is written.
+// Shortfall is a deployment that can't be fulfilled as configured.
 type Shortfall struct {
 	Deployment           string
 	Model                string
@@ -92,42 +95,44 @@
 	Reason               string
 }
 
-// Plan is the next step of each runner.
+// Plan contains the next steps of the runners, and the deployments that can't be
+// fulfilled.
 type Plan struct {
 	Steps      []Step
 	Shortfalls []Shortfall
 }
 
-// Make plans at most one step per runner. Models that no deployment names are
-// left alone, so that a daemon with an incomplete set of records never empties
-// the runners: to remove a model, write zero replicas before the delete.
+// Make plans at most one step per runner. Models without a deployment stay loaded,
+// so that a daemon with an incomplete set of records never unloads them. To remove
+// a model, set its replicas to zero before deleting the record.
 func Make(deployments []record.Deployment, runners []Runner) Plan {
-	p := &planner{runners: runners, keep: map[string]int{}, taken: map[string]bool{}}
+	p := &planner{runners: runners, minReady: map[string]int{}, taken: map[string]bool{}}
 	for i := range runners {
-		// A load under way is waited for: a second one would be under the
-		// same permit.
+		// A runner with a load in progress gets no step, as a second load would
+		// run under the same permit.
 		if r := &runners[i]; r.Known && len(r.State.Loading) > 0 {
 			p.taken[r.Endpoint.ID] = true
 		}
 	}
 	current := p.newestPerModel(deployments)
 	for i := range current {
-		p.keep[current[i].Model] = keepReady(&current[i])
+		p.minReady[current[i].Model] = minReadyOthers(&current[i])
 	}
-	var excess []Step
+	var unloads []Step
 	for i := range current {
-		excess = append(excess, p.deployment(&current[i])...)
+		unloads = append(unloads, p.planDeployment(&current[i])...)
 	}
-	// Removals come last: a runner that has something to load does it first.
-	for _, s := range excess {
-		p.add(s)
+	// Unloads are added last: a runner with something to load does that first.
+	for _, s := range unloads {
+		p.addStep(s)
 	}
 	return p.plan
 }
 
-// keepReady is how many other runners must serve a model while one of its
-// runners is disturbed; never none, unless no replica is wanted.
-func keepReady(d *record.Deployment) int {
+// minReadyOthers is the number of other runners that must serve a model while a step
+// disrupts it on one of its runners. It is at least one, unless the deployment has
+// zero replicas.
+func minReadyOthers(d *record.Deployment) int {
 	replicas := *d.Placement.Replicas
 	if replicas == 0 {
 		return 0
--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -21,7 +21,7 @@
 	return d
 }
 
-// runner has models as "name@version".
+// runner returns a live runner with models given as "name@version".
 func runner(id string, models ...string) Runner {
 	r := Runner{
 		Endpoint: port.Endpoint{ID: id, Kind: port.KindRunner, State: port.EndpointLive, FailureDomain: "d-" + id[:1], Incarnation: 1},
@@ -35,7 +35,7 @@
 	return r
 }
 
-// text shows a plan as "endpoint kind model@version".
+// text returns the sorted steps of a plan as "endpoint kind model@version".
 func text(p Plan) []string {
 	var out []string
 	for _, s := range p.Steps {
@@ -63,17 +63,17 @@
 		{"nothing to do", []record.Deployment{deployment("m", "1", 1)}, []Runner{runner("a1", "m@1"), runner("b1")}, nil},
 		{"a replica is missing", []record.Deployment{deployment("m", "1", 2)}, []Runner{runner("a1", "m@1"), runner("b1")}, []string{"b1 load_model m@1"}},
 		{"spread over failure domains", []record.Deployment{deployment("m", "1", 2)}, []Runner{runner("a1", "m@1"), runner("a2"), runner("b1")}, []string{"b1 load_model m@1"}},
-		{"the emptier runner", []record.Deployment{deployment("m", "1", 1)}, []Runner{runner("a1", "x@1"), runner("b1")}, []string{"b1 load_model m@1"}},
-		{"a load under way counts", []record.Deployment{deployment("m", "1", 1)}, []Runner{loading, runner("b1")}, nil},
-		{"a leaving runner does not", []record.Deployment{deployment("m", "1", 1)}, []Runner{leaving, runner("b1")}, []string{"b1 load_model m@1"}},
-		{"one that others hold does", []record.Deployment{deployment("m", "1", 1)}, []Runner{runner("a1"), unknown}, nil},
-		{"a change of version moves nothing", []record.Deployment{deployment("m", "2", 2)}, []Runner{runner("a1", "m@1"), runner("b1", "m@1"), runner("c1")}, []string{"a1 load_model m@2", "b1 load_model m@2"}},
-		{"the last runner gets help first", []record.Deployment{deployment("m", "2", 1)}, []Runner{runner("a1", "m@1"), runner("b1")}, []string{"a1 load_model m@2", "b1 load_model m@2"}},
-		{"then the old one goes", []record.Deployment{deployment("m", "2", 1)}, []Runner{runner("a1", "m@1"), runner("b1", "m@2")}, []string{"a1 unload_model m"}},
-		{"more than wanted", []record.Deployment{deployment("m", "1", 1)}, []Runner{runner("a1", "m@1"), runner("b1", "m@1")}, []string{"a1 unload_model m"}},
-		{"a spare replica stays until the others are changed", []record.Deployment{deployment("m", "2", 1)}, []Runner{runner("a1", "m@1"), runner("b1", "m@1")}, []string{"b1 load_model m@2"}},
-		{"models without a record stay", nil, []Runner{runner("a1", "m@1")}, nil},
-		{"none wanted", []record.Deployment{deployment("m", "1", 0)}, []Runner{runner("a1", "m@1")}, []string{"a1 unload_model m"}},
+		{"runner with fewer models first", []record.Deployment{deployment("m", "1", 1)}, []Runner{runner("a1", "x@1"), runner("b1")}, []string{"b1 load_model m@1"}},
+		{"a load in progress counts as a replica", []record.Deployment{deployment("m", "1", 1)}, []Runner{loading, runner("b1")}, nil},
+		{"a leaving runner does not count as a replica", []record.Deployment{deployment("m", "1", 1)}, []Runner{leaving, runner("b1")}, []string{"b1 load_model m@1"}},
+		{"a runner with unknown state counts as a replica", []record.Deployment{deployment("m", "1", 1)}, []Runner{runner("a1"), unknown}, nil},
+		{"a version change keeps the runners", []record.Deployment{deployment("m", "2", 2)}, []Runner{runner("a1", "m@1"), runner("b1", "m@1"), runner("c1")}, []string{"a1 load_model m@2", "b1 load_model m@2"}},
+		{"a version change of the last runner adds a replica", []record.Deployment{deployment("m", "2", 1)}, []Runner{runner("a1", "m@1"), runner("b1")}, []string{"a1 load_model m@2", "b1 load_model m@2"}},
+		{"the old version is unloaded after the change", []record.Deployment{deployment("m", "2", 1)}, []Runner{runner("a1", "m@1"), runner("b1", "m@2")}, []string{"a1 unload_model m"}},
+		{"surplus replica", []record.Deployment{deployment("m", "1", 1)}, []Runner{runner("a1", "m@1"), runner("b1", "m@1")}, []string{"a1 unload_model m"}},
+		{"a surplus replica stays until the others are changed", []record.Deployment{deployment("m", "2", 1)}, []Runner{runner("a1", "m@1"), runner("b1", "m@1")}, []string{"b1 load_model m@2"}},
+		{"models without a deployment stay", nil, []Runner{runner("a1", "m@1")}, nil},
+		{"zero replicas", []record.Deployment{deployment("m", "1", 0)}, []Runner{runner("a1", "m@1")}, []string{"a1 unload_model m"}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -111,11 +111,11 @@
 	newer.Name, newer.Version = "x-new", 9
 	p := Make([]record.Deployment{d, deployment("x", "1", 1), newer}, []Runner{runner("a1"), runner("b1")})
 	if len(p.Shortfalls) != 2 {
-		t.Fatalf("got %+v", p.Shortfalls)
+		t.Fatalf("got shortfalls %+v, want 2", p.Shortfalls)
 	}
 	for _, s := range p.Steps {
 		if s.Order.Model == "x" && s.Order.Version != "2" {
-			t.Fatal("the older record won")
+			t.Fatal("the older record was used")
 		}
 	}
 }
@@ -131,7 +131,7 @@
 		t.Fatal(r)
 	}
 	if r := l.Take(&load, 6, Budget{Loads: 1}, none); r != "" {
-		t.Fatalf("a runner's own permit stood in its way: %s", r)
+		t.Fatalf("refused because of the runner's own permit: %s", r)
 	}
 	if r := l.Take(&other, 5, Budget{Loads: 1}, none); !strings.Contains(r, "budget") {
 		t.Fatalf("got %q", r)
@@ -146,46 +146,46 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, err := DecodeLedger(value)
-	if err != nil || len(again.Permits) != 2 {
-		t.Fatalf("got %+v %v", again, err)
+	decoded, err := DecodeLedger(value)
+	if err != nil || len(decoded.Permits) != 2 {
+		t.Fatalf("got %+v %v", decoded, err)
 	}
-	if !again.Prune(func(id string) (uint64, bool) { return 2, id == "a1" }) || len(again.Permits) != 0 {
-		t.Fatalf("permits of runners that are gone or new stay: %+v", again.Permits)
+	if !decoded.Prune(func(id string) (uint64, bool) { return 2, id == "a1" }) || len(decoded.Permits) != 0 {
+		t.Fatalf("permits of removed or restarted runners were kept: %+v", decoded.Permits)
 	}
 }
 
-// FuzzDecodeLedger: bytes from the platform never panic.
+// FuzzDecodeLedger checks that no bytes from the platform cause a panic.
 func FuzzDecodeLedger(f *testing.F) {
 	f.Add([]byte(`{"format_version":1,"permits":[{"endpoint":"a1","incarnation":2,"loads":true,"models":["m"],"fence":9}]}`))
 	f.Fuzz(func(_ *testing.T, raw []byte) { _, _ = DecodeLedger(raw) })
 }
 
-// Whatever the records and the runners are, repeated passes that obey the
-// ledger end in the wanted state, and on the way no rollout takes the last
-// runner that serves a wanted model.
-func TestConvergesWithoutTakingTheLastRunner(t *testing.T) {
+// For any deployments and runners, repeated passes that respect the ledger reach the
+// desired state, and no rollout disrupts the last runner that serves a deployed
+// model.
+func TestConvergesWithoutDisruptingTheLastRunner(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		runners := drawRunners(t)
 		deployments := drawDeployments(t, len(runners))
 		budget := Budget{Loads: rapid.IntRange(1, 3).Draw(t, "budget")}
 		for pass := 0; ; pass++ {
 			if pass == 60 {
-				t.Fatalf("no end after 60 passes: %v", text(Make(deployments, runners)))
+				t.Fatalf("not converged after 60 passes, remaining steps: %v", text(Make(deployments, runners)))
 			}
-			before := served(deployments, runners)
-			if !onePass(t, deployments, runners, budget) {
+			before := servingCounts(deployments, runners)
+			if !runPass(t, deployments, runners, budget) {
 				break
 			}
-			for model, n := range served(deployments, runners) {
+			for model, n := range servingCounts(deployments, runners) {
 				if before[model] > 0 && n == 0 {
-					t.Fatalf("no runner serves %s any more", model)
+					t.Fatalf("no runner serves %s after the pass", model)
 				}
 			}
 		}
 		for _, d := range deployments {
 			if n := upToDate(&d, runners); n != *d.Placement.Replicas {
-				t.Fatalf("%d of %d replicas of %s", n, *d.Placement.Replicas, d.Model)
+				t.Fatalf("%d of %d replicas of %s have the right version", n, *d.Placement.Replicas, d.Model)
 			}
 		}
 	})
@@ -216,10 +216,11 @@
 	return out
 }
 
-// onePass obeys the plan as far as the ledger lets it; loads end with the pass.
-func onePass(t *rapid.T, deployments []record.Deployment, runners []Runner, b Budget) bool {
+// runPass executes the steps of the plan that the ledger permits, and reports whether
+// there were any. All loads finish at the end of the pass.
+func runPass(t *rapid.T, deployments []record.Deployment, runners []Runner, b Budget) bool {
 	ledger := &Ledger{}
-	obeyed := []Step{}
+	executed := []Step{}
 	for _, s := range Make(deployments, runners).Steps {
 		serving := func(model string) int {
 			n := 0
@@ -232,10 +233,10 @@
 			return n
 		}
 		if ledger.Take(&s, 1, b, serving) == "" {
-			obeyed = append(obeyed, s)
+			executed = append(executed, s)
 		}
 	}
-	// While loads are under way the disturbed models don't serve.
+	// Disrupted models are not served while the steps are in progress.
 	for i := range deployments {
 		model := deployments[i].Model
 		n := 0
@@ -244,17 +245,17 @@
 				n++
 			}
 		}
-		if n == 0 && served(deployments, runners)[model] > 0 {
-			t.Fatalf("during the pass no runner serves %s", model)
+		if n == 0 && servingCounts(deployments, runners)[model] > 0 {
+			t.Fatalf("no runner serves %s during the pass", model)
 		}
 	}
-	for _, s := range obeyed {
-		obey(&s, runners)
+	for _, s := range executed {
+		execute(&s, runners)
 	}
-	return len(obeyed) > 0
+	return len(executed) > 0
 }
 
-func obey(s *Step, runners []Runner) {
+func execute(s *Step, runners []Runner) {
 	for i := range runners {
 		r := &runners[i]
 		if r.Endpoint.ID != s.Endpoint.ID {
@@ -267,7 +268,7 @@
 	}
 }
 
-func served(deployments []record.Deployment, runners []Runner) map[string]int {
+func servingCounts(deployments []record.Deployment, runners []Runner) map[string]int {
 	n := map[string]int{}
 	for i := range deployments {
 		model := deployments[i].Model
@@ -284,7 +285,7 @@
 func upToDate(d *record.Deployment, runners []Runner) int {
 	n := 0
 	for i := range runners {
-		if m, ready := runners[i].ready(d.Model); ready && m.Version == d.Revision.Version {
+		if m, ready := runners[i].readyVersion(d.Model); ready && m.Version == d.Revision.Version {
 			n++
 		}
 	}
--- a/internal/core/placement/plan.go
+++ b/internal/core/placement/plan.go
@@ -14,20 +14,23 @@
 
 type planner struct {
 	runners []Runner
-	// keep is how many other runners must serve each deployed model.
-	keep  map[string]int
+	// minReady is the number of other runners that must serve each deployed model
+	// while a step disrupts it on one of them.
+	minReady map[string]int
+	// taken are the runners that have a step or a load in progress.
 	taken map[string]bool
 	plan  Plan
 }
 
-// newestPerModel drops deployments of a model that a newer record names too.
+// newestPerModel drops the deployments of a model that a newer record deploys too,
+// and reports them as shortfalls.
 func (p *planner) newestPerModel(all []record.Deployment) []record.Deployment {
 	newest := map[string]record.Deployment{}
 	for _, d := range all {
 		older, found := newest[d.Model]
 		newest[d.Model] = d
 		if found {
-			p.short(&older, "the newer record "+d.Name+" deploys the same model")
+			p.addShortfall(&older, "the newer record "+d.Name+" deploys the same model")
 		}
 	}
 	var out []record.Deployment
@@ -38,12 +41,12 @@
 	return out
 }
 
-func (p *planner) short(d *record.Deployment, reason string) {
+func (p *planner) addShortfall(d *record.Deployment, reason string) {
 	p.plan.Shortfalls = append(p.plan.Shortfalls, Shortfall{d.Name, d.Model, d.Version, reason})
 }
 
-// add takes the step unless the runner has one already.
-func (p *planner) add(s Step) {
+// addStep adds the step to the plan unless its runner has one or is loading a model.
+func (p *planner) addStep(s Step) {
 	if p.taken[s.Endpoint.ID] {
 		return
 	}
@@ -51,29 +54,30 @@
 	p.plan.Steps = append(p.plan.Steps, s)
 }
 
-// deployment plans the runners chosen for one deployment and returns the
-// removals from the others.
-func (p *planner) deployment(d *record.Deployment) []Step {
+// planDeployment plans the steps of the runners chosen for a planDeployment and returns
+// the unload steps of the others.
+func (p *planner) planDeployment(d *record.Deployment) []Step {
 	ranked := p.rank(d)
-	wanted := p.wanted(d, ranked)
+	target := p.targetReplicas(d, ranked)
 	if len(ranked) < *d.Placement.Replicas {
-		p.short(d, fmt.Sprintf("%d of %d replicas fit on the live runners of its failure domains", len(ranked), *d.Placement.Replicas))
+		p.addShortfall(d, fmt.Sprintf("%d of %d replicas fit on the live runners of its failure domains", len(ranked), *d.Placement.Replicas))
 	}
 	chosen := map[string]bool{}
-	for _, r := range ranked[:min(wanted, len(ranked))] {
+	for _, r := range ranked[:min(target, len(ranked))] {
 		chosen[r.Endpoint.ID] = true
-		p.converge(d, r)
+		p.planRunner(d, r)
 	}
-	return p.removals(d, chosen)
+	return p.unloadSteps(d, chosen)
 }
 
-// wanted is the number of replicas, and one more while a change of version
-// would otherwise take the last runners that may not be missing.
-func (p *planner) wanted(d *record.Deployment, ranked []*Runner) int {
+// targetReplicas is the number of replicas of the deployment, plus one during a
+// version change that would otherwise leave fewer runners than must keep serving the
+// model.
+func (p *planner) targetReplicas(d *record.Deployment, ranked []*Runner) int {
 	replicas := *d.Placement.Replicas
 	serving, outdated := 0, 0
 	for _, r := range ranked {
-		m, ready := r.ready(d.Model)
+		m, ready := r.readyVersion(d.Model)
 		if !ready {
 			continue
 		}
@@ -82,65 +86,66 @@
 			outdated++
 		}
 	}
-	if replicas > 0 && outdated > 0 && serving <= p.keep[d.Model] {
+	if replicas > 0 && outdated > 0 && serving <= p.minReady[d.Model] {
 		return replicas + 1
 	}
 	return replicas
 }
 
-// converge plans the next step of a runner that should have the model.
-func (p *planner) converge(d *record.Deployment, r *Runner) {
+// planRunner plans the next step of a runner chosen for the deployment.
+func (p *planner) planRunner(d *record.Deployment, r *Runner) {
 	if !r.Known {
 		return
 	}
-	if m, loading := r.loading(d.Model); loading && m.Version == d.Revision.Version {
+	if m, loading := r.loadingVersion(d.Model); loading && m.Version == d.Revision.Version {
 		return
 	}
-	m, ready := r.ready(d.Model)
+	m, ready := r.readyVersion(d.Model)
 	switch {
 	case !ready:
-		p.add(p.load(d, r, "a replica is missing"))
+		p.addStep(p.loadStep(d, r, "a replica is missing"))
 	case m.Version != d.Revision.Version:
-		s := p.load(d, r, "version "+m.Version+" is replaced by "+d.Revision.Version)
-		s.Disrupts = []Disruption{{d.Model, p.keep[d.Model]}}
-		p.add(s)
+		s := p.loadStep(d, r, "version "+m.Version+" is replaced by "+d.Revision.Version)
+		s.Disrupts = []Disruption{{d.Model, p.minReady[d.Model]}}
+		p.addStep(s)
 	default:
-		p.finish(d, r, &m)
+		p.planAdaptersAndRole(d, r, &m)
 	}
 }
 
-// finish plans the adapters and the role of a runner with the right version.
-func (p *planner) finish(d *record.Deployment, r *Runner, m *port.ModelVersion) {
+// planAdaptersAndRole plans the next step of a runner that has the right version: a
+// missing adapter, or else a change of role.
+func (p *planner) planAdaptersAndRole(d *record.Deployment, r *Runner, m *port.ModelVersion) {
 	for _, adapter := range d.Revision.Adapters {
 		if slices.Contains(m.Adapters, adapter) {
 			continue
 		}
-		s := p.step(d, r, port.OrderLoadAdapter, "adapter "+adapter+" is missing")
+		s := p.newStep(d, r, port.OrderLoadAdapter, "adapter "+adapter+" is missing")
 		s.Order.Adapter = adapter
 		s.Loads = true
-		p.add(s)
+		p.addStep(s)
 		return
 	}
 	role := d.Placement.Role
 	if role == "" || r.State.Role == role {
 		return
 	}
-	s := p.step(d, r, port.OrderSetRole, "role "+r.State.Role+" is replaced by "+role)
+	s := p.newStep(d, r, port.OrderSetRole, "role "+r.State.Role+" is replaced by "+role)
 	s.Order.Role = role
-	// A change of role may stop the runner for every model it serves.
+	// A change of role may interrupt all models of the runner.
 	for _, m := range r.State.Models {
-		s.Disrupts = append(s.Disrupts, Disruption{m.Model, max(1, p.keep[m.Model])})
+		s.Disrupts = append(s.Disrupts, Disruption{m.Model, max(1, p.minReady[m.Model])})
 	}
-	p.add(s)
+	p.addStep(s)
 }
 
-func (p *planner) load(d *record.Deployment, r *Runner, reason string) Step {
-	s := p.step(d, r, port.OrderLoadModel, reason)
+func (p *planner) loadStep(d *record.Deployment, r *Runner, reason string) Step {
+	s := p.newStep(d, r, port.OrderLoadModel, reason)
 	s.Loads = true
 	return s
 }
 
-func (p *planner) step(d *record.Deployment, r *Runner, kind port.OrderKind, reason string) Step {
+func (p *planner) newStep(d *record.Deployment, r *Runner, kind port.OrderKind, reason string) Step {
 	return Step{
 		Endpoint:   r.Endpoint,
 		Order:      port.Order{Kind: kind, Model: d.Model, Version: d.Revision.Version},
@@ -148,20 +153,21 @@
 	}
 }
 
-// removals unload the model where it is not wanted, once the wanted replicas
-// have the wanted version: until then the spare ones let the others change.
-func (p *planner) removals(d *record.Deployment, chosen map[string]bool) []Step {
-	if p.upToDate(d, chosen) < *d.Placement.Replicas {
+// unloadSteps returns the steps that unload the model from runners not chosen for
+// it. There are none until all replicas have the right version: until then the
+// surplus runners keep serving while the others change.
+func (p *planner) unloadSteps(d *record.Deployment, chosen map[string]bool) []Step {
+	if p.upToDateCount(d, chosen) < *d.Placement.Replicas {
 		return nil
 	}
 	var out []Step
 	for i := range p.runners {
 		r := &p.runners[i]
-		_, ready := r.ready(d.Model)
+		_, ready := r.readyVersion(d.Model)
 		if !r.Known || !r.live() || !ready || chosen[r.Endpoint.ID] {
 			continue
 		}
-		s := p.step(d, r, port.OrderUnloadModel, "more replicas than wanted, or not in its failure domains")
+		s := p.newStep(d, r, port.OrderUnloadModel, "more replicas than wanted, or not in its failure domains")
 		s.Order.Version = ""
 		s.Disrupts = []Disruption{{d.Model, *d.Placement.Replicas}}
 		out = append(out, s)
@@ -169,57 +175,58 @@
 	return out
 }
 
-func (p *planner) upToDate(d *record.Deployment, chosen map[string]bool) int {
+func (p *planner) upToDateCount(d *record.Deployment, chosen map[string]bool) int {
 	n := 0
 	for i := range p.runners {
-		if r := &p.runners[i]; chosen[r.Endpoint.ID] && nearness(d, r) == 0 {
+		if r := &p.runners[i]; chosen[r.Endpoint.ID] && distance(d, r) == 0 {
 			n++
 		}
 	}
 	return n
 }
 
-// rank orders the runners that may have the model, best first: those that have
-// it in the right version, load it, or have it in another version, so that a
-// change moves as little as possible; then those with the fewest models, in
-// the failure domain with the fewest replicas.
+// rank returns the runners allowed for the deployment, best first. Runners that have
+// the right version of the model come first, then those that are loading it, then
+// those that have another version, so that a change moves as few replicas as
+// possible. Within a group, runners in the failure domain with the fewest replicas
+// come first, then those with the fewest models.
 func (p *planner) rank(d *record.Deployment) []*Runner {
-	var left, out []*Runner
+	var candidates, out []*Runner
 	for i := range p.runners {
-		if r := &p.runners[i]; r.live() && allowed(d, &r.Endpoint) {
-			left = append(left, r)
+		if r := &p.runners[i]; r.live() && inAllowedDomain(d, &r.Endpoint) {
+			candidates = append(candidates, r)
 		}
 	}
 	inDomain := map[string]int{}
-	for len(left) > 0 {
-		best := slices.MinFunc(left, func(a, b *Runner) int { return compareFor(d, inDomain, a, b) })
+	for len(candidates) > 0 {
+		best := slices.MinFunc(candidates, func(a, b *Runner) int { return compareRunners(d, inDomain, a, b) })
 		inDomain[best.Endpoint.FailureDomain]++
 		out = append(out, best)
-		left = slices.DeleteFunc(left, func(r *Runner) bool { return r == best })
+		candidates = slices.DeleteFunc(candidates, func(r *Runner) bool { return r == best })
 	}
 	return out
 }
 
-func allowed(d *record.Deployment, e *port.Endpoint) bool {
+func inAllowedDomain(d *record.Deployment, e *port.Endpoint) bool {
 	domains := d.Placement.FailureDomains
 	return len(domains) == 0 || slices.Contains(domains, e.FailureDomain)
 }
 
-func compareFor(d *record.Deployment, inDomain map[string]int, a, b *Runner) int {
+func compareRunners(d *record.Deployment, inDomain map[string]int, a, b *Runner) int {
 	return cmp.Or(
-		cmp.Compare(nearness(d, a), nearness(d, b)),
+		cmp.Compare(distance(d, a), distance(d, b)),
 		cmp.Compare(inDomain[a.Endpoint.FailureDomain], inDomain[b.Endpoint.FailureDomain]),
-		cmp.Compare(a.models(), b.models()),
+		cmp.Compare(a.modelCount(), b.modelCount()),
 		cmp.Compare(tieBreak(d, a), tieBreak(d, b)),
 		strings.Compare(a.Endpoint.ID, b.Endpoint.ID),
 	)
 }
 
-// nearness is how much a runner lacks for the deployment; a smaller one is
-// nearer.
-func nearness(d *record.Deployment, r *Runner) int {
-	m, ready := r.ready(d.Model)
-	l, loading := r.loading(d.Model)
+// distance is a measure of what a runner lacks for the deployment: from 0 for the
+// right version to 3 for a runner without the model.
+func distance(d *record.Deployment, r *Runner) int {
+	m, ready := r.readyVersion(d.Model)
+	l, loading := r.loadingVersion(d.Model)
 	switch {
 	case ready && (m.Version == d.Revision.Version || !r.Known):
 		return 0
@@ -232,7 +239,8 @@
 	}
 }
 
-// tieBreak spreads models over equal runners, the same way at every daemon.
+// tieBreak is a hash that spreads models over otherwise equal runners, in the same
+// way at every daemon.
 func tieBreak(d *record.Deployment, r *Runner) uint64 {
 	return xxhash.Sum64String(d.Model + "/" + r.Endpoint.ID)
 }
