--- a/internal/core/watchduty/doc.go
+++ b/internal/core/watchduty/doc.go
@@ -1,11 +1,12 @@
 // Package watchduty decides which daemons read the platform's store, and how
-// eagerly. Each call is counted and paid for, whoever makes it: read by all, the
-// store would cost as much as there are daemons, and most when it is in trouble
-// and all ask again. A few read for all, the rest hear what they learn, and that
-// they were refused. A daemon that nobody tells anything reads for itself.
+// often. Every call to the store is billed. If all daemons read it, the cost would
+// grow with their number and would be highest when the store is failing and all of
+// them retry. Instead a few watchers read for all and send the results, and whether
+// their calls were refused, to the others. A daemon that receives no such messages
+// reads the store itself.
 //
-// The load that this answers: hundreds of daemons that start at once, lose
-// their store for seconds, all or some of them, or are cut off from each other.
+// The package is designed for hundreds of daemons that start at the same time, lose
+// the store for seconds, all of them or some, or lose the connection to each other.
 //
-// It knows no sockets and no clock but the time that it is given.
+// It uses no sockets, and no clock other than the times passed in.
 package watchduty
--- a/internal/core/watchduty/duty.go
+++ b/internal/core/watchduty/duty.go
@@ -5,97 +5,105 @@
 	"time"
 )
 
-// Role is how a daemon reads the store.
+// Role determines whether and how a daemon reads the store.
 type Role int
 
-// The roles, the more eager ones later.
+// The roles, in order of increasing read frequency.
 const (
-	// Off: others read.
+	// Off: the daemon does not read the store; others do.
 	Off Role = iota
-	// Starting: it reads once what there is, and waits to hear who reads.
+	// Starting: the daemon reads the store once and waits for messages about
+	// who the watchers are.
 	Starting
-	// Blind: it is refused. It asks now and then whether it still is.
+	// Blind: the store refuses the calls of the daemon, which retries
+	// occasionally.
 	Blind
-	// Deputy: it waits for changes beside the leader, in no hurry.
+	// Deputy: the daemon watches for changes in addition to the leader, at lower
+	// urgency.
 	Deputy
-	// Alone: nobody tells it anything, so it reads for itself and whoever it
-	// still reaches.
+	// Alone: the daemon receives no current messages about the store, and reads
+	// for itself and for the peers that it can still reach.
 	Alone
-	// Leader: it reads for all, at once.
+	// Leader: the daemon reads for all, without delay.
 	Leader
 )
 
-// String names the role in the log.
+// String returns the name of the role as used in logs.
 func (r Role) String() string {
 	return [...]string{"off", "starting", "blind", "deputy", "alone", "leader"}[r]
 }
 
-// Reads reports whether the role calls the store at all times.
+// Reads reports whether a daemon with the role reads the store continuously.
 func (r Role) Reads() bool { return r == Deputy || r == Alone || r == Leader }
 
-// Standing is where a daemon stands among the live ones that it knows.
+// Standing is the position of a daemon among the live daemons that it knows.
 type Standing struct {
-	// Keepers is their number, itself included.
+	// Keepers is the number of live daemons, itself included.
 	Keepers int
-	// Place is its place among the chosen watchers, NotChosen for none.
+	// Place is its index among the chosen watchers, or NotWatcher.
 	Place int
-	// Line is its place among all by the hash of their ids, Hash its own.
+	// Line is its index among all daemons in the order of the hashes of their
+	// ids; Hash is its own.
 	Line int
 	Hash uint64
-	// Watchers are the hashes of the chosen.
+	// Watchers are the hashes of the ids of the chosen watchers.
 	Watchers []uint64
-	// Linked: some peer has been heard of late.
+	// Linked: a message from a peer has arrived recently.
 	Linked bool
-	// Seed: others are told to begin with it.
+	// Seed: other daemons are configured to contact this one first.
 	Seed bool
 }
 
-// NotChosen is the Place of a daemon that isn't among the watchers.
-const NotChosen = -1
+// NotWatcher is the Place of a daemon that is not a chosen watcher.
+const NotWatcher = -1
 
-// Times by which daemons take turns.
+// The delays that decide when a daemon starts to read the store.
 const (
-	// startWait is how long a daemon that has just started waits to hear who
-	// reads. All that start together know nobody, and each would take itself for
-	// the only one there.
-	startWait = time.Second
-	// relayPerKeeper is the time that news may take longer for each daemon that
-	// there is.
-	relayPerKeeper = 2 * time.Millisecond
-	// turnPerKeeper parts those who find that news is overdue: the first of them
-	// tells the others before it is their turn.
-	turnPerKeeper = 5 * time.Millisecond
+	// startupWait is how long a daemon waits after its start for messages about
+	// who the watchers are. Daemons that start together do not know each other yet,
+	// and each would conclude that it is the only one.
+	startupWait = time.Second
+	// relayDelayPerKeeper is the allowance for relaying a message through the
+	// daemons, for each of them.
+	relayDelayPerKeeper = 2 * time.Millisecond
+	// takeoverStep is the delay between daemons that find messages overdue, per
+	// position in Line: the first of them can inform the others before they act.
+	takeoverStep = 5 * time.Millisecond
 )
 
-// Duty is one daemon's turn at the store. It is safe for concurrent use.
+// Duty tracks the role of one daemon. It is safe for concurrent use.
 type Duty struct {
-	// overdue is the age of the last try at which news is overdue in a fleet of
-	// one.
-	overdue time.Duration
-	started time.Time
+	// overdueAfter is the age of the last known call to the store from which on
+	// messages are overdueAfter, without the delays that depend on the number of daemons.
+	overdueAfter time.Duration
+	started      time.Time
 
 	mu sync.Mutex
-	// own is what this daemon's calls came to, heard what peers have told.
-	own, heard News
-	// since is when the present turn began, zero while off duty.
-	since time.Time
-	blind bool
-	role  Role
+	// ownStatus results from this daemon's calls, peerStatus from messages of
+	// peers.
+	ownStatus, peerStatus News
+	// readsSince is readsSince when the daemon has continuously had a role that reads
+	// the store; zero while it has none.
+	readsSince time.Time
+	blind      bool
+	role       Role
 }
 
-// New returns the duty of a daemon that starts now.
-func New(now time.Time, overdue time.Duration) *Duty {
-	return &Duty{overdue: overdue, started: now}
+// New returns the Duty of a daemon that starts now. overdue is the age of the last
+// known call to the store from which on messages are overdue.
+func New(now time.Time, overdueAfter time.Duration) *Duty {
+	return &Duty{overdueAfter: overdueAfter, started: now}
 }
 
-// Heard takes what a peer knows.
+// Heard records the store status received from a peer.
 func (d *Duty) Heard(n News) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.heard = d.heard.Join(n)
+	d.peerStatus = d.peerStatus.Join(n)
 }
 
-// Called takes how an own call went, by this daemon's hash.
+// Called records whether the store answered a call of this daemon, whose hash is
+// given.
 func (d *Duty) Called(now time.Time, hash uint64, answered bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -104,58 +112,60 @@
 		n.Answered = now
 		d.blind = false
 	}
-	d.own = d.own.Join(n)
+	d.ownStatus = d.ownStatus.Join(n)
 }
 
-// News is what this daemon can tell. That it is refused itself is no news once
-// others have been chosen in its place: the store may well answer them.
+// News returns the store status to send to peers. It leaves out refusals of this
+// daemon's calls while it is blind: other watchers are then chosen in its place, and
+// the store may answer them.
 func (d *Duty) News() News {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.newsLocked()
+	return d.statusLocked()
 }
 
-func (d *Duty) newsLocked() News {
-	own := d.own
+func (d *Duty) statusLocked() News {
+	own := d.ownStatus
 	if d.blind {
 		own.Tried = own.Answered
 	}
-	return d.heard.Join(own)
+	return d.peerStatus.Join(own)
 }
 
-// Blind reports whether the store is out of this daemon's reach: it has been on
-// duty, and was only refused, for as long as makes news overdue.
+// Blind reports whether the store is unreachable for this daemon: it has had a role
+// that reads the store, without an answer, for longer than the overdue time.
 func (d *Duty) Blind(now time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.since.IsZero() || !d.own.Failing() {
+	if d.readsSince.IsZero() || !d.ownStatus.Failing() {
 		return d.blind
 	}
-	last := d.own.Answered
-	if d.since.After(last) {
-		last = d.since
+	last := d.ownStatus.Answered
+	if d.readsSince.After(last) {
+		last = d.readsSince
 	}
-	d.blind = now.Sub(last) > d.overdue
+	d.blind = now.Sub(last) > d.overdueAfter
 	return d.blind
 }
 
-// Role decides, and remembers since when this daemon is on duty.
+// Role determines the role of this daemon and records since when it has one that
+// reads the store.
 func (d *Duty) Role(now time.Time, s *Standing) Role {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.role = d.decide(now, s)
+	d.role = d.decideRole(now, s)
 	switch {
 	case !d.role.Reads():
-		d.since = time.Time{}
-	case d.since.IsZero():
-		d.since = now
+		d.readsSince = time.Time{}
+	case d.readsSince.IsZero():
+		d.readsSince = now
 	}
 	return d.role
 }
 
-func (d *Duty) decide(now time.Time, s *Standing) Role {
+func (d *Duty) decideRole(now time.Time, s *Standing) Role {
 	switch {
-	case now.Sub(d.started) < startWait && !s.Seed:
+	case now.Sub(d.started) < startupWait && !s.Seed:
 		return Starting
 	case d.blind:
 		return Blind
@@ -163,48 +173,50 @@
 		return Leader
 	case s.Place > 0:
 		return Deputy
-	case d.alone(now, s):
+	case d.mustReadAlone(now, s):
 		return Alone
 	default:
 		return Off
 	}
 }
 
-// alone reports whether nobody is heard of who reads. One that reads by itself
-// goes on until it hears of a chosen watcher, or of one before it in line.
-func (d *Duty) alone(now time.Time, s *Standing) bool {
-	if d.role == Alone && !d.relieved(s) {
+// mustReadAlone reports whether the daemon has to read the store itself, because no
+// recent call by any daemon is known. Once it does so, it continues until another
+// daemon has taken over.
+func (d *Duty) mustReadAlone(now time.Time, s *Standing) bool {
+	if d.role == Alone && !d.takenOver(s) {
 		return true
 	}
-	last := d.newsLocked().Tried
+	last := d.statusLocked().Tried
 	if d.started.After(last) {
 		last = d.started
 	}
-	return now.Sub(last) > d.patience(s)
+	return now.Sub(last) > d.takeoverAge(s)
 }
 
-// relieved reports whether such a one was heard of, and had an answer.
-func (d *Duty) relieved(s *Standing) bool {
-	if !d.heard.Tried.After(d.own.Tried) || d.heard.Failing() {
+// takenOver reports whether the last known call was answered and made by a chosen
+// watcher, or by a daemon with a lower hash.
+func (d *Duty) takenOver(s *Standing) bool {
+	if !d.peerStatus.Tried.After(d.ownStatus.Tried) || d.peerStatus.Failing() {
 		return false
 	}
 	for _, w := range s.Watchers {
-		if d.heard.By == w {
+		if d.peerStatus.By == w {
 			return true
 		}
 	}
-	return d.heard.By < s.Hash
+	return d.peerStatus.By < s.Hash
 }
 
-// patience is the age of the last try that is known of at which this daemon
-// reads for itself. One that no peer reaches has nobody to wait for.
-func (d *Duty) patience(s *Standing) time.Duration {
+// takeoverAge is the age of the last known call to the store above which this daemon
+// reads the store itself. Without contact to any peer it does not wait for others.
+func (d *Duty) takeoverAge(s *Standing) time.Duration {
 	if !s.Linked {
-		return d.overdue
+		return d.overdueAfter
 	}
-	return d.overdue + RelayTime(s.Keepers) + time.Duration(s.Line)*turnPerKeeper
+	return d.overdueAfter + RelayTime(s.Keepers) + time.Duration(s.Line)*takeoverStep
 }
 
-// RelayTime is how much later than the first the last of so many daemons may
-// hear of news.
-func RelayTime(keepers int) time.Duration { return time.Duration(keepers) * relayPerKeeper }
+// RelayTime returns the maximum delay between the first and the last of the given
+// number of daemons receiving a message.
+func RelayTime(keepers int) time.Duration { return time.Duration(keepers) * relayDelayPerKeeper }
--- a/internal/core/watchduty/fleet_test.go
+++ b/internal/core/watchduty/fleet_test.go
@@ -8,81 +8,82 @@
 	"time"
 )
 
-// fleet plays daemons that read one store by their duties, and tell their
-// neighbours on a ring. Time passes in steps.
+// fleet simulates daemons that read one store according to their roles and send its
+// status to their neighbours on a ring. Time advances in steps.
 type fleet struct {
-	now     time.Time
-	daemons []*daemon
-	parts   []*part
-	// answers reports whether the store answers a daemon.
-	answers func(i int) bool
-	calls   int
-	random  *rand.Rand
+	now        time.Time
+	daemons    []*daemon
+	partitions []*partition
+	// storeAnswers reports whether the store storeAnswers calls of a daemon.
+	storeAnswers func(i int) bool
+	calls        int
+	random       *rand.Rand
 }
 
-// part is a part of the fleet that reaches no other.
-type part struct {
+// partition is a group of daemons that can reach each other, but no others.
+type partition struct {
 	members []int
-	// chosen are its watchers as of this step.
+	// chosen are the watchers in this step.
 	chosen []int
 }
 
-// daemon is one of them, with one source that it reads.
+// daemon is one simulated daemon.
 type daemon struct {
 	duty       *Duty
-	part       *part
+	partition  *partition
 	neighbours []int
-	told       map[int]News
+	lastSent   map[int]News
 	listed     bool
-	// waits is when its call returns, zero for none; next when it calls again.
-	waits, next time.Time
-	retry       time.Duration
+	// callEnds is when the pending call returns, zero for none; nextCall is when
+	// the nextCall one starts.
+	callEnds, nextCall time.Time
+	retry              time.Duration
 }
 
-// Times of the daemons that the fleet plays, as deployed.
+// Parameters of the simulated daemons, as deployed.
 const (
-	tick          = 20 * time.Millisecond
-	leaderWait    = time.Second
-	deputyWait    = 5 * time.Second
-	blindWait     = 2 * time.Second
-	firstRetry    = 100 * time.Millisecond
-	longestRetry  = time.Second
-	knownAfter    = 600 * time.Millisecond
-	watchers      = 5
-	manyBlind     = 3
-	heartbeat     = 250 * time.Millisecond
-	freshnessStep = time.Second
+	tick            = 20 * time.Millisecond
+	leaderWait      = time.Second
+	deputyWait      = 5 * time.Second
+	blindWait       = 2 * time.Second
+	firstRetry      = 100 * time.Millisecond
+	maxRetry        = time.Second
+	peersKnownAfter = 600 * time.Millisecond
+	watchers        = 5
+	manyBlind       = 3
+	heartbeat       = 250 * time.Millisecond
+	freshnessStep   = time.Second
 )
 
 func newFleet(n int) *fleet {
 	f := &fleet{
 		now: start, random: rand.New(rand.NewPCG(1, uint64(n))),
-		answers: func(int) bool { return true },
+		storeAnswers: func(int) bool { return true },
 	}
 	for range n {
 		f.daemons = append(f.daemons, &daemon{
-			duty: New(start, overdue), told: map[int]News{}, retry: firstRetry,
-			next: start.Add(time.Duration(f.random.Int64N(int64(300 * time.Millisecond)))),
+			duty: New(start, overdue), lastSent: map[int]News{}, retry: firstRetry,
+			nextCall: start.Add(time.Duration(f.random.Int64N(int64(300 * time.Millisecond)))),
 		})
 	}
-	f.divide(func(int) int { return 0 })
+	f.split(func(int) int { return 0 })
 	return f
 }
 
-// divide cuts the fleet in parts by a number for each daemon. Each part's
-// daemons make a ring of their own.
-func (f *fleet) divide(by func(i int) int) {
-	parts := map[int]*part{}
-	f.parts = nil
+// split divides the fleet into partitions, by a number for each daemon. The daemons
+// of each partition form a ring.
+func (f *fleet) split(by func(i int) int) {
+	partitions := map[int]*partition{}
+	f.partitions = nil
 	for i, d := range f.daemons {
-		p := parts[by(i)]
+		p := partitions[by(i)]
 		if p == nil {
-			p = &part{}
-			parts[by(i)], f.parts = p, append(f.parts, p)
+			p = &partition{}
+			partitions[by(i)], f.partitions = p, append(f.partitions, p)
 		}
-		p.members, d.part = append(p.members, i), p
+		p.members, d.partition = append(p.members, i), p
 	}
-	for _, p := range f.parts {
+	for _, p := range f.partitions {
 		n, chord := len(p.members), 2
 		for chord*chord < n {
 			chord++
@@ -98,9 +99,9 @@
 	}
 }
 
-// choose has each part choose its watchers.
-func (f *fleet) choose() {
-	for _, p := range f.parts {
+// chooseWatchers chooses the watchers of each partition.
+func (f *fleet) chooseWatchers() {
+	for _, p := range f.partitions {
 		p.chosen = p.chosen[:0]
 		blind := 0
 		for _, i := range p.members {
@@ -117,17 +118,17 @@
 	}
 }
 
-// standing is what a daemon knows of itself among the others.
+// standing returns the position of a daemon as known to itself.
 func (f *fleet) standing(i int) *Standing {
 	d := f.daemons[i]
 	s := &Standing{Keepers: len(f.daemons), Line: i, Hash: uint64(i + 1), Seed: i < 3}
-	if f.now.Sub(start) < knownAfter {
+	if f.now.Sub(start) < peersKnownAfter {
 		s.Keepers = 1
 		return s
 	}
 	s.Linked = len(d.neighbours) > 0
-	s.Place = slices.Index(d.part.chosen, i)
-	for _, j := range d.part.chosen {
+	s.Place = slices.Index(d.partition.chosen, i)
+	for _, j := range d.partition.chosen {
 		s.Watchers = append(s.Watchers, uint64(j+1))
 	}
 	return s
@@ -135,13 +136,13 @@
 
 func (f *fleet) step() {
 	f.now = f.now.Add(tick)
-	f.choose()
+	f.chooseWatchers()
 	beat := f.now.Sub(start)%heartbeat < tick
 	for i, d := range f.daemons {
 		n := d.duty.News()
 		for _, j := range d.neighbours {
-			if beat || n.Adds(d.told[j], freshnessStep) {
-				d.told[j] = n
+			if beat || n.Adds(d.lastSent[j], freshnessStep) {
+				d.lastSent[j] = n
 				f.daemons[j].duty.Heard(n)
 			}
 		}
@@ -149,17 +150,17 @@
 	}
 }
 
-// read does what the daemon's role has it do now.
+// read simulates the calls that the daemon's role requires now.
 func (f *fleet) read(i int, d *daemon) {
 	hash := uint64(i + 1)
-	if !d.waits.IsZero() {
-		if f.now.Before(d.waits) {
+	if !d.callEnds.IsZero() {
+		if f.now.Before(d.callEnds) {
 			return
 		}
-		d.waits = time.Time{}
-		d.duty.Called(f.now, hash, f.answers(i))
+		d.callEnds = time.Time{}
+		d.duty.Called(f.now, hash, f.storeAnswers(i))
 	}
-	if f.now.Before(d.next) {
+	if f.now.Before(d.nextCall) {
 		return
 	}
 	role := d.duty.Role(f.now, f.standing(i))
@@ -168,15 +169,15 @@
 		return
 	}
 	f.calls++
-	if !f.answers(i) {
+	if !f.storeAnswers(i) {
 		d.duty.Called(f.now, hash, false)
 		d.listed = false
-		d.retry = min(2*d.retry, longestRetry)
+		d.retry = min(2*d.retry, maxRetry)
 		pause := d.retry
 		if role == Blind {
 			pause = blindWait
 		}
-		d.next = f.now.Add(pause/2 + time.Duration(f.random.Int64N(int64(pause))))
+		d.nextCall = f.now.Add(pause/2 + time.Duration(f.random.Int64N(int64(pause))))
 		return
 	}
 	d.retry = firstRetry
@@ -185,14 +186,14 @@
 		d.listed = true
 		d.duty.Called(f.now, hash, true)
 	case role == Deputy:
-		d.waits = f.now.Add(deputyWait)
+		d.callEnds = f.now.Add(deputyWait)
 	default:
-		d.waits = f.now.Add(leaderWait)
+		d.callEnds = f.now.Add(leaderWait)
 	}
 }
 
-// play lets time pass and counts the calls.
-func (f *fleet) play(d time.Duration) int {
+// run advances the time by d and returns the number of calls to the store.
+func (f *fleet) run(d time.Duration) int {
 	before := f.calls
 	for end := f.now.Add(d); f.now.Before(end); {
 		f.step()
@@ -200,8 +201,9 @@
 	return f.calls - before
 }
 
-// oldest is the age of the news of the daemon that has heard least.
-func (f *fleet) oldest() time.Duration {
+// maxStatusAge returns the age of the last known call at the daemon with the maxStatusAge
+// status.
+func (f *fleet) maxStatusAge() time.Duration {
 	var oldest time.Duration
 	for _, d := range f.daemons {
 		oldest = max(oldest, f.now.Sub(d.duty.News().Tried))
@@ -209,69 +211,71 @@
 	return oldest
 }
 
-// Each call is paid for. Read by every daemon, a store of a fleet of hundreds
-// had thousands of calls for each second in which it was away, and hundreds
-// for each change. They must hang on what happens, not on how many there are.
-func TestCallsDontGrowWithTheFleet(t *testing.T) {
+// Every call to the store is billed. If each of hundreds of daemons read it, the store
+// would get thousands of calls per second during an outage and hundreds for each
+// change. The number of calls must depend on the events and not on the fleet size.
+func TestCallsIndependentOfFleetSize(t *testing.T) {
 	const (
-		// calmCalls are ten seconds of a leader that waits for one second and
-		// four deputies that wait for five.
-		calmCalls = 10 + 4*2
-		// awayCalls are eight seconds of five watchers, refused for 1.5 s each with
-		// pauses that grow to a second, and of those that were, asking on.
-		awayCalls = 200
-		// refusedCalls are nine seconds in which a third is refused.
+		// idleCalls are the calls in ten seconds of a leader whose calls wait for
+		// one second and of four deputies whose calls wait for five.
+		idleCalls = 10 + 4*2
+		// outageCalls are the calls in eight seconds of an outage: five watchers,
+		// refused for 1.5 s each with pauses that grow to a second, and the
+		// occasional retries of the former watchers.
+		outageCalls = 200
+		// refusedCalls are the calls in nine seconds in which the store refuses a
+		// third of the daemons.
 		refusedCalls = 80
 	)
 	for _, n := range []int{12, 48, 195} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			f := newFleet(n)
-			if calls := f.play(3 * time.Second); calls > n+20 {
-				t.Errorf("%d calls at the start", calls)
+			if calls := f.run(3 * time.Second); calls > n+20 {
+				t.Errorf("%d calls in the first three seconds", calls)
 			}
-			if calls := f.play(10 * time.Second); calls > calmCalls+2 {
-				t.Errorf("%d calls in ten calm seconds", calls)
+			if calls := f.run(10 * time.Second); calls > idleCalls+2 {
+				t.Errorf("%d calls in ten seconds without events", calls)
 			}
-			f.answers = func(int) bool { return false }
-			if calls := f.play(8 * time.Second); calls > awayCalls {
-				t.Errorf("%d calls in eight seconds with the store away", calls)
+			f.storeAnswers = func(int) bool { return false }
+			if calls := f.run(8 * time.Second); calls > outageCalls {
+				t.Errorf("%d calls in eight seconds of a store outage", calls)
 			}
-			f.answers = func(int) bool { return true }
-			if calls := f.play(4 * time.Second); calls > calmCalls+2*watchers+20 {
-				t.Errorf("%d calls in the four seconds after", calls)
+			f.storeAnswers = func(int) bool { return true }
+			if calls := f.run(4 * time.Second); calls > idleCalls+2*watchers+20 {
+				t.Errorf("%d calls in the four seconds after the outage", calls)
 			}
-			f.answers = func(i int) bool { return i%3 > 0 }
-			if calls := f.play(9 * time.Second); calls > refusedCalls {
-				t.Errorf("%d calls in nine seconds with a third refused", calls)
+			f.storeAnswers = func(i int) bool { return i%3 > 0 }
+			if calls := f.run(9 * time.Second); calls > refusedCalls {
+				t.Errorf("%d calls in nine seconds with a third of the daemons refused", calls)
 			}
 		})
 	}
 }
 
-// The fleet is cut in parts that all reach the store, and single daemons are cut
-// off. Each part must hear of changes, so some daemon in each reads, and in
-// none do all.
-func TestEachPartReads(t *testing.T) {
+// The fleet is split into two large partitions and single daemons, all of which reach
+// the store. Each partition must learn of changes, so that some of its daemons must
+// read the store, but not all of them.
+func TestEachPartitionReads(t *testing.T) {
 	for _, n := range []int{7, 66, 195} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			f := newFleet(n)
-			f.play(5 * time.Second)
-			f.divide(func(i int) int {
+			f.run(5 * time.Second)
+			f.split(func(i int) int {
 				if i%7 == 3 {
 					return i
 				}
 				return n + i%2
 			})
-			calls := f.play(10 * time.Second)
-			alone := (n + 3) / 7
-			if most := 2*(20+2*watchers) + 12*alone; calls > most {
+			calls := f.run(10 * time.Second)
+			isolated := (n + 3) / 7
+			if most := 2*(20+2*watchers) + 12*isolated; calls > most {
 				t.Errorf("%d calls in ten seconds, want at most %d", calls, most)
 			}
-			bound := overdue + RelayTime(n) + time.Duration(n)*turnPerKeeper + leaderWait
+			bound := overdue + RelayTime(n) + time.Duration(n)*takeoverStep + leaderWait
 			for range 200 {
 				f.step()
-				if age := f.oldest(); age > bound {
-					t.Fatalf("a daemon has heard nothing for %v, bound %v", age, bound)
+				if age := f.maxStatusAge(); age > bound {
+					t.Fatalf("the status of a daemon is %v old, more than the bound of %v", age, bound)
 				}
 			}
 		})
--- a/internal/core/watchduty/news.go
+++ b/internal/core/watchduty/news.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// News is what a daemon knows of the store's dealings with any daemon, by its
-// own host's clock.
+// News is the status of the store as known to a daemon from the calls of all
+// daemons. Its times are those of the daemon's own host.
 type News struct {
-	// Answered is when the store last answered, zero for never.
+	// Answered is when the store last answered a call, zero for never.
 	Answered time.Time
-	// Tried is when it was last asked, answered or not; By names the daemon that
-	// asked, by the hash of its id.
+	// Tried is the time of the last call to the store, answered or not; By is the
+	// hash of the id of the daemon that made it.
 	Tried time.Time
 	By    uint64
 }
 
-// Failing reports whether the last try that is known of got no answer.
+// Failing reports whether the last known call was not answered.
 func (n News) Failing() bool { return n.Tried.After(n.Answered) }
 
-// Join returns what two daemons know together.
+// Join returns the combined status known to two daemons.
 func (n News) Join(o News) News {
 	out := n
 	if o.Answered.After(out.Answered) {
@@ -31,9 +31,9 @@
 	return out
 }
 
-// Adds reports whether n says something that a peer which was told before should
-// hear at once: that the store answers again, that it has ceased to, or news by
-// a step.
+// Adds reports whether n should be sent at once to a peer that last received before:
+// the store has started to fail or to answer again, or one of the times has advanced
+// by at least step.
 func (n News) Adds(before News, step time.Duration) bool {
 	if n.Tried.After(before.Tried) && n.Failing() != before.Failing() {
 		return true
