--- a/internal/core/lease/lease.go
+++ b/internal/core/lease/lease.go
@@ -6,37 +6,38 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// maxDuration bounds a stored duration, so that a corrupt lease can't block
-// its shard for ever.
+// maxDuration is the maximum duration of a stored lease. It prevents a corrupt lease
+// from blocking its shard indefinitely.
 const maxDuration = time.Hour
 
-// Terms are the times of a lease.
+// Terms are the time parameters of a lease.
 type Terms struct {
-	// Duration is how long a lease lasts without a renewal.
+	// Duration is how long a lease is valid without a renewal.
 	Duration time.Duration
-	// Margin covers the difference in rate of two hosts' clocks and the
-	// pause between a check and the bytes leaving the process.
+	// Margin allows for the difference between the clock rates of two hosts, and
+	// for a pause between a check of the lease and the sending of an order.
 	Margin time.Duration
-	// OrderTimeout is the longest time an order may take.
+	// OrderTimeout is the maximum duration of an order.
 	OrderTimeout time.Duration
 }
 
-// Validate says what is wrong with the terms.
+// Validate returns an error if the terms are invalid.
 func (t *Terms) Validate() error {
 	if t.Margin <= 0 || t.OrderTimeout <= 0 || t.Duration > maxDuration {
 		return merry.New("lease: margin and order timeout must be positive, the duration at most an hour")
 	}
-	// A lease renewed at a third of its time must leave room for an order.
+	// A lease is renewed after a third of its duration. The remaining two thirds
+	// must be long enough for an order.
 	if t.Duration*2/3 <= t.OrderTimeout+t.Margin {
-		return merry.Errorf("lease: two thirds of the duration must exceed order timeout and margin, %s", t.OrderTimeout+t.Margin)
+		return merry.Errorf("lease: two thirds of the duration must be longer than the sum of order timeout and margin, %s", t.OrderTimeout+t.Margin)
 	}
 	return nil
 }
 
-// Action is what the holder or a candidate should write next.
+// Action is the kind of the next write of a holder or candidate.
 type Action int
 
-// The actions.
+// The kinds of writes.
 const (
 	ActionNone Action = iota
 	ActionAcquire
@@ -44,120 +45,123 @@
 	ActionRelease
 )
 
-// Write is a compare-and-set to try.
+// Write is a compare-and-set to be attempted.
 type Write struct {
 	Action Action
-	// Expect is the version the stored lease must have; zero: absent.
+	// Expect is the version that the stored lease must have; zero if it must not
+	// exist.
 	Expect uint64
 	Record Record
 }
 
-// Lease follows one stored lease for one daemon. It is not safe for
+// Lease is the view that one daemon has of one stored lease. It is not safe for
 // concurrent use.
 type Lease struct {
 	terms   Terms
 	holder  string
 	session string
 
-	// What was seen last, and since when it is unchanged.
-	seen    *Record
-	version uint64
-	since   time.Time
-	known   bool
+	// The last known state of the stored lease, and since when it is unchanged.
+	lastSeen       *Record
+	version        uint64
+	unchangedSince time.Time
+	observed       bool
 
-	// What this daemon holds.
+	// The lease as held by this daemon.
 	held       bool
 	fence      uint64
 	validUntil time.Time
 	acquired   time.Time
-	// inherited: bytes of a former holder's order may still be on their way,
-	// also where it released the lease after it had given that order up.
-	inherited bool
-	renewal   uint64
+	// hadPredecessor: bytes of an order of a former holder may still be in
+	// transit, also if it released the lease after abandoning that order.
+	hadPredecessor bool
+	renewal        uint64
 }
 
-// New returns a lease that nothing is known of.
+// New returns a Lease without any knowledge of the stored lease.
 func New(t Terms, holder, session string) *Lease {
 	return &Lease{terms: t, holder: holder, session: session}
 }
 
-// Observe takes what the platform holds; rec is nil where it holds nothing.
-// A read that was overtaken by a newer one is ignored.
+// Observe records the stored lease as read from the platform; rec is nil if it does
+// not exist. A read of an older version than the last known one is ignored.
 func (l *Lease) Observe(now time.Time, version uint64, rec *Record) {
-	if l.known && version < l.version {
+	if l.observed && version < l.version {
 		return
 	}
-	if l.known && version == l.version {
+	if l.observed && version == l.version {
 		return
 	}
-	l.note(now, version, rec)
-	if l.held && !l.mine(rec) {
-		// Another daemon has it: whatever our clock says, it is over.
+	l.setLastSeen(now, version, rec)
+	if l.held && !l.isOwn(rec) {
+		// Another daemon holds the lease, so that it is lost even if it is still
+		// valid by this daemon's clock.
 		l.held = false
 	}
 }
 
-func (l *Lease) note(now time.Time, version uint64, rec *Record) {
-	l.seen, l.version, l.since, l.known = rec, version, now, true
+func (l *Lease) setLastSeen(now time.Time, version uint64, rec *Record) {
+	l.lastSeen, l.version, l.unchangedSince, l.observed = rec, version, now, true
 }
 
-func (l *Lease) mine(rec *Record) bool {
+func (l *Lease) isOwn(rec *Record) bool {
 	return rec != nil && rec.Holder == l.holder && rec.Session == l.session
 }
 
-// Expired reports whether the stored lease may be taken: it was never taken,
-// was released, or stayed unchanged for its whole duration and a margin on
-// this daemon's own clock. The holder counts from before its write was sent
-// and this daemon from after it took effect, so its holder stops first.
+// Expired reports whether the stored lease may be acquired: it does not exist, was
+// released, or has been unchanged for its duration and a margin by this daemon's own
+// clock. The holder counts the duration from before it sent the write, and this daemon
+// from after the write took effect, so that the holder stops first.
 func (l *Lease) Expired(now time.Time) bool {
 	switch {
-	case !l.known:
+	case !l.observed:
 		return false
-	case l.seen == nil || l.seen.Released:
+	case l.lastSeen == nil || l.lastSeen.Released:
 		return true
 	default:
-		return now.Sub(l.since) >= l.seen.duration()+l.terms.Margin
+		return now.Sub(l.unchangedSince) >= l.lastSeen.duration()+l.terms.Margin
 	}
 }
 
-// ExpiredFor is how long the lease could have been taken already.
+// ExpiredFor returns how long ago the lease expired, zero if it has not.
 func (l *Lease) ExpiredFor(now time.Time) time.Duration {
 	if !l.Expired(now) {
 		return 0
 	}
-	if l.seen == nil || l.seen.Released {
-		return now.Sub(l.since)
+	if l.lastSeen == nil || l.lastSeen.Released {
+		return now.Sub(l.unchangedSince)
 	}
-	return now.Sub(l.since) - l.seen.duration() - l.terms.Margin
+	return now.Sub(l.unchangedSince) - l.lastSeen.duration() - l.terms.Margin
 }
 
-// Next says what to write now. A candidate that wants the lease takes it once
-// it has expired; a holder renews it after a third of its time. A holder that
-// is past its time takes it anew, with a new fencing number. Want must stay
-// true while an order of this daemon is under way.
-func (l *Lease) Next(now time.Time, want bool) Write {
+// Next returns the write to attempt now. A candidate that needs the lease acquires it
+// once it has expired. A holder renews it after a third of its duration; if it has
+// run out, the holder acquires it again with a new fencing number. needed must be
+// true while an order of this daemon is in progress.
+func (l *Lease) Next(now time.Time, needed bool) Write {
 	switch {
-	case l.Holds(now) && !want:
-		// It is over before the write is sent: were its reply lost, another
-		// daemon could order at once while this one still did.
+	case l.Holds(now) && !needed:
+		// The lease ends before the write is sent. If the reply is lost, another
+		// daemon may send orders at once, and this one must not.
 		l.held = false
-		return l.write(ActionRelease)
+		return l.newWrite(ActionRelease)
 	case l.Holds(now):
 		if l.validUntil.Sub(now) > l.terms.Duration*2/3 {
 			return Write{}
 		}
-		return l.write(ActionRenew)
-	case want && l.known && (l.Expired(now) || l.mine(l.seen)):
-		return l.write(ActionAcquire)
+		return l.newWrite(ActionRenew)
+	case needed && l.observed && (l.Expired(now) || l.isOwn(l.lastSeen)):
+		return l.newWrite(ActionAcquire)
 	default:
 		return Write{}
 	}
 }
 
-// write numbers every write anew, tried or not: were a number used twice, a
-// lost write that took effect long ago could be taken for a recent one, and
-// the lease would be thought to last longer than others see it.
-func (l *Lease) write(a Action) Write {
+// newWrite returns a newWrite with a new renewal number, whether or not the previous one
+// was attempted. If a number were reused, a newWrite with a lost reply that took effect
+// earlier could be mistaken for a recent one, and this daemon would consider the lease
+// valid for longer than other daemons do.
+func (l *Lease) newWrite(a Action) Write {
 	l.renewal++
 	rec := Record{
 		FormatVersion: FormatVersion, Holder: l.holder, Session: l.session,
@@ -170,18 +174,18 @@
 	return Write{Action: a, Expect: l.version, Record: rec}
 }
 
-// Wrote takes note of a write that took effect as the given version. Sent is
-// the time before it was sent, from which its duration counts.
+// Wrote records a write that took effect and returned the given version. sent is a
+// time before the write was sent; the duration of the lease counts from it.
 func (l *Lease) Wrote(sent, now time.Time, w *Write, version uint64) {
-	inherited := l.seen != nil
-	l.note(now, version, &w.Record)
+	hadPredecessor := l.lastSeen != nil
+	l.setLastSeen(now, version, &w.Record)
 	switch w.Action {
 	case ActionAcquire:
-		l.held, l.fence, l.acquired, l.inherited = true, version, now, inherited
+		l.held, l.fence, l.acquired, l.hadPredecessor = true, version, now, hadPredecessor
 		l.validUntil = sent.Add(l.terms.Duration)
 	case ActionRenew:
-		// A renewal that was answered after the lease had run out revives
-		// nothing: orders given up meanwhile stay given up.
+		// A renewal whose reply arrives after the lease has run out does not
+		// restore it: orders that were abandoned in between stay abandoned.
 		if l.held && now.Before(l.validUntil) {
 			l.validUntil = sent.Add(l.terms.Duration)
 		} else {
@@ -192,49 +196,48 @@
 	}
 }
 
-// Recognise tells whether a read shows a write whose reply was lost.
+// Recognise reports whether rec is the result of write w, whose reply was lost.
 func (l *Lease) Recognise(w *Write, rec *Record) bool {
-	return l.mine(rec) && rec.Renewal == w.Record.Renewal && rec.Released == w.Record.Released
+	return l.isOwn(rec) && rec.Renewal == w.Record.Renewal && rec.Released == w.Record.Released
 }
 
-// Holds reports whether this daemon's own clock still gives it the lease.
+// Holds reports whether this daemon holds the lease and it is valid by its own clock.
 func (l *Lease) Holds(now time.Time) bool { return l.held && now.Before(l.validUntil) }
 
-// Fence is the fencing number; it means nothing where Holds is false.
+// Fence returns the fencing number, which is valid only while Holds is true.
 func (l *Lease) Fence() uint64 { return l.fence }
 
-// Refusal says why no order may be sent.
+// Refusal is the reason why no order may be sent.
 type Refusal string
 
-// The refusals.
+// The reasons why no order may be sent.
 const (
 	RefusalNone Refusal = ""
-	// RefusalNotHeld: this daemon doesn't hold the lease.
+	// RefusalNotHeld: this daemon does not hold the lease.
 	RefusalNotHeld Refusal = "lease_not_held"
-	// RefusalTooShort: an order could outlast the lease.
+	// RefusalTooShort: an order could take longer than the lease remains valid.
 	RefusalTooShort Refusal = "lease_too_short"
-	// RefusalSettling: an order of the former holder could still arrive at
-	// an endpoint that doesn't check fencing numbers.
-	RefusalSettling Refusal = "former_holder_may_be_heard"
+	// RefusalFormerHolder: an order of the former holder could still arrive at
+	// an endpoint that does not check fencing numbers.
+	RefusalFormerHolder Refusal = "former_holder_may_be_heard"
 )
 
-// MayOrder reports whether an order may be sent now. An order ends, answered
-// or given up, before the lease does. The successor waits for an order
-// timeout and a margin longer before it gives an order to an endpoint that
-// does not check fencing numbers, as bytes of the last order of its
-// predecessor may still be on their way. What is left: a holder that is
-// paused between this check and the sending of the order, for longer than the
-// margin, can be heard late by such an endpoint.
+// MayOrder returns RefusalNone if an order may be sent now. An order ends, answered or
+// abandoned, before the lease does. A successor waits for another order timeout and
+// margin before it sends an order to an endpoint that does not check fencing numbers,
+// as bytes of the last order of its predecessor may still be in transit. One case is
+// not covered: if a holder pauses for longer than the margin between this check and
+// the sending of the order, such an endpoint may execute the order too late.
 func (l *Lease) MayOrder(now time.Time, endpointFences bool) Refusal {
 	if !l.Holds(now) {
 		return RefusalNotHeld
 	}
-	patience := l.terms.OrderTimeout + l.terms.Margin
-	if l.validUntil.Sub(now) < patience {
+	orderTime := l.terms.OrderTimeout + l.terms.Margin
+	if l.validUntil.Sub(now) < orderTime {
 		return RefusalTooShort
 	}
-	if l.inherited && !endpointFences && now.Sub(l.acquired) < patience {
-		return RefusalSettling
+	if l.hadPredecessor && !endpointFences && now.Sub(l.acquired) < orderTime {
+		return RefusalFormerHolder
 	}
 	return RefusalNone
 }
--- a/internal/core/lease/lease_test.go
+++ b/internal/core/lease/lease_test.go
@@ -14,8 +14,8 @@
 
 var start = time.Unix(1_800_000_000, 0)
 
-// taken returns a lease that this daemon has just acquired as version 1.
-func taken(t *testing.T, now time.Time) *Lease {
+// acquiredLease returns a lease that daemon "a" has just acquired as version 1.
+func acquiredLease(t *testing.T, now time.Time) *Lease {
 	t.Helper()
 	l := New(terms, "a", "1")
 	l.Observe(now, 0, nil)
@@ -27,18 +27,18 @@
 	return l
 }
 
-func TestTermsLeaveRoomForAnOrder(t *testing.T) {
+func TestTermsMustAllowAnOrder(t *testing.T) {
 	if err := terms.Validate(); err != nil {
 		t.Fatal(err)
 	}
 	short := Terms{Duration: 6 * time.Second, Margin: time.Second, OrderTimeout: 4 * time.Second}
 	if short.Validate() == nil {
-		t.Fatal("an order would never fit into the lease")
+		t.Fatal("terms without enough time for an order were accepted")
 	}
 }
 
 func TestRenewsAfterAThird(t *testing.T) {
-	l := taken(t, start)
+	l := acquiredLease(t, start)
 	if w := l.Next(start.Add(4*time.Second), true); w.Action != ActionNone {
 		t.Fatalf("got %+v", w)
 	}
@@ -48,17 +48,17 @@
 	}
 	l.Wrote(start.Add(5*time.Second), start.Add(6*time.Second), &w, 2)
 	if !l.Holds(start.Add(19*time.Second)) || l.Holds(start.Add(20*time.Second)) {
-		t.Fatal("the renewal counts from when it was sent")
+		t.Fatal("the renewed lease is not valid for its duration from when the renewal was sent")
 	}
 	if l.Fence() != 1 {
-		t.Fatalf("fence %d changed with a renewal", l.Fence())
+		t.Fatalf("the fence is %d after a renewal, want 1", l.Fence())
 	}
 }
 
-// An order must end before the lease does, or its successor's first order
-// could overtake it.
+// An order must end before the lease does. Otherwise the first order of the next
+// holder could overtake it.
 func TestNoOrderThatCouldOutlastTheLease(t *testing.T) {
-	l := taken(t, start)
+	l := acquiredLease(t, start)
 	if got := l.MayOrder(start.Add(9*time.Second), true); got != RefusalNone {
 		t.Fatalf("got %q", got)
 	}
@@ -70,47 +70,47 @@
 	}
 }
 
-// The holder was frozen for a minute. When it wakes up it believes it holds
-// the lease, but its own monotonic clock tells it otherwise.
-func TestFrozenHolderKnowsOnWaking(t *testing.T) {
-	l := taken(t, start)
+// A holder that was suspended for a minute still has the lease in its state. By its
+// monotonic clock the lease is no longer valid.
+func TestSuspendedHolderMayNotOrder(t *testing.T) {
+	l := acquiredLease(t, start)
 	if l.MayOrder(start.Add(time.Minute), true) != RefusalNotHeld {
-		t.Fatal("a frozen holder would order")
+		t.Fatal("a holder may order after it was suspended for longer than its lease")
 	}
 }
 
-// A renewal is answered after the lease ran out at its holder. Others may have
-// taken it for expired meanwhile: it revives nothing.
-func TestLateRenewalRevivesNothing(t *testing.T) {
-	l := taken(t, start)
+// A renewal whose reply arrives after the lease has run out at its holder does not
+// restore the lease, as other daemons may have found it expired.
+func TestLateRenewalDoesNotRestoreLease(t *testing.T) {
+	l := acquiredLease(t, start)
 	w := l.Next(start.Add(5*time.Second), true)
 	l.Wrote(start.Add(5*time.Second), start.Add(16*time.Second), &w, 2)
 	if l.Holds(start.Add(17 * time.Second)) {
-		t.Fatal("the lease was revived")
+		t.Fatal("a late renewal restored the lease")
 	}
 }
 
-// Others judge by their own clock: the same renewal, unchanged for the whole
-// duration and the margin.
+// A candidate acquires a lease only after it has been unchanged for its duration and
+// the margin by the candidate's own clock.
 func TestCandidateWaitsForUnchangedLease(t *testing.T) {
 	rec := Record{FormatVersion: 1, Holder: "b", Session: "1", Renewal: 1, DurationMillis: 15000}
 	l := New(terms, "a", "1")
 	if l.Next(start, true).Action != ActionNone {
-		t.Fatal("took a lease that it never read")
+		t.Fatal("acquired a lease that it has not read")
 	}
 	l.Observe(start, 1, &rec)
 	if l.Next(start.Add(15*time.Second), true).Action != ActionNone {
-		t.Fatal("took it without the margin")
+		t.Fatal("acquired the lease before the end of the margin")
 	}
 	renewed := rec
 	renewed.Renewal = 2
 	l.Observe(start.Add(15*time.Second), 2, &renewed)
 	l.Observe(start.Add(17*time.Second), 1, &rec)
 	if l.Next(start.Add(17*time.Second), true).Action != ActionNone {
-		t.Fatal("took it though it was renewed")
+		t.Fatal("acquired the lease although it was renewed")
 	}
 	if l.Next(start.Add(31*time.Second), false).Action != ActionNone {
-		t.Fatal("took it without wanting it")
+		t.Fatal("acquired the lease without needing it")
 	}
 	w := l.Next(start.Add(31*time.Second), true)
 	if w.Action != ActionAcquire || w.Expect != 2 {
@@ -118,8 +118,8 @@
 	}
 }
 
-// The last order of the former holder may still be on its way to an endpoint
-// that doesn't look at fencing numbers; the others refuse it themselves.
+// The last order of the former holder may still be in transit. Endpoints that check
+// fencing numbers refuse it themselves; for the others the new holder waits.
 func TestSuccessorWaitsForEndpointsThatDoNotFence(t *testing.T) {
 	rec := Record{FormatVersion: 1, Holder: "b", Session: "1", Renewal: 1, DurationMillis: 15000}
 	l := New(terms, "a", "1")
@@ -128,9 +128,9 @@
 	w := l.Next(now, true)
 	l.Wrote(now, now, &w, 2)
 	if got := l.MayOrder(now, true); got != RefusalNone {
-		t.Fatalf("fencing endpoint: %q", got)
+		t.Fatalf("endpoint that checks fencing numbers: got %q", got)
 	}
-	if got := l.MayOrder(now.Add(4*time.Second), false); got != RefusalSettling {
+	if got := l.MayOrder(now.Add(4*time.Second), false); got != RefusalFormerHolder {
 		t.Fatalf("got %q", got)
 	}
 	if got := l.MayOrder(now.Add(5*time.Second), false); got != RefusalNone {
@@ -138,7 +138,7 @@
 	}
 }
 
-func TestReleasedLeaseIsTakenAtOnce(t *testing.T) {
+func TestReleasedLeaseIsAcquiredAtOnce(t *testing.T) {
 	rec := Record{FormatVersion: 1, Holder: "b", Session: "1", Renewal: 9, DurationMillis: 15000, Released: true}
 	l := New(terms, "a", "1")
 	l.Observe(start, 7, &rec)
@@ -150,41 +150,42 @@
 	if got := l.MayOrder(start, true); got != RefusalNone {
 		t.Fatalf("got %q", got)
 	}
-	// The former holder may have given up an order just before.
-	if got := l.MayOrder(start, false); got != RefusalSettling {
+	// The former holder may have abandoned an order just before.
+	if got := l.MayOrder(start, false); got != RefusalFormerHolder {
 		t.Fatalf("got %q", got)
 	}
 }
 
-// The reply to a release is lost. Its successor may order at once, so this
-// daemon must not order any more, whether or not it hears of it.
-func TestReleaseEndsTheLeaseBeforeItIsAnswered(t *testing.T) {
-	l := taken(t, start)
+// The next holder may order as soon as a release has taken effect. The daemon that
+// sends a release must not order any more, even if the reply is lost.
+func TestReleaseEndsLeaseBeforeReply(t *testing.T) {
+	l := acquiredLease(t, start)
 	if w := l.Next(start, false); w.Action != ActionRelease {
 		t.Fatalf("got %+v", w)
 	}
 	if l.MayOrder(start, true) != RefusalNotHeld {
-		t.Fatal("orders go on after a release was sent")
+		t.Fatal("orders are allowed after a release was sent")
 	}
 }
 
-// This daemon's clock runs far too slowly, beyond what the margin covers. Once
-// it reads that another one has the lease it stops, whatever its clock says.
+// A daemon whose clock runs too slowly for the margin stops when it reads that another
+// daemon holds the lease, also if its own lease is still valid by its clock.
 func TestStopsWhenAnotherHolderIsSeen(t *testing.T) {
-	l := taken(t, start)
+	l := acquiredLease(t, start)
 	l.Observe(start.Add(time.Second), 2, &Record{FormatVersion: 1, Holder: "b", Session: "1", Renewal: 1, DurationMillis: 15000})
 	if l.MayOrder(start.Add(time.Second), true) != RefusalNotHeld {
-		t.Fatal("orders go on beside another holder")
+		t.Fatal("orders are allowed although another daemon holds the lease")
 	}
 }
 
-// A daemon restarts under its own name. It is not the holder that died.
-func TestRestartedDaemonIsAnotherHolder(t *testing.T) {
+// A daemon that restarts under the same name is a different holder than its previous
+// process.
+func TestRestartedDaemonIsDifferentHolder(t *testing.T) {
 	rec := Record{FormatVersion: 1, Holder: "a", Session: "0", Renewal: 1, DurationMillis: 15000}
 	l := New(terms, "a", "1")
 	l.Observe(start, 1, &rec)
 	if l.Next(start, true).Action != ActionNone {
-		t.Fatal("took over from its former self at once")
+		t.Fatal("acquired the unexpired lease of its previous process")
 	}
 }
 
@@ -199,40 +200,39 @@
 	}
 }
 
-// FuzzDecode: bytes from the platform never panic.
+// FuzzDecode checks that no bytes from the platform cause a panic.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte(`{"format_version":1,"holder":"a","session":"1","renewal":3,"duration_ms":15000,"fence":7}`))
 	f.Add([]byte(`{"released":true}`))
 	f.Fuzz(func(_ *testing.T, raw []byte) { _, _ = Decode(raw) })
 }
 
-// cell is the stored lease, with the time of each of its versions.
-type cell struct {
+// storedLease is the stored lease and its version.
+type storedLease struct {
 	version uint64
 	rec     *Record
 }
 
-// order is one order under way or late on the network.
+// order is an order that is in progress, or abandoned and still in transit.
 type order struct {
 	fence  uint64
 	holder int
 	sent   time.Time
 }
 
-// world drives several daemons, each with a clock of its own rate, over one
-// stored lease and two endpoints: one that checks fencing numbers and one
-// that ignores them.
-type world struct {
+// simulation runs several daemons, each with a clock of its own rate, with one stored
+// lease and two endpoints: one that checks fencing numbers and one that ignores them.
+type simulation struct {
 	t       *rapid.T
 	now     time.Time
-	cell    cell
+	stored  storedLease
 	daemons []*daemon
 
-	// heard are the fences in the order in which the ignoring endpoint
-	// obeyed them.
-	heard   []uint64
-	pending []order
-	late    []lateWrite
+	// executed are the fences of the orders in the sequence in which the endpoint
+	// that ignores fencing numbers executed them.
+	executed   []uint64
+	pending    []order
+	lateWrites []lateWrite
 }
 
 type daemon struct {
@@ -251,14 +251,14 @@
 	return d.origin.Add(time.Duration(float64(now.Sub(start)) * d.rate))
 }
 
-// Daemons acquire, renew, freeze and wake up, lose replies, have late writes
-// and clocks that run up to 2 % apart. At most one of them may order at a
-// time, and the endpoint that ignores fencing numbers never hears an older
-// one after a newer one, as long as no pause between the check and the
-// sending outlasts the margin.
+// Daemons acquire and renew the lease, are suspended and resumed, lose replies, have
+// delayed writes, and clocks whose rates differ by up to 2 %. At most one daemon may
+// order at a time, and the endpoint that ignores fencing numbers never executes an
+// order with an older fence after one with a newer fence, provided that no pause
+// between the check and the sending is longer than the margin.
 func TestLeaseAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		w := &world{t: rt, now: start}
+		w := &simulation{t: rt, now: start}
 		for i := range 3 {
 			w.daemons = append(w.daemons, &daemon{
 				lease:  New(terms, string(rune('a'+i)), "1"),
@@ -273,11 +273,11 @@
 	})
 }
 
-func (w *world) step() {
+func (w *simulation) step() {
 	d := rapid.IntRange(0, len(w.daemons)-1).Draw(w.t, "daemon")
 	switch rapid.SampledFrom([]string{"pass", "pass", "read", "write", "write", "write", "lose", "late", "order", "order", "freeze", "wake", "deliver"}).Draw(w.t, "action") {
 	case "pass":
-		w.pass(time.Duration(rapid.IntRange(100, 6000).Draw(w.t, "ms")) * time.Millisecond)
+		w.advance(time.Duration(rapid.IntRange(100, 6000).Draw(w.t, "ms")) * time.Millisecond)
 	case "read":
 		w.read(d)
 	case "write":
@@ -285,7 +285,7 @@
 	case "lose":
 		w.write(d, true)
 	case "late":
-		w.deliverLate()
+		w.applyLateWrites()
 	case "order":
 		w.order(d)
 	case "freeze":
@@ -297,89 +297,89 @@
 	}
 }
 
-// lateness is how long after it was sent an order may still be heard: its
-// sender gave it up after the timeout, and its bytes lay in the network for
-// another timeout.
-const lateness = 8 * time.Second
+// maxOrderDelay is how long after its sending an order may be executed: its sender
+// abandons it after the timeout, and its bytes may be in transit for another timeout.
+const maxOrderDelay = 8 * time.Second
 
-// pass lets time go by; each order is heard before its lateness is over.
-func (w *world) pass(step time.Duration) {
+// advance advances the time. Each order is executed at most maxOrderDelay after it was
+// sent.
+func (w *simulation) advance(step time.Duration) {
 	end := w.now.Add(step)
 	for i := 0; i < len(w.pending); i++ {
-		last := w.pending[i].sent.Add(lateness)
+		last := w.pending[i].sent.Add(maxOrderDelay)
 		if last.Before(end) {
-			w.hear(i)
+			w.execute(i)
 			i--
 		}
 	}
 	w.now = end
 }
 
-func (w *world) read(i int) {
+func (w *simulation) read(i int) {
 	if d := w.daemons[i]; !d.frozen {
-		d.lease.Observe(d.clock(w.now), w.cell.version, w.cell.rec)
+		d.lease.Observe(d.clock(w.now), w.stored.version, w.stored.rec)
 	}
 }
 
-// write tries what the lease asks for. A lost reply is followed by a read, or
-// the write arrives later or never.
-func (w *world) write(i int, lose bool) {
+// write attempts the next write of the lease. If lose is set, the write takes effect
+// now or possibly later, its reply is lost, and a read follows that may fail too.
+func (w *simulation) write(i int, lose bool) {
 	d := w.daemons[i]
 	if d.frozen {
 		return
 	}
 	sent := d.clock(w.now)
-	want := w.busy(i) || rapid.IntRange(0, 9).Draw(w.t, "want") > 0
-	next := d.lease.Next(sent, want)
+	needed := w.orderPending(i) || rapid.IntRange(0, 9).Draw(w.t, "want") > 0
+	next := d.lease.Next(sent, needed)
 	if next.Action == ActionNone {
 		return
 	}
 	if lose && rapid.Bool().Draw(w.t, "late") {
-		w.late = append(w.late, lateWrite{next.Expect, next.Record})
-		w.settleLost(d, sent, &next)
+		w.lateWrites = append(w.lateWrites, lateWrite{next.Expect, next.Record})
+		w.handleLostReply(d, sent, &next)
 		return
 	}
-	took := w.put(next.Expect, next.Record)
+	applied := w.compareAndSet(next.Expect, next.Record)
 	w.now = w.now.Add(time.Duration(rapid.IntRange(0, 900).Draw(w.t, "reply ms")) * time.Millisecond)
 	switch {
 	case lose:
-		w.settleLost(d, sent, &next)
-	case took:
-		d.lease.Wrote(sent, d.clock(w.now), &next, w.cell.version)
+		w.handleLostReply(d, sent, &next)
+	case applied:
+		d.lease.Wrote(sent, d.clock(w.now), &next, w.stored.version)
 	default:
-		d.lease.Observe(d.clock(w.now), w.cell.version, w.cell.rec)
+		d.lease.Observe(d.clock(w.now), w.stored.version, w.stored.rec)
 	}
 }
 
-func (w *world) settleLost(d *daemon, sent time.Time, next *Write) {
+func (w *simulation) handleLostReply(d *daemon, sent time.Time, next *Write) {
 	if rapid.Bool().Draw(w.t, "read fails too") {
 		return
 	}
 	now := d.clock(w.now)
-	if w.cell.rec != nil && d.lease.Recognise(next, w.cell.rec) {
-		d.lease.Wrote(sent, now, next, w.cell.version)
+	if w.stored.rec != nil && d.lease.Recognise(next, w.stored.rec) {
+		d.lease.Wrote(sent, now, next, w.stored.version)
 		return
 	}
-	d.lease.Observe(now, w.cell.version, w.cell.rec)
+	d.lease.Observe(now, w.stored.version, w.stored.rec)
 }
 
-func (w *world) put(expect uint64, rec Record) bool {
-	if w.cell.version != expect {
+func (w *simulation) compareAndSet(expect uint64, rec Record) bool {
+	if w.stored.version != expect {
 		return false
 	}
-	w.cell = cell{w.cell.version + 1, &rec}
+	w.stored = storedLease{w.stored.version + 1, &rec}
 	return true
 }
 
-func (w *world) deliverLate() {
-	for _, l := range w.late {
-		w.put(l.expect, l.rec)
+func (w *simulation) applyLateWrites() {
+	for _, l := range w.lateWrites {
+		w.compareAndSet(l.expect, l.rec)
 	}
-	w.late = nil
+	w.lateWrites = nil
 }
 
-// busy: the holder still waits for the answer to an order.
-func (w *world) busy(holder int) bool {
+// orderPending reports whether the holder is waiting for the answer to an order.
+func (w *simulation) orderPending(holder int) bool {
 	for _, o := range w.pending {
 		if o.holder == holder && w.now.Sub(o.sent) < terms.OrderTimeout {
 			return true
@@ -388,39 +388,39 @@
 	return false
 }
 
-func (w *world) order(i int) {
+func (w *simulation) order(i int) {
 	d := w.daemons[i]
-	if d.frozen || w.busy(i) || d.lease.MayOrder(d.clock(w.now), false) != RefusalNone {
+	if d.frozen || w.orderPending(i) || d.lease.MayOrder(d.clock(w.now), false) != RefusalNone {
 		return
 	}
 	w.pending = append(w.pending, order{d.lease.Fence(), i, w.now})
 }
 
-func (w *world) deliver() {
+func (w *simulation) deliver() {
 	if len(w.pending) > 0 {
-		w.hear(rapid.IntRange(0, len(w.pending)-1).Draw(w.t, "order"))
+		w.execute(rapid.IntRange(0, len(w.pending)-1).Draw(w.t, "order"))
 	}
 }
 
-func (w *world) hear(i int) {
+func (w *simulation) execute(i int) {
 	o := w.pending[i]
 	w.pending = append(w.pending[:i:i], w.pending[i+1:]...)
-	w.heard = append(w.heard, o.fence)
+	w.executed = append(w.executed, o.fence)
 }
 
-func (w *world) check() {
-	acting := 0
+func (w *simulation) check() {
+	permitted := 0
 	for _, d := range w.daemons {
 		if !d.frozen && d.lease.MayOrder(d.clock(w.now), true) == RefusalNone {
-			acting++
+			permitted++
 		}
 	}
-	if acting > 1 {
-		w.t.Fatalf("%d daemons may order at the same time", acting)
+	if permitted > 1 {
+		w.t.Fatalf("%d daemons may order at the same time", permitted)
 	}
-	for i := 1; i < len(w.heard); i++ {
-		if w.heard[i] < w.heard[i-1] {
-			w.t.Fatalf("fence %d was obeyed after %d", w.heard[i], w.heard[i-1])
+	for i := 1; i < len(w.executed); i++ {
+		if w.executed[i] < w.executed[i-1] {
+			w.t.Fatalf("an order with fence %d was executed after one with fence %d", w.executed[i], w.executed[i-1])
 		}
 	}
 }
--- a/internal/core/lease/record.go
+++ b/internal/core/lease/record.go
@@ -1,7 +1,7 @@
-// Package lease decides who may give orders to a shard of endpoints. A lease
-// is one platform object, taken and renewed by compare-and-set. Nothing here
-// reads a clock: every time is passed in and must be monotonic, and times of
-// two processes are never compared.
+// Package lease decides which daemon may send orders to a shard of endpoints. A lease
+// is one platform object, which is acquired and renewed by compare-and-set. The
+// package reads no clock: all times are passed in and must be monotonic, and times of
+// different processes are never compared.
 package lease
 
 import (
@@ -11,30 +11,30 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// FormatVersion is the newest stored form that this release reads.
+// FormatVersion is the newest format of a stored lease that this release reads.
 const FormatVersion = 1
 
-// Errors of stored leases.
+// Errors of decoding a stored lease.
 var (
 	ErrCorrupt     = merry.Sentinel("lease: the stored lease can't be read")
 	ErrNewerFormat = merry.Sentinel("lease: the stored lease has a newer format; update this daemon")
 )
 
-// Record is a lease as stored.
+// Record is the stored form of a lease.
 type Record struct {
 	FormatVersion int    `json:"format_version"`
 	Holder        string `json:"holder"`
-	// Session is new with each start of the holder, so that a restarted
-	// daemon never takes itself for the one that died.
+	// Session is different after each start of the holder, so that a restarted
+	// daemon does not mistake the lease of its previous process for its own.
 	Session string `json:"session"`
-	// Renewal is new with each write that a session tries.
+	// Renewal is a number that is different for each write of a session.
 	Renewal uint64 `json:"renewal"`
-	// DurationMillis counts from the moment the holder sent the write.
+	// DurationMillis counts from the time when the holder sent the write.
 	DurationMillis int64 `json:"duration_ms"`
-	// Released: the holder gave it up with no order under way.
+	// Released: the holder released the lease while it had no order in progress.
 	Released bool `json:"released,omitempty"`
-	// Fence is the fencing number, for operators; zero in the first write
-	// of a holder, whose own version is the number.
+	// Fence is the fencing number, for information of operators. It is zero in
+	// the first write of a holder, as the number is the version of that write.
 	Fence uint64 `json:"fence,omitempty"`
 }
 
@@ -42,7 +42,7 @@
 	return time.Duration(r.DurationMillis) * time.Millisecond
 }
 
-// Decode reads a stored lease.
+// Decode decodes a stored lease.
 func Decode(value json.RawMessage) (*Record, error) {
 	var r Record
 	if err := json.Unmarshal(value, &r); err != nil {
@@ -52,12 +52,12 @@
 		return nil, ErrNewerFormat
 	}
 	if r.DurationMillis < 0 || r.DurationMillis > maxDuration.Milliseconds() {
-		return nil, merry.Prepend(ErrCorrupt, "duration out of range")
+		return nil, merry.Prepend(ErrCorrupt, "duration_ms is negative or longer than an hour")
 	}
 	return &r, nil
 }
 
-// Encode returns the stored form.
+// Encode returns the lease in its stored format.
 func (r *Record) Encode() (json.RawMessage, error) {
 	value, err := json.Marshal(r)
 	return value, merry.Prepend(err, "lease")
