--- a/internal/core/route/index.go
+++ b/internal/core/route/index.go
@@ -2,33 +2,33 @@
 
 import "strings"
 
-// Index answers for requests from one table. It doesn't change and is safe
-// for concurrent use.
+// Index looks up routes, pools and organisations in one table. It is immutable and
+// safe for concurrent use.
 type Index struct {
-	table  *Table
-	byHost map[string]*hostRoutes
-	pools  map[string]*Pool
-	keys   map[string]*Organisation
+	table     *Table
+	byHost    map[string]*hostRoutes
+	pools     map[string]*Pool
+	byKeyHash map[string]*Organisation
 }
 
-// hostRoutes are the routes of one host.
+// hostRoutes holds the routes of one host.
 type hostRoutes struct {
 	byPrefix map[string]*Route
-	// longest is the length of the longest prefix, in bytes.
-	longest int
+	// maxPrefixBytes is the length of the longest prefix, in bytes.
+	maxPrefixBytes int
 }
 
-// NewIndex indexes a table, which must not change afterwards.
+// NewIndex returns an index of a table, which must not be changed afterwards.
 func NewIndex(t *Table) *Index {
 	x := &Index{
-		table:  t,
-		byHost: make(map[string]*hostRoutes),
-		pools:  make(map[string]*Pool),
-		keys:   make(map[string]*Organisation),
+		table:     t,
+		byHost:    make(map[string]*hostRoutes),
+		pools:     make(map[string]*Pool),
+		byKeyHash: make(map[string]*Organisation),
 	}
 	for i := range t.Routes {
 		r := &t.Routes[i]
-		x.add(normalHost(r.Host), r)
+		x.addRoute(normalizeHost(r.Host), r)
 	}
 	for i := range t.Pools {
 		x.pools[t.Pools[i].Name] = &t.Pools[i]
@@ -36,53 +36,54 @@
 	for i := range t.Organisations {
 		o := &t.Organisations[i]
 		for _, key := range o.KeySHA256 {
-			x.keys[strings.ToLower(key)] = o
+			x.byKeyHash[strings.ToLower(key)] = o
 		}
 	}
 	return x
 }
 
-// add leaves the first route of a prefix in place.
-func (x *Index) add(host string, r *Route) {
+// addRoute adds a route unless the host already has one with the same prefix.
+func (x *Index) addRoute(host string, r *Route) {
 	routes := x.byHost[host]
 	if routes == nil {
 		routes = &hostRoutes{byPrefix: make(map[string]*Route)}
 		x.byHost[host] = routes
 	}
-	if _, taken := routes.byPrefix[r.PathPrefix]; !taken {
+	if _, exists := routes.byPrefix[r.PathPrefix]; !exists {
 		routes.byPrefix[r.PathPrefix] = r
-		routes.longest = max(routes.longest, len(r.PathPrefix))
+		routes.maxPrefixBytes = max(routes.maxPrefixBytes, len(r.PathPrefix))
 	}
 }
 
-// Version is the table's version.
+// Version returns the version of the table.
 func (x *Index) Version() uint64 { return x.table.Version }
 
-// Limits are the table's limits on callers.
+// Limits returns the table's limits on requests of callers.
 func (x *Index) Limits() Limits { return x.table.Limits }
 
-// Pools lists the table's pools.
+// Pools returns the pools of the table.
 func (x *Index) Pools() []Pool { return x.table.Pools }
 
-// Organisations lists the table's organisations.
+// Organisations returns the organisations of the table.
 func (x *Index) Organisations() []Organisation { return x.table.Organisations }
 
-// Pool returns what is said of a pool.
+// Pool returns the pool with the given name.
 func (x *Index) Pool(name string) (*Pool, bool) {
 	p, ok := x.pools[name]
 	return p, ok
 }
 
-// Match returns the route with the longest prefix that begins the path. Prefixes
-// end with a slash, so only what comes before each slash of the path is looked
-// up: the cost is that of the path, however many routes there are.
+// Match returns the route of the host with the longest prefix of the path. Prefixes
+// end with a slash, so that only the parts of the path up to each of its slashes are
+// looked up. The cost depends on the path and not on the number of routes.
 func (x *Index) Match(host, path string) (*Route, bool) {
-	routes := x.byHost[normalHost(host)]
+	routes := x.byHost[normalizeHost(host)]
 	if routes == nil {
 		return nil, false
 	}
-	// A path of thousands of slashes costs no more than the longest prefix.
-	path = path[:min(len(path), routes.longest)]
+	// Limits the cost for a path with thousands of slashes to that of the longest
+	// prefix.
+	path = path[:min(len(path), routes.maxPrefixBytes)]
 	for end := strings.LastIndexByte(path, '/'); end >= 0; end = strings.LastIndexByte(path[:end], '/') {
 		if r, found := routes.byPrefix[path[:end+1]]; found {
 			return r, true
@@ -91,25 +92,29 @@
 	return nil, false
 }
 
-// AsksForKeys reports whether requests carry keys at all.
+// AsksForKeys reports whether requests need a key, which is so if the table lists
+// organisations.
 func (x *Index) AsksForKeys() bool { return len(x.table.Organisations) > 0 }
 
-// Organisation finds the holder of a key by its SHA-256 in hex.
+// Organisation returns the organisation of a key, given the SHA-256 of the key in
+// hex.
 func (x *Index) Organisation(keySHA256 string) (*Organisation, bool) {
-	o, ok := x.keys[strings.ToLower(keySHA256)]
+	o, ok := x.byKeyHash[strings.ToLower(keySHA256)]
 	return o, ok
 }
 
-// normalHost drops the port and the case, which don't tell hosts apart.
-func normalHost(host string) string {
+// normalizeHost removes the port and converts the host to lower case, as neither
+// distinguishes hosts.
+func normalizeHost(host string) string {
 	if at := strings.LastIndexByte(host, ':'); at >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:at]
 	}
 	return strings.ToLower(host)
 }
 
-// Target draws the pool for a request: draw is a number from 0 up to 1, which
-// it never reaches. Weights of zero or less draw nothing, unless all are.
+// Target selects the pool for a request by weight. draw is a random number in the
+// half-open interval [0, 1). Targets with a weight of zero or less are not selected,
+// unless all weights are; then all targets are equally likely.
 func (r *Route) Target(draw float64) string {
 	total := 0
 	for _, t := range r.Targets {
--- a/internal/core/route/table.go
+++ b/internal/core/route/table.go
@@ -1,6 +1,7 @@
-// Package route holds the operators' routes: which requests go to which pool,
-// under which limits, for whom. A table is one version of all of it; an index
-// answers from it for each request. It knows no sockets and no clock.
+// Package route contains the routes configured by operators: which requests of which
+// organisations go to which pools, and under which limits. A table is one version of
+// this configuration, and an index is used to look up each request in it. The package
+// uses no sockets and no clock.
 package route
 
 import (
@@ -10,28 +11,30 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// RecordKind is the kind of record that holds a table.
+// RecordKind is the kind of the records that contain a table.
 const RecordKind = "route-tables"
 
-// SchemaVersion is the schema of tables that this build writes and reads.
+// SchemaVersion is the schema version of the tables that this build writes, and the
+// newest that it reads.
 const SchemaVersion = 1
 
-// ErrUnreadable is a table that this build can't read.
+// ErrUnreadable is returned for a table that is invalid or has a newer schema than
+// this build supports.
 var ErrUnreadable = merry.Sentinel("route: table can't be read")
 
-// Repeatable tells what may be done with a request whose outcome is in doubt.
-type Repeatable string
+// RepeatClass determines whether a request with an unknown outcome may be repeated.
+type RepeatClass string
 
-// The classes of requests.
+// The classes of requests by repetition.
 const (
-	// RepeatSafe: a second run does no harm.
-	RepeatSafe Repeatable = "safe"
-	// RepeatNever: it runs at most once.
-	RepeatNever Repeatable = "never"
+	// RepeatSafe: a second run of the request is harmless.
+	RepeatSafe RepeatClass = "safe"
+	// RepeatNever: the request runs at most once.
+	RepeatNever RepeatClass = "never"
 )
 
-// Table is one version of the routes. Version is the operators' own number:
-// the only order between two tables.
+// Table is one version of the route configuration. Version is assigned by the
+// operators and is the only criterion by which tables are ordered.
 type Table struct {
 	Schema        int            `json:"schema_version"`
 	Version       uint64         `json:"version"`
@@ -41,78 +44,81 @@
 	Organisations []Organisation `json:"organisations,omitempty"`
 }
 
-// Route sends the requests of one host and path prefix to pools.
+// Route routes the requests with one host and path prefix to pools.
 type Route struct {
 	Name string `json:"name"`
 	Host string `json:"host"`
 	// PathPrefix begins and ends with a slash.
 	PathPrefix string `json:"prefix"`
 	// Targets has at least one entry.
-	Targets []Target   `json:"targets"`
-	Repeat  Repeatable `json:"repeat"`
-	// Streams: the answer is a series of events that are passed on one by one.
+	Targets []Target    `json:"targets"`
+	Repeat  RepeatClass `json:"repeat"`
+	// Streams: the response is a stream of events, which are forwarded one by one.
 	Streams bool `json:"streams,omitempty"`
-	// MaxAttempts is the number of endpoints that one request may be sent to.
+	// MaxAttempts is the maximum number of endpoints that one request is sent to.
 	MaxAttempts int `json:"max_attempts"`
-	// Timeout is the longest that a caller is kept waiting.
+	// Timeout is the maximum time that a caller is kept waiting.
 	Timeout time.Duration `json:"timeout"`
-	// Objective is the time within which an answer, or its first event, is
-	// on time; zero where the operators name none.
+	// Objective is the target time for a response, or for its first event; zero
+	// if there is none.
 	Objective time.Duration `json:"objective,omitempty"`
-	// GapObjective is the longest pause between two events that is on time.
+	// GapObjective is the target for the longest pause between two events.
 	GapObjective time.Duration `json:"gap_objective,omitempty"`
-	// Rank orders routes by urgency; zero goes first.
+	// Rank is the priority of the route; zero is the highest.
 	Rank int `json:"rank"`
-	// Open: no key is asked for.
+	// Open: requests need no key.
 	Open bool `json:"open,omitempty"`
-	// Resumable: a caller may come back for the rest of a stream, at a new
-	// run that continues it.
+	// Resumable: a caller may request the rest of an interrupted stream, which a
+	// new run continues.
 	Resumable bool `json:"resumable,omitempty"`
 }
 
-// Target is one pool with its part of a route's requests.
+// Target is a pool and its weight, which sets its share of a route's requests.
 type Target struct {
 	Pool   string `json:"pool"`
 	Weight int    `json:"weight"`
 }
 
-// Pool is what the operators say of a group of endpoints.
+// Pool is the configuration of a group of endpoints.
 type Pool struct {
 	Name string `json:"name"`
-	// HealthPath is where an endpoint answers for its health.
+	// HealthPath is the path of the health check of an endpoint.
 	HealthPath string `json:"health_path,omitempty"`
-	// MaxConnections is what one endpoint takes of all callers together; zero
-	// is no bound.
+	// MaxConnections is the maximum number of connections to one endpoint, for all
+	// callers together; zero means no limit.
 	MaxConnections int `json:"max_connections,omitempty"`
-	// ColdRate is the requests a second that an endpoint takes from all callers
-	// together while it is cold; zero where the operators name none.
+	// ColdRate is the maximum number of requests per second to an endpoint while it
+	// is cold, for all callers together; zero if none is configured.
 	ColdRate float64 `json:"cold_rate,omitempty"`
-	// Engine describes the pool's model engines; nil for plain services.
+	// Engine describes the model engines of the pool; nil for a pool of plain
+	// services.
 	Engine *Engine `json:"engine,omitempty"`
 }
 
-// Engine is what the model engines of one pool have in common.
+// Engine holds the common properties of the model engines of a pool.
 type Engine struct {
-	// Batch is the number of requests that run at once.
+	// Batch is the number of requests that an engine runs concurrently.
 	Batch int `json:"batch"`
-	// CacheTokens is the room for tokens of running and cached requests.
+	// CacheTokens is the capacity for tokens of running and cached requests.
 	CacheTokens int `json:"cache_tokens"`
-	// TokenBytes is the size of one cached token.
+	// TokenBytes is the size of one cached token in bytes.
 	TokenBytes int `json:"token_bytes,omitempty"`
-	// LinkMegabits is the speed, per second, at which tokens are copied.
+	// LinkMegabits is the rate at which tokens are copied, in megabits per second.
 	LinkMegabits float64 `json:"link_megabits,omitempty"`
 	// EventTokens is the number of tokens in one event of a stream.
 	EventTokens int `json:"event_tokens,omitempty"`
-	// CopiesOnRequest: a running request's tokens can be copied to another
-	// engine. CopiesAlong: they can be sent there as they grow.
+	// CopiesOnRequest: the tokens of a running request can be copied to another
+	// engine. CopiesAlong: they can be sent there continuously while they are
+	// generated.
 	CopiesOnRequest bool `json:"copies_on_request,omitempty"`
 	CopiesAlong     bool `json:"copies_along,omitempty"`
-	// CopyTTL is how long a copy that nobody uses is kept.
+	// CopyTTL is how long an unused copy is kept.
 	CopyTTL time.Duration `json:"copy_ttl,omitempty"`
 	Models  []string      `json:"models,omitempty"`
 }
 
-// Limits bound what a caller may send, and how slowly.
+// Limits bound the size of requests, and the time that callers may take to send
+// them.
 type Limits struct {
 	MaxHeaderBytes int           `json:"max_header_bytes,omitempty"`
 	MaxBodyBytes   int64         `json:"max_body_bytes,omitempty"`
@@ -120,26 +126,27 @@
 	IdleTimeout    time.Duration `json:"idle_timeout,omitempty"`
 }
 
-// Organisation is one organisation's callers.
+// Organisation is the configuration of one organisation, whose callers are identified
+// by its keys.
 type Organisation struct {
 	Name string `json:"name"`
-	// Rank, where set, goes before the route's.
+	// Rank, if set, overrides the rank of the route.
 	Rank *int `json:"rank,omitempty"`
-	// KeySHA256 are the hashes of its keys, in hex.
+	// KeySHA256 contains the SHA-256 hashes of its keys, in hex.
 	KeySHA256 []string `json:"key_sha256,omitempty"`
 }
 
-// Encode returns the body of the record that holds the table.
+// Encode returns the table as the body of a record.
 func (t *Table) Encode() json.RawMessage {
 	raw, err := json.Marshal(t)
 	if err != nil {
-		// Only plain fields are in a table.
+		// All fields of a table can be marshalled.
 		panic(err)
 	}
 	return raw
 }
 
-// Decode reads the body of a record.
+// Decode decodes a table from the body of a record.
 func Decode(body json.RawMessage) (*Table, error) {
 	var t Table
 	if err := json.Unmarshal(body, &t); err != nil {
