--- a/internal/core/claim/barred.go
+++ b/internal/core/claim/barred.go
@@ -3,7 +3,7 @@
 import "github.com/cespare/xxhash/v2"
 
 // barredAttempts maps the hash of the id of each attempt that must no longer be
-// granted to the time when it was barredAttempts, in Unix milliseconds. A hash collision
+// granted to the time when it was barred, in Unix milliseconds. A hash collision
 // refuses an unrelated attempt as not_run, which is harmless.
 type barredAttempts map[uint64]int64
 
--- a/internal/core/lease/lease.go
+++ b/internal/core/lease/lease.go
@@ -157,8 +157,8 @@
 	}
 }
 
-// newWrite returns a newWrite with a new renewal number, whether or not the previous one
-// was attempted. If a number were reused, a newWrite with a lost reply that took effect
+// newWrite returns a write with a new renewal number, whether or not the previous one
+// was attempted. If a number were reused, a write with a lost reply that took effect
 // earlier could be mistaken for a recent one, and this daemon would consider the lease
 // valid for longer than other daemons do.
 func (l *Lease) newWrite(a Action) Write {
--- a/internal/core/placement/placement.go
+++ b/internal/core/placement/placement.go
@@ -20,7 +20,7 @@
 	Known bool
 }
 
-// readyVersion returns the version of a model that is readyVersion on the runner, without
+// readyVersion returns the version of a model that is ready on the runner, without
 // a version number if the state of the runner is not known.
 func (r *Runner) readyVersion(model string) (port.ModelVersion, bool) {
 	if !r.Known {
--- a/internal/core/placement/plan.go
+++ b/internal/core/placement/plan.go
@@ -54,7 +54,7 @@
 	p.plan.Steps = append(p.plan.Steps, s)
 }
 
-// planDeployment plans the steps of the runners chosen for a planDeployment and returns
+// planDeployment plans the steps of the runners chosen for a deployment and returns
 // the unload steps of the others.
 func (p *planner) planDeployment(d *record.Deployment) []Step {
 	ranked := p.rank(d)
--- a/internal/core/stream/machine.go
+++ b/internal/core/stream/machine.go
@@ -451,7 +451,7 @@
 	return m.callerGone()
 }
 
-// retryOrGiveUp counts a retryOrGiveUp step. It retries with next, or gives up once the
+// retryOrGiveUp counts a failed step. It retries with next, or gives up once the
 // count has reached the limit.
 func (m *Machine) retryOrGiveUp(reason string, next func() Command) Command {
 	m.failures++
--- a/internal/core/watchduty/duty.go
+++ b/internal/core/watchduty/duty.go
@@ -74,7 +74,7 @@
 // Duty tracks the role of one daemon. It is safe for concurrent use.
 type Duty struct {
 	// overdueAfter is the age of the last known call to the store from which on
-	// messages are overdueAfter, without the delays that depend on the number of daemons.
+	// messages are overdue, without the delays that depend on the number of daemons.
 	overdueAfter time.Duration
 	started      time.Time
 
@@ -82,7 +82,7 @@
 	// ownStatus results from this daemon's calls, peerStatus from messages of
 	// peers.
 	ownStatus, peerStatus News
-	// readsSince is readsSince when the daemon has continuously had a role that reads
+	// readsSince is since when the daemon has continuously had a role that reads
 	// the store; zero while it has none.
 	readsSince time.Time
 	blind      bool
--- a/internal/core/watchduty/duty_test.go
+++ b/internal/core/watchduty/duty_test.go
@@ -20,7 +20,7 @@
 	return start.Add(time.Duration(seconds * float64(time.Second)))
 }
 
-// answeredCall returns the status after the store answeredCall a call of a daemon.
+// answeredCall returns the status after the store answered a call of a daemon.
 func answeredCall(seconds float64, by uint64) News {
 	return News{Answered: after(seconds), Tried: after(seconds), By: by}
 }
--- a/internal/core/watchduty/fleet_test.go
+++ b/internal/core/watchduty/fleet_test.go
@@ -14,7 +14,7 @@
 	now        time.Time
 	daemons    []*daemon
 	partitions []*partition
-	// storeAnswers reports whether the store storeAnswers calls of a daemon.
+	// storeAnswers reports whether the store answers calls of a daemon.
 	storeAnswers func(i int) bool
 	calls        int
 	random       *rand.Rand
@@ -35,7 +35,7 @@
 	lastSent   map[int]News
 	listed     bool
 	// callEnds is when the pending call returns, zero for none; nextCall is when
-	// the nextCall one starts.
+	// the next one starts.
 	callEnds, nextCall time.Time
 	retry              time.Duration
 }
@@ -201,7 +201,7 @@
 	return f.calls - before
 }
 
-// maxStatusAge returns the age of the last known call at the daemon with the maxStatusAge
+// maxStatusAge returns the age of the last known call at the daemon with the oldest
 // status.
 func (f *fleet) maxStatusAge() time.Duration {
 	var oldest time.Duration
