--- a/internal/core/membership/departures.go
+++ b/internal/core/membership/departures.go
@@ -7,61 +7,62 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// Departures holds the endpoints that a daemon itself saw leaving. It is
-// sticky for the incarnation: the list of endpoints lags and would bring them
-// back. It is safe for concurrent use.
+// Departures records the endpoints whose departure this daemon observed itself,
+// by incarnation. Such an endpoint stays departed for its incarnation, because
+// the list of endpoints may be out of date and still contain it. It is safe for
+// concurrent use.
 type Departures struct {
-	mu sync.Mutex
-	m  map[string]uint64
-	n  atomic.Int64
+	mu           sync.Mutex
+	incarnations map[string]uint64
+	size         atomic.Int64
 }
 
-// Add reports whether the departure is new.
+// Add records a departure and reports whether it is new.
 func (d *Departures) Add(e port.Endpoint) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if at, known := d.m[e.ID]; known && at >= e.Incarnation {
+	if recorded, known := d.incarnations[e.ID]; known && recorded >= e.Incarnation {
 		return false
 	}
-	if d.m == nil {
-		d.m = make(map[string]uint64)
+	if d.incarnations == nil {
+		d.incarnations = make(map[string]uint64)
 	}
-	d.m[e.ID] = e.Incarnation
-	d.n.Store(int64(len(d.m)))
+	d.incarnations[e.ID] = e.Incarnation
+	d.size.Store(int64(len(d.incarnations)))
 	return true
 }
 
-// Keep forgets the endpoints that are not among those known.
+// Keep removes the endpoints that are not in the given set.
 func (d *Departures) Keep(known map[string]bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for id := range d.m {
+	for id := range d.incarnations {
 		if !known[id] {
-			delete(d.m, id)
+			delete(d.incarnations, id)
 		}
 	}
-	d.n.Store(int64(len(d.m)))
+	d.size.Store(int64(len(d.incarnations)))
 }
 
-// Len counts the endpoints that are remembered.
-func (d *Departures) Len() int { return int(d.n.Load()) }
+// Len returns the number of recorded endpoints.
+func (d *Departures) Len() int { return int(d.size.Load()) }
 
-// Forget drops an endpoint.
+// Forget removes an endpoint.
 func (d *Departures) Forget(id string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	delete(d.m, id)
-	d.n.Store(int64(len(d.m)))
+	delete(d.incarnations, id)
+	d.size.Store(int64(len(d.incarnations)))
 }
 
-// Has reports whether the endpoint, or an earlier incarnation of it, was seen
-// leaving.
+// Has reports whether the departure of the endpoint was recorded, for its
+// incarnation or a later one.
 func (d *Departures) Has(e port.Endpoint) bool {
-	if d.n.Load() == 0 {
+	if d.size.Load() == 0 {
 		return false
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	at, known := d.m[e.ID]
-	return known && e.Incarnation <= at
+	recorded, known := d.incarnations[e.ID]
+	return known && e.Incarnation <= recorded
 }
--- a/internal/core/membership/endpoint.go
+++ b/internal/core/membership/endpoint.go
@@ -9,18 +9,19 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// Endpoint is what the system knows of one endpoint. State is sticky within
-// an incarnation, but for a registry that lists it again; whether it can be
-// reached is not, as a cut link heals.
+// Endpoint is the replicated state of one endpoint. Within an incarnation,
+// State moves backwards only when a newer registry entry lists the endpoint
+// again. Unreachable may change both ways, since a broken link can recover.
 type Endpoint struct {
 	port.Endpoint
-	// EntryRevision is that of the registry's entry behind the fields other than
-	// State. It is larger than Revision where that entry is no evidence of the
-	// state, see FromCopy.
+	// EntryRevision is the revision of the registry entry that the fields other
+	// than State come from. It is larger than Revision where that entry doesn't
+	// prove the state, see FromCopy.
 	EntryRevision port.StoreRevision
-	// Confirmed: the endpoint itself named the incarnation.
+	// Confirmed is set once the endpoint itself has reported the incarnation.
 	Confirmed bool
-	// Said is the endpoint's own word on its state; it only grows.
+	// Said is the state that the endpoint itself reported; it never moves
+	// backwards.
 	Said port.EndpointState
 	// Observation counts the changes of Unreachable and Models within the
 	// incarnation; the larger is newer.
@@ -41,11 +42,11 @@
 	}
 }
 
-// EndpointOrder is the semilattice of endpoints: the larger incarnation wins
-// whole; within one, the entry of the larger revision, the state of the larger
-// revision, the newer observation and the newer limit win, what the endpoint
-// itself said of its state only grows, and so does the state between listings of
-// one revision.
+// EndpointOrder is the semilattice of endpoints. The larger incarnation
+// replaces the smaller one entirely. Within an incarnation, the entry of the
+// larger revision, the state of the larger revision, the newer observation and
+// the newer limit win. The state that the endpoint reported never moves
+// backwards, and neither does the state at one revision.
 type EndpointOrder struct{}
 
 // Key is the endpoint's id.
@@ -67,11 +68,11 @@
 	out.Revision, out.State = joinStates(&a, &b)
 	out.State = laterState(out.State, out.Said)
 	out.Confirmed = a.Confirmed || b.Confirmed
-	seen := &a
+	observed := &a
 	if compareObservations(&a, &b) < 0 {
-		seen = &b
+		observed = &b
 	}
-	out.Observation, out.Unreachable, out.Models = seen.Observation, seen.Unreachable, seen.Models
+	out.Observation, out.Unreachable, out.Models = observed.Observation, observed.Unreachable, observed.Models
 	limit := &a
 	if compareLimits(&a, &b) < 0 {
 		limit = &b
@@ -80,10 +81,10 @@
 	return out
 }
 
-// joinStates returns the state of the larger revision. Where both are of one,
-// leaving must survive the list that still says live, and a late message of any
-// daemon that has not heard of it: else new work goes to an endpoint that is
-// about to stop.
+// joinStates returns the state of the larger revision. At equal revisions the
+// later state wins: "leaving" must not be overwritten by a list that still says
+// "live", or by a late message from a daemon that hasn't received the change.
+// Otherwise new work would be sent to an endpoint that is about to stop.
 func joinStates(a, b *Endpoint) (port.StoreRevision, port.EndpointState) {
 	switch {
 	case a.Revision > b.Revision:
@@ -95,7 +96,8 @@
 	}
 }
 
-// laterState is the one of two states that comes after the other.
+// laterState returns the state that comes later in the life cycle live,
+// leaving, gone.
 func laterState(a, b port.EndpointState) port.EndpointState {
 	if endpointRank(b) > endpointRank(a) {
 		return b
@@ -103,8 +105,8 @@
 	return a
 }
 
-// compareListings orders what lists said. Where the platform has a registry
-// its revision decides, and the rest only breaks ties.
+// compareListings orders registry entries by revision. The other fields break
+// ties, also where the platform has no registry and all revisions are zero.
 func compareListings(a, b *Endpoint) int {
 	return cmp.Or(
 		cmp.Compare(a.EntryRevision, b.EntryRevision),
@@ -126,8 +128,8 @@
 	)
 }
 
-// compareLimits orders limits by their age. Of two of one age the stricter
-// stands.
+// compareLimits orders rate limits by their number of changes. Of two with the
+// same number, the stricter one wins.
 func compareLimits(a, b *Endpoint) int {
 	return cmp.Or(
 		cmp.Compare(a.LimitChanges, b.LimitChanges),
@@ -168,7 +170,8 @@
 	for _, m := range e.Models {
 		h.String(m)
 	}
-	// Left out where it says no more, so that daemons that don't know it agree.
+	// The fields below are hashed only where they differ from their default, so
+	// that daemons of versions without these fields compute the same hash.
 	if e.EntryRevision != e.Revision {
 		h.Uint64(uint64(e.EntryRevision))
 	}
@@ -187,15 +190,15 @@
 	return spread.NewTable[Endpoint](EndpointOrder{}, spread.HashKey)
 }
 
-// Listed is an endpoint as the platform lists it.
+// Listed returns the state of an endpoint that the platform lists.
 func Listed(e port.Endpoint) Endpoint {
 	return Endpoint{Endpoint: normalised(e), EntryRevision: e.Revision}
 }
 
-// FromCopy is an endpoint as a registry lists it that may have come back from a
-// copy with the entry. Such an entry may be older than what is known: "live" is
-// no evidence against a notice that the copy lacks, though its revision is the
-// larger one. "Leaving" is, as no entry goes back from it.
+// FromCopy returns the state of an endpoint whose registry entry may come from a
+// restored backup. Such an entry may be older than the known state despite its
+// larger revision: "live" doesn't cancel a shutdown notice that the backup lacks.
+// "Leaving" is accepted, since no entry returns from it to live.
 func FromCopy(e port.Endpoint) Endpoint {
 	out := Listed(e)
 	if out.State == port.EndpointLive {
@@ -204,13 +207,13 @@
 	return out
 }
 
-// Unproven reports whether the registry's entry may be older than what is known
-// of the state, see FromCopy.
+// Unproven reports whether the registry entry may be older than the known
+// state, see FromCopy.
 func (e *Endpoint) Unproven() bool { return e.Revision < e.EntryRevision }
 
-// StillListed returns the entry of an endpoint that the registry has listed for
-// longer than it keeps the entries of those that don't write theirs again: that
-// it is listed as live is evidence by now.
+// StillListed returns the state of an endpoint that is still listed after the
+// time for which the registry keeps entries that aren't renewed. The entry must
+// have been renewed since the restore, so its "live" is accepted now.
 func StillListed(known Endpoint) Endpoint {
 	next := known
 	next.Revision = known.EntryRevision
@@ -226,8 +229,9 @@
 	return e
 }
 
-// Said returns the entry after the endpoint's own word. A report of a larger
-// incarnation starts anew; one of a smaller is late and changes nothing.
+// Said returns the state after a report from the endpoint itself. A report of a
+// larger incarnation resets the state; one of a smaller incarnation is late and
+// changes nothing.
 func Said(known Endpoint, r *port.LoadReport) Endpoint {
 	if r.Incarnation < known.Incarnation {
 		return known
@@ -251,8 +255,8 @@
 	return next
 }
 
-// Limited returns the entry after the endpoint named another limit, in requests
-// a second; zero is none.
+// Limited returns the state after the endpoint reported a rate limit, in
+// requests per second; zero is no limit.
 func Limited(known Endpoint, perSecond float64) Endpoint {
 	next := known
 	if next.RateLimit != perSecond {
@@ -262,7 +266,8 @@
 	return next
 }
 
-// Missed returns the entry after enough failed probes in a row.
+// Missed returns the state after the number of consecutive failed probes that
+// makes an endpoint unreachable.
 func Missed(known Endpoint) Endpoint {
 	next := known
 	if !next.Unreachable {
@@ -272,8 +277,8 @@
 	return next
 }
 
-// Removed returns the entry of an endpoint that the platform's registry took
-// out at the revision. It may serve on for a while, but is offered nothing new.
+// Removed returns the state of an endpoint that the platform's registry removed
+// at the revision. It may continue to serve for a while, but gets no new work.
 func Removed(known Endpoint, revision port.StoreRevision) Endpoint {
 	next := known
 	next.Revision, next.EntryRevision = revision, revision
@@ -281,9 +286,9 @@
 	return next
 }
 
-// Delisted returns the entry of an endpoint that the platform's list no longer
-// names. It is gone only if it can't be reached either: the list lags, and an
-// endpoint that answers is not given up for it.
+// Delisted returns the state of an endpoint that the platform's list no longer
+// contains. It becomes gone only if it is unreachable too: the list may be out
+// of date, and an endpoint that answers stays in use.
 func Delisted(known Endpoint) Endpoint {
 	next := known
 	if next.Unreachable {
--- a/internal/core/membership/eras.go
+++ b/internal/core/membership/eras.go
@@ -2,44 +2,46 @@
 
 import "sync"
 
-// EraVerdict is what an answer's era says of the answer.
+// EraVerdict classifies a response of the store by its era.
 type EraVerdict int
 
 // The verdicts.
 const (
-	// EraInForce: the answer is of the era that is known.
+	// EraInForce: the response has the current era.
 	EraInForce EraVerdict = iota
-	// EraBegun: the answer confirms a new era; the store came back from a copy.
+	// EraBegun: the response confirms a new era; the store was restored from a
+	// backup.
 	EraBegun
-	// EraAnnounced: the answer alone names a later era. It is not acted on until
-	// another one does too: revisions of an era that doesn't exist would outrank
-	// all that the store says afterwards.
+	// EraAnnounced: the response is the first with this later era. The era takes
+	// effect only when the next response has it too, since revisions of a wrong,
+	// too large era would take precedence over all later data of the store.
 	EraAnnounced
-	// EraFell: the answer is of an earlier era than is known.
+	// EraFell: the response has an earlier era than the current one.
 	EraFell
 )
 
-// Eras follows the era of the platform's store, from its answers and from what
-// other daemons pass on. It is safe for concurrent use.
+// Eras tracks the era of the platform's store, a number that increases when the
+// store is restored from a backup. It learns of eras from the store's responses
+// and from other daemons. It is safe for concurrent use.
 type Eras struct {
 	mu      sync.Mutex
 	current uint64
-	// announced is the later era that the last answer named, zero for none.
+	// announced is the unconfirmed later era of the last response, zero for none.
 	announced uint64
-	// fell: the last answer was of an earlier era.
+	// fell is set if the last response had an earlier era.
 	fell bool
 }
 
-// Current is the latest era that is known.
+// Current returns the latest confirmed era.
 func (e *Eras) Current() uint64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.current
 }
 
-// Answer judges the era of one answer of the store. News is false for a verdict
-// other than EraInForce that repeats the one before.
-func (e *Eras) Answer(era uint64) (verdict EraVerdict, news bool) {
+// Answer classifies the era of one response of the store. changed is false for
+// EraInForce, and for EraFell directly after another EraFell.
+func (e *Eras) Answer(era uint64) (verdict EraVerdict, changed bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	announced, fell := e.announced, e.fell
@@ -59,8 +61,8 @@
 	}
 }
 
-// Heard takes an era that another daemon acts on, and reports whether it is
-// later than the one known.
+// Heard adopts an era received from another daemon if it is later than the
+// current one, and reports whether it is.
 func (e *Eras) Heard(era uint64) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/core/membership/eras_test.go
+++ b/internal/core/membership/eras_test.go
@@ -9,7 +9,7 @@
 	_ "github.com/dragonflyrail/dragonflyrail/internal/testkit/fixedseed"
 )
 
-func at(t interface{ Fatal(...any) }, era, revision uint64) port.StoreRevision {
+func storeRevision(t interface{ Fatal(...any) }, era, revision uint64) port.StoreRevision {
 	r, err := port.NewStoreRevision(era, revision)
 	if err != nil {
 		t.Fatal(err)
@@ -17,17 +17,17 @@
 	return r
 }
 
-// anyHeard is an entry as a daemon may come to hold it: listed, listed by a
-// store that came back from a copy, removed, or told by the endpoint itself.
-var anyHeard = rapid.Custom(func(t *rapid.T) Endpoint {
-	revision := at(t, rapid.Uint64Range(0, 2).Draw(t, "era"), rapid.Uint64Range(1, 3).Draw(t, "revision"))
+// endpointFromAnySource generates endpoint states from all sources: listed, listed by a store
+// restored from a backup, removed, or reported by the endpoint itself.
+var endpointFromAnySource = rapid.Custom(func(t *rapid.T) Endpoint {
+	revision := storeRevision(t, rapid.Uint64Range(0, 2).Draw(t, "era"), rapid.Uint64Range(1, 3).Draw(t, "revision"))
 	listing := port.Endpoint{
-		ID: "e", Incarnation: few[uint64](1, 2).Draw(t, "incarnation"), Revision: revision,
-		State:   few(port.EndpointLive, port.EndpointLeaving).Draw(t, "state"),
-		Address: few("a", "b").Draw(t, "address"),
+		ID: "e", Incarnation: oneOf[uint64](1, 2).Draw(t, "incarnation"), Revision: revision,
+		State:   oneOf(port.EndpointLive, port.EndpointLeaving).Draw(t, "state"),
+		Address: oneOf("a", "b").Draw(t, "address"),
 	}
 	e := Listed(listing)
-	switch rapid.IntRange(0, 4).Draw(t, "heard as") {
+	switch rapid.IntRange(0, 4).Draw(t, "source") {
 	case 0:
 		e = FromCopy(listing)
 	case 1:
@@ -41,43 +41,43 @@
 })
 
 func TestEndpointsOfSeveralErasAreASemilattice(t *testing.T) {
-	checkLattice(t, EndpointOrder{}, anyHeard)
+	checkLattice(t, EndpointOrder{}, endpointFromAnySource)
 }
 
-// A notice is known; the store comes back from a copy that lacks it, and lists
-// the endpoint as live at a revision of a later era. Whatever else was heard
-// before, work must not go there again.
-func TestCopyIsNoEvidenceAgainstANotice(t *testing.T) {
+// A shutdown notice is known. The store is restored from a backup that lacks it
+// and lists the endpoint as live at a revision of a later era. The endpoint must
+// stay leaving until it registers again or its entry is known to be renewed.
+func TestRestoredEntryDoesNotCancelShutdownNotice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		known := Removed(Listed(port.Endpoint{ID: "e", Incarnation: 1}), at(t, 1, rapid.Uint64Range(1, 9).Draw(t, "notice")))
-		held := known
+		known := Removed(Listed(port.Endpoint{ID: "e", Incarnation: 1}), storeRevision(t, 1, rapid.Uint64Range(1, 9).Draw(t, "notice")))
+		merged := known
 		for range rapid.IntRange(1, 4).Draw(t, "lists") {
-			copied := FromCopy(port.Endpoint{
-				ID: "e", Incarnation: 1, State: port.EndpointLive, Revision: at(t, rapid.Uint64Range(2, 4).Draw(t, "era"), rapid.Uint64Range(1, 9).Draw(t, "revision")),
+			restored := FromCopy(port.Endpoint{
+				ID: "e", Incarnation: 1, State: port.EndpointLive, Revision: storeRevision(t, rapid.Uint64Range(2, 4).Draw(t, "era"), rapid.Uint64Range(1, 9).Draw(t, "revision")),
 			})
-			held = EndpointOrder{}.Join(held, copied)
+			merged = EndpointOrder{}.Join(merged, restored)
 		}
-		if held.State != port.EndpointLeaving {
-			t.Fatalf("%s again: %+v", held.State, held)
+		if merged.State != port.EndpointLeaving {
+			t.Fatalf("state %s after entries from backups: %+v", merged.State, merged)
 		}
-		written := Listed(port.Endpoint{ID: "e", Incarnation: 1, State: port.EndpointLive, Revision: at(t, 5, 1)})
-		if got := (EndpointOrder{}).Join(held, written).State; got != port.EndpointLive {
-			t.Fatalf("%s although it registered since", got)
+		reregistered := Listed(port.Endpoint{ID: "e", Incarnation: 1, State: port.EndpointLive, Revision: storeRevision(t, 5, 1)})
+		if got := (EndpointOrder{}).Join(merged, reregistered).State; got != port.EndpointLive {
+			t.Fatalf("state %s although the endpoint registered after the restore", got)
 		}
-		if got := (EndpointOrder{}).Join(known, StillListed(held)).State; got != port.EndpointLive {
-			t.Fatalf("%s although the registry keeps it", got)
+		if got := (EndpointOrder{}).Join(known, StillListed(merged)).State; got != port.EndpointLive {
+			t.Fatalf("state %s although the registry still lists the endpoint", got)
 		}
 	})
 }
 
-// One answer names an era that doesn't exist. Acted on, its revisions would
-// outrank whatever the store says from then on.
-func TestAnEraNeedsTwoAnswers(t *testing.T) {
+// A single response has an era that doesn't exist. If it took effect, its
+// revisions would take precedence over all later data of the store.
+func TestEraNeedsTwoResponses(t *testing.T) {
 	var e Eras
 	for _, step := range []struct {
 		era     uint64
 		verdict EraVerdict
-		news    bool
+		changed bool
 		current uint64
 	}{
 		{0, EraInForce, false, 0},
@@ -93,15 +93,15 @@
 		{3, EraAnnounced, true, 1},
 		{3, EraBegun, true, 3},
 	} {
-		verdict, news := e.Answer(step.era)
-		if verdict != step.verdict || news != step.news || e.Current() != step.current {
-			t.Fatalf("era %d: verdict %v, news %v, current %d; want %+v", step.era, verdict, news, e.Current(), step)
+		verdict, changed := e.Answer(step.era)
+		if verdict != step.verdict || changed != step.changed || e.Current() != step.current {
+			t.Fatalf("era %d: verdict %v, news %v, current %d; want %+v", step.era, verdict, changed, e.Current(), step)
 		}
 	}
 	if e.Heard(2) || !e.Heard(4) || e.Current() != 4 {
-		t.Fatal("a peer's word counts where it is later, and only there")
+		t.Fatal("an era received from a peer must be adopted if and only if it is later")
 	}
 	if verdict, _ := e.Answer(4); verdict != EraInForce {
-		t.Fatal("an era that a peer acts on needs no second answer")
+		t.Fatal("an era adopted from a peer must be in force without a second response")
 	}
 }
--- a/internal/core/membership/hearing.go
+++ b/internal/core/membership/heartbeats.go
@@ -12,23 +12,25 @@
 	ID          string
 	Incarnation uint64
 	Sequence    uint64
-	// HighestVersion and RecordsDigest are what the member has in force.
+	// HighestVersion is the highest record version that the member has in force,
+	// RecordsDigest the digest of its records.
 	HighestVersion uint64
 	RecordsDigest  uint64
 }
 
-// Heard is what one keeper heard of a member directly.
+// Heard is the last heartbeat that a keeper received from a member directly.
 type Heard struct {
 	Beat
+	// At is when the heartbeat arrived.
 	At time.Time
-	// InForceSince is when HighestVersion was first heard.
+	// InForceSince is when a heartbeat first reported HighestVersion.
 	InForceSince time.Time
-	// Closed: the member's stream has ended.
+	// Closed is set when the member's stream has ended.
 	Closed bool
 }
 
-// Hearing holds the members that one keeper hears. It is local: heartbeats
-// are not passed on, only the judgements that follow from them.
+// Hearing holds the last heartbeats of the members connected to this keeper. It
+// isn't replicated: only the member states derived from it are.
 type Hearing struct {
 	mu    sync.Mutex
 	heard map[string]Heard
@@ -37,7 +39,8 @@
 // NewHearing returns an empty Hearing.
 func NewHearing() *Hearing { return &Hearing{heard: map[string]Heard{}} }
 
-// Beat takes a heartbeat. A late one of an older incarnation is ignored.
+// Beat records a heartbeat. One with an older incarnation, or with a smaller
+// sequence of the same incarnation, is late and ignored.
 func (h *Hearing) Beat(now time.Time, b Beat) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -52,7 +55,8 @@
 	h.heard[b.ID] = next
 }
 
-// Closed notes that the stream of an incarnation has ended.
+// Closed records that the stream of an incarnation has ended. It is ignored if a
+// heartbeat with a larger sequence than the stream's last has arrived.
 func (h *Hearing) Closed(id string, incarnation, sequence uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -63,14 +67,15 @@
 	}
 }
 
-// Forget drops a member that another keeper hears now, or that is judged.
+// Forget removes a member that is connected to another keeper now, or whose
+// state has been decided.
 func (h *Hearing) Forget(id string) {
 	h.mu.Lock()
 	delete(h.heard, id)
 	h.mu.Unlock()
 }
 
-// Get returns what was heard of a member.
+// Get returns the last heartbeat of a member.
 func (h *Hearing) Get(id string) (Heard, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -78,7 +83,7 @@
 	return v, ok
 }
 
-// All returns what was heard of all members, by id.
+// All returns the last heartbeats of all members, sorted by id.
 func (h *Hearing) All() []Heard {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -90,8 +95,8 @@
 	return out
 }
 
-// Overdue returns the members that are to be judged: silent for longer than
-// the limit, or with a closed stream for longer than grace.
+// Overdue returns the members whose last heartbeat is at least limit old, or at
+// least grace old with a closed stream. Their state has to be determined.
 func (h *Hearing) Overdue(now time.Time, limit, grace time.Duration) []Heard {
 	var out []Heard
 	for _, v := range h.All() {
--- a/internal/core/membership/member.go
+++ b/internal/core/membership/member.go
@@ -1,6 +1,6 @@
-// Package membership holds what the daemons know of each other and of the
-// endpoints, as states that only grow in the order of a semilattice, and the
-// rules by which silence is judged.
+// Package membership holds the replicated state of daemons and endpoints as
+// join-semilattices, and the failure detector that classifies daemons whose
+// heartbeats stop.
 package membership
 
 import (
@@ -10,26 +10,26 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// Condition is why a member is in its state.
+// Condition is the reason for a member's state.
 type Condition string
 
 // The conditions.
 const (
 	ConditionNone Condition = ""
-	// ConditionSilent: no heartbeat, not yet probed.
+	// ConditionSilent: heartbeats stopped and no probe has finished yet.
 	ConditionSilent Condition = "silent"
-	// ConditionFrozen: its host accepts connections, the process says
-	// nothing. It may resume at any moment.
+	// ConditionFrozen: the host accepts connections but the process doesn't
+	// answer. It may resume at any moment.
 	ConditionFrozen Condition = "frozen"
-	// ConditionRefused: its host refuses connections, so the process is gone.
+	// ConditionRefused: the host refuses connections, so the process has ended.
 	ConditionRefused Condition = "refused"
-	// ConditionUnreachable: nobody who was asked gets through.
+	// ConditionUnreachable: no probe got a response.
 	ConditionUnreachable Condition = "unreachable"
-	// ConditionLinkCut: it answers others, so only a link is cut.
+	// ConditionLinkCut: the member answered a probe, so only a link is down.
 	ConditionLinkCut Condition = "link_cut"
 )
 
-// Member is what the system knows of one daemon.
+// Member is the replicated state of one daemon.
 type Member struct {
 	ID            string
 	Role          port.MemberRole
@@ -39,16 +39,17 @@
 	CallerAddress string
 	AdminAddress  string
 	PeerAddress   string
-	// Left is sticky within an incarnation: the member said that it leaves.
+	// Left is set once the member announces that it is shutting down, and stays
+	// set within the incarnation.
 	Left bool
-	// Sequence is the last heartbeat behind State. A member that was taken
-	// for dead refutes it with its next heartbeat.
+	// Sequence is the number of the heartbeat that State is based on. The next
+	// heartbeat of a member that was declared dead overrides that state.
 	Sequence  uint64
 	State     port.MemberState
 	Condition Condition
-	// HeardBy is the keeper that judged.
+	// HeardBy is the keeper that determined State.
 	HeardBy string
-	// Blind: a keeper that cannot reach the platform says so.
+	// Blind is set by a keeper that can't reach the platform.
 	Blind bool
 }
 
@@ -65,8 +66,9 @@
 	}
 }
 
-// MemberOrder is the semilattice of members: the larger incarnation wins
-// whole; within one, leaving is kept and the newer judgement wins.
+// MemberOrder is the semilattice of members. The larger incarnation replaces
+// the smaller one entirely; within an incarnation Left stays set and the state
+// with the larger heartbeat sequence wins.
 type MemberOrder struct{}
 
 // Key is the member's id.
@@ -84,9 +86,9 @@
 	return newer
 }
 
-// compareMembers is a total order over all fields but Left. Identity fields
-// don't change within an incarnation; they are compared so that even a
-// misconfigured pair with one id ends in one state everywhere.
+// compareMembers is a total order over all fields except Left. Identity fields
+// don't change within an incarnation; they are compared so that two members
+// misconfigured with the same id still converge to one state on all daemons.
 func compareMembers(a, b *Member) int {
 	return cmp.Or(
 		cmp.Compare(a.Incarnation, b.Incarnation),
@@ -125,8 +127,8 @@
 	return h.Sum()
 }
 
-// Effective is the state that others act on: a member that said it leaves is
-// leaving until it is dead.
+// Effective returns the state that other daemons act on: a member that
+// announced its shutdown is leaving until it is dead.
 func (m *Member) Effective() port.MemberState {
 	if m.Left && m.State != port.MemberDead {
 		return port.MemberLeaving
@@ -139,7 +141,7 @@
 	return m.State == port.MemberLive || m.State == port.MemberJoining
 }
 
-// Port returns the member as other layers see it.
+// Port converts the member to the type of package port.
 func (m *Member) Port() port.Member {
 	return port.Member{
 		ID: m.ID, Role: m.Role, Incarnation: m.Incarnation,
--- a/internal/core/membership/judge_test.go
+++ b/internal/core/membership/membership_test.go
@@ -18,14 +18,14 @@
 		state     port.MemberState
 		condition Condition
 	}{
-		{"a cut link: others get through", Evidence{ProbeUnreachable, []ProbeResult{ProbeAnswered}, DeadAfter}, port.MemberLive, ConditionLinkCut},
-		{"dead: its host refuses", Evidence{ProbeRefused, nil, short}, port.MemberDead, ConditionRefused},
-		{"dead behind a cut link", Evidence{ProbeUnreachable, []ProbeResult{ProbeRefused}, short}, port.MemberDead, ConditionRefused},
+		{"link cut, other probes answered", Evidence{ProbeUnreachable, []ProbeResult{ProbeAnswered}, DeadAfter}, port.MemberLive, ConditionLinkCut},
+		{"host refuses", Evidence{ProbeRefused, nil, short}, port.MemberDead, ConditionRefused},
+		{"link cut, host refuses another probe", Evidence{ProbeUnreachable, []ProbeResult{ProbeRefused}, short}, port.MemberDead, ConditionRefused},
 		{"frozen", Evidence{ProbeAccepted, []ProbeResult{ProbeAccepted}, short}, port.MemberSuspect, ConditionFrozen},
-		{"frozen behind a cut link", Evidence{ProbeUnreachable, []ProbeResult{ProbeAccepted}, short}, port.MemberSuspect, ConditionFrozen},
-		{"frozen for long", Evidence{ProbeAccepted, nil, DeadAfter}, port.MemberDead, ConditionFrozen},
-		{"nobody gets through", Evidence{ProbeUnreachable, []ProbeResult{ProbeUnreachable}, short}, port.MemberSuspect, ConditionUnreachable},
-		{"nobody, for long", Evidence{ProbeUnreachable, nil, DeadAfter}, port.MemberDead, ConditionUnreachable},
+		{"link cut, frozen for another probe", Evidence{ProbeUnreachable, []ProbeResult{ProbeAccepted}, short}, port.MemberSuspect, ConditionFrozen},
+		{"frozen for DeadAfter", Evidence{ProbeAccepted, nil, DeadAfter}, port.MemberDead, ConditionFrozen},
+		{"unreachable", Evidence{ProbeUnreachable, []ProbeResult{ProbeUnreachable}, short}, port.MemberSuspect, ConditionUnreachable},
+		{"unreachable for DeadAfter", Evidence{ProbeUnreachable, nil, DeadAfter}, port.MemberDead, ConditionUnreachable},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestHearing(t *testing.T) {
+func TestHeartbeats(t *testing.T) {
 	h := NewHearing()
 	start := time.Unix(1000, 0)
 	at := func(s int) time.Time { return start.Add(time.Duration(s) * time.Second) }
@@ -48,26 +48,26 @@
 	}
 	h.Beat(at(9), Beat{ID: "m", Incarnation: 1, Sequence: 1})
 	if v, _ := h.Get("m"); !v.At.Equal(at(1)) {
-		t.Fatal("a late heartbeat counted as life")
+		t.Fatal("a late heartbeat changed the time of the last heartbeat")
 	}
 	if got := h.Overdue(at(3), 3*time.Second, time.Second); len(got) != 0 {
-		t.Fatalf("overdue too soon: %+v", got)
+		t.Fatalf("overdue before the limit: %+v", got)
 	}
 	h.Closed("m", 1, 2)
 	if got := h.Overdue(at(2), 3*time.Second, time.Second); len(got) != 1 {
-		t.Fatal("a closed stream is not overdue after its grace")
+		t.Fatal("member with a closed stream is not overdue after the grace period")
 	}
 	h.Beat(at(2), Beat{ID: "m", Incarnation: 1, Sequence: 3})
 	h.Closed("m", 1, 2)
 	if got := h.Overdue(at(3), 3*time.Second, time.Second); len(got) != 0 {
-		t.Fatal("the end of the old stream closed the new one")
+		t.Fatal("the end of the old stream marked the new one as closed")
 	}
 	if got := h.Overdue(at(5), 3*time.Second, time.Second); len(got) != 1 {
-		t.Fatal("silence is not overdue")
+		t.Fatal("member without heartbeats is not overdue after the limit")
 	}
 }
 
-func keepersOf(n, domains int) []Member {
+func makeKeepers(n, domains int) []Member {
 	out := make([]Member, n)
 	for i := range out {
 		out[i] = Member{ID: fmt.Sprintf("k%03d", i), Role: port.RoleKeeper, State: port.MemberLive, FailureDomain: fmt.Sprintf("d%d", i%domains)}
@@ -75,15 +75,15 @@
 	return out
 }
 
-// Whatever keepers are left, each can reach each over the links that they
-// open by themselves, within a bounded number of hops and links.
-func TestRingJoinsAllKeepers(t *testing.T) {
+// For any set of live keepers, the links that they open connect all of them,
+// with at most two opened links per keeper and a bounded number of hops.
+func TestRingConnectsAllKeepers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		all := keepersOf(80, 7)
-		left := rapid.SliceOfNDistinct(rapid.SampledFrom(all), 1, 80, func(m Member) string { return m.ID }).Draw(t, "left")
+		all := makeKeepers(80, 7)
+		remaining := rapid.SliceOfNDistinct(rapid.SampledFrom(all), 1, 80, func(m Member) string { return m.ID }).Draw(t, "remaining")
 		links := map[string][]string{}
-		ring := NewRing(left)
-		for _, k := range left {
+		ring := NewRing(remaining)
+		for _, k := range remaining {
 			opened := ring.Neighbours(k.ID)
 			if len(opened) > 2 {
 				t.Fatalf("%s opens %d links", k.ID, len(opened))
@@ -92,58 +92,58 @@
 				links[k.ID] = append(links[k.ID], n.ID)
 				links[n.ID] = append(links[n.ID], k.ID)
 				if !ring.Joins(k.ID, n.ID) {
-					t.Fatalf("%s doesn't know that %s connects to it", n.ID, k.ID)
+					t.Fatalf("%s is a neighbour that %s connects to, but Joins is false", n.ID, k.ID)
 				}
 			}
 		}
-		hops := map[string]int{left[0].ID: 0}
-		furthest := 0
-		for queue := []string{left[0].ID}; len(queue) > 0; queue = queue[1:] {
+		hops := map[string]int{remaining[0].ID: 0}
+		maxHops := 0
+		for queue := []string{remaining[0].ID}; len(queue) > 0; queue = queue[1:] {
 			for _, next := range links[queue[0]] {
 				if _, seen := hops[next]; seen {
 					continue
 				}
 				hops[next] = hops[queue[0]] + 1
-				furthest = max(furthest, hops[next])
+				maxHops = max(maxHops, hops[next])
 				queue = append(queue, next)
 			}
 		}
-		if len(hops) != len(left) {
-			t.Fatalf("%d of %d keepers are joined", len(hops), len(left))
+		if len(hops) != len(remaining) {
+			t.Fatalf("%d of %d keepers are connected", len(hops), len(remaining))
 		}
 		bound := 2
-		for bound*bound < 4*len(left) {
+		for bound*bound < 4*len(remaining) {
 			bound++
 		}
-		if furthest > bound {
-			t.Fatalf("%d hops among %d keepers, want at most %d", furthest, len(left), bound)
+		if maxHops > bound {
+			t.Fatalf("%d hops among %d keepers, want at most %d", maxHops, len(remaining), bound)
 		}
 	})
 }
 
-// A watcher that can't reach the platform says so, and another watches in its
-// place; when none can, all stay in the order, as one of them has to try.
-func TestBlindKeepersDoNotWatch(t *testing.T) {
-	keepers := keepersOf(5, 5)
-	first := Watchers(keepers, 2)
+// A watcher that can't reach the platform is replaced by another keeper. When no
+// keeper can reach it, blind keepers are still chosen, so that some keep trying.
+func TestWatchersExcludeBlindKeepers(t *testing.T) {
+	keepers := makeKeepers(5, 5)
+	before := Watchers(keepers, 2)
 	for i := range keepers {
-		keepers[i].Blind = keepers[i].ID == first[0]
+		keepers[i].Blind = keepers[i].ID == before[0]
 	}
-	second := Watchers(keepers, 2)
-	if len(second) != 2 || second[0] != first[1] || second[1] == first[0] {
-		t.Fatalf("first %v, with %s blind %v", first, first[0], second)
+	after := Watchers(keepers, 2)
+	if len(after) != 2 || after[0] != before[1] || after[1] == before[0] {
+		t.Fatalf("watchers %v; after %s became blind: %v", before, before[0], after)
 	}
 	for i := range keepers {
 		keepers[i].Blind = true
 	}
 	if got := Watchers(keepers, 2); len(got) != 2 {
-		t.Fatalf("nobody sees and %v watch", got)
+		t.Fatalf("watchers %v with all keepers blind, want 2", got)
 	}
 }
 
-func TestWatchersSpreadOverDomainsAndStayFew(t *testing.T) {
+func TestWatchersSpreadOverFailureDomains(t *testing.T) {
 	for _, n := range []int{1, 2, 3, 6, 24, 80} {
-		keepers := keepersOf(n, 5)
+		keepers := makeKeepers(n, 5)
 		got := Watchers(keepers, 3)
 		if len(got) != min(3, n) {
 			t.Fatalf("%d keepers: %d watchers", n, len(got))
--- a/internal/core/membership/registry_test.go
+++ b/internal/core/membership/registry_test.go
@@ -9,23 +9,24 @@
 	_ "github.com/dragonflyrail/dragonflyrail/internal/testkit/fixedseed"
 )
 
-func drawRegistered(t *rapid.T) Endpoint {
+func drawRegisteredEndpoint(t *rapid.T) Endpoint {
 	states := rapid.SampledFrom([]port.EndpointState{port.EndpointLive, port.EndpointLeaving})
 	e := Listed(port.Endpoint{ID: "e", Incarnation: rapid.Uint64Range(1, 2).Draw(t, "incarnation"), State: states.Draw(t, "listed")})
 	e.Revision = port.StoreRevision(rapid.Uint64Range(1, 4).Draw(t, "revision"))
-	if rapid.Bool().Draw(t, "says that it leaves") {
+	if rapid.Bool().Draw(t, "reports leaving") {
 		e = Said(e, &port.LoadReport{EndpointID: "e", Incarnation: e.Incarnation, State: port.EndpointLeaving})
 	}
 	return e
 }
 
-// Whatever the order in which daemons hear of listings and of endpoints' own
-// words, all end up with the same: the newest listing, under the own word.
-func TestRegisteredEndpointsJoinAsALattice(t *testing.T) {
+// Daemons receive registry entries and endpoints' own reports in different
+// orders. All must converge to the same state: the newest entry, with a reported
+// "leaving" kept.
+func TestRegisteredEndpointsAreASemilattice(t *testing.T) {
 	join := EndpointOrder{}.Join
 	hash := EndpointOrder{}.Hash
 	rapid.Check(t, func(t *rapid.T) {
-		a, b, c := drawRegistered(t), drawRegistered(t), drawRegistered(t)
+		a, b, c := drawRegisteredEndpoint(t), drawRegisteredEndpoint(t), drawRegisteredEndpoint(t)
 		if hash(join(a, a)) != hash(a) {
 			t.Fatal("not idempotent")
 		}
@@ -38,24 +39,24 @@
 		joined := join(a, b)
 		for _, e := range []Endpoint{a, b} {
 			if e.Incarnation == joined.Incarnation && e.Said == port.EndpointLeaving && joined.State != port.EndpointLeaving {
-				t.Fatal("an endpoint's own word was lost")
+				t.Fatal("the endpoint reported leaving, but the joined state isn't leaving")
 			}
 		}
 	})
 }
 
-func TestRemovedAndListedAgain(t *testing.T) {
+func TestRemovedEndpointIsLiveOnlyAfterNewerEntry(t *testing.T) {
 	e := Listed(port.Endpoint{ID: "e", Incarnation: 1, Revision: 4})
 	e = EndpointOrder{}.Join(e, Removed(e, 6))
 	if e.State != port.EndpointLeaving {
-		t.Fatalf("%s after its removal", e.State)
+		t.Fatalf("state %s after the removal", e.State)
 	}
-	late := Listed(port.Endpoint{ID: "e", Incarnation: 1, Revision: 5})
-	if got := (EndpointOrder{}).Join(e, late).State; got != port.EndpointLeaving {
-		t.Fatalf("%s after a late listing", got)
+	lateEntry := Listed(port.Endpoint{ID: "e", Incarnation: 1, Revision: 5})
+	if got := (EndpointOrder{}).Join(e, lateEntry).State; got != port.EndpointLeaving {
+		t.Fatalf("state %s after a late registry entry", got)
 	}
-	again := Listed(port.Endpoint{ID: "e", Incarnation: 1, Revision: 8})
-	if got := (EndpointOrder{}).Join(e, again).State; got != port.EndpointLive {
-		t.Fatalf("%s after it was listed again", got)
+	newerEntry := Listed(port.Endpoint{ID: "e", Incarnation: 1, Revision: 8})
+	if got := (EndpointOrder{}).Join(e, newerEntry).State; got != port.EndpointLive {
+		t.Fatalf("state %s after the endpoint was listed again", got)
 	}
 }
--- a/internal/core/membership/ring.go
+++ b/internal/core/membership/ring.go
@@ -10,10 +10,10 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// fullMesh is the number of keepers up to which each links to all others.
-const fullMesh = 4
+// maxFullMesh is the largest number of keepers that are connected as a full mesh.
+const maxFullMesh = 4
 
-// LiveKeepers returns the keepers that can be connected to, by id.
+// LiveKeepers returns the keepers that can be connected to, sorted by id.
 func LiveKeepers(t *spread.Table[Member]) []Member {
 	var out []Member
 	for m := range t.All() {
@@ -25,10 +25,10 @@
 	return out
 }
 
-// Ring is the live keepers in the order of their hashes.
+// Ring is the live keepers, sorted by the hashes of their ids.
 type Ring struct{ members []Member }
 
-// NewRing orders the keepers.
+// NewRing returns the ring of the keepers.
 func NewRing(keepers []Member) Ring {
 	members := slices.Clone(keepers)
 	slices.SortFunc(members, func(a, b Member) int { return compareOnRing(a.ID, b.ID) })
@@ -39,10 +39,10 @@
 	return cmp.Or(cmp.Compare(spread.HashKey(a), spread.HashKey(b)), cmp.Compare(a, b))
 }
 
-// Neighbours returns the keepers that one of the ring connects to: the next on
-// the ring, and one a square root of the ring further. Each keeper then has
-// about four links however many there are, a change needs at most about two
-// square roots of hops, and one keeper's loss parts nobody.
+// Neighbours returns the keepers that the keeper with this id connects to: for n
+// keepers, the next one on the ring and the one sqrt(n) positions further. Each
+// keeper then has about four links whatever n is, a change needs at most about
+// 2*sqrt(n) hops, and the loss of one keeper disconnects no other.
 func (r Ring) Neighbours(id string) []Member {
 	at, found := r.find(id)
 	if !found || len(r.members) < 2 {
@@ -55,13 +55,14 @@
 	return out
 }
 
-// Joins reports whether one keeper connects to the other as its neighbour. One
-// that isn't on the ring yet is taken as if it were.
+// Joins reports whether keeper "from" connects to keeper "to" as a neighbour. If
+// "from" isn't on the ring yet, it is treated as if it were.
 func (r Ring) Joins(from, to string) bool {
 	at, found := r.find(from)
 	n := len(r.members)
 	if !found {
-		// The next on the ring stands where it will stand itself.
+		// find returned the position of its successor, which moves one further
+		// when the keeper is inserted.
 		at--
 		n++
 	}
@@ -77,20 +78,22 @@
 	return slices.BinarySearchFunc(r.members, id, func(m Member, id string) int { return compareOnRing(m.ID, id) })
 }
 
-// Place is a keeper's place on the ring, or where it would stand.
+// Place returns a keeper's index on the ring, or the index at which it would be
+// inserted.
 func (r Ring) Place(id string) int {
 	at, _ := r.find(id)
 	return at
 }
 
-// Len counts the keepers of the ring.
+// Len returns the number of keepers on the ring.
 func (r Ring) Len() int { return len(r.members) }
 
-// ringSteps are the distances to a keeper's neighbours.
+// ringSteps returns the distances on a ring of n keepers from a keeper to the
+// neighbours that it connects to.
 func ringSteps(n int) []int {
-	if n <= fullMesh {
-		// Half of the mesh is opened by either end; opening all of it costs
-		// a second link for each pair, so each opens the next half.
+	if n <= maxFullMesh {
+		// Each keeper connects to the next half of the ring only. If each
+		// connected to all others, each pair would have two links.
 		steps := make([]int, 0, n/2)
 		for s := 1; s <= n/2; s++ {
 			steps = append(steps, s)
@@ -104,28 +107,31 @@
 	return []int{1, root}
 }
 
-// manyBlind times the watchers wanted are so many blind keepers that it is the
-// platform that is away for all: no more are tried out in their place.
-const manyBlind = 3
+// blindPerWatcherInOutage is the number of blind keepers per requested watcher from which on
+// the platform is considered down for all keepers. Blind watchers are then no
+// longer replaced by other keepers.
+const blindPerWatcherInOutage = 3
 
-// Watchers returns the keepers that watch the platform: count of them, one a
-// failure domain while there are domains left, the same at all who know the
-// same keepers. Their number doesn't grow with the fleet. Keepers that can't
-// reach the platform are left out while there are others.
+// Watchers returns the ids of the count keepers that watch the platform. They are
+// spread over the failure domains as evenly as possible. Daemons with the same
+// list of keepers get the same result. The number of watchers doesn't grow with
+// the number of keepers. Keepers that can't reach the platform are excluded while
+// there are others.
 func Watchers(keepers []Member, count int) []string {
-	seeing := slices.DeleteFunc(slices.Clone(keepers), func(m Member) bool { return m.Blind })
-	if len(seeing) == 0 || len(keepers)-len(seeing) >= manyBlind*count {
-		seeing = keepers
+	candidates := slices.DeleteFunc(slices.Clone(keepers), func(m Member) bool { return m.Blind })
+	if len(candidates) == 0 || len(keepers)-len(candidates) >= blindPerWatcherInOutage*count {
+		candidates = keepers
 	}
 	byDomain := map[string][]Member{}
-	for _, k := range seeing {
+	for _, k := range candidates {
 		byDomain[k.FailureDomain] = append(byDomain[k.FailureDomain], k)
 	}
 	domains := make([]string, 0, len(byDomain))
 	for d := range byDomain {
 		domains = append(domains, d)
 	}
-	// By hash, so that the first domains in the alphabet aren't always it.
+	// Sorted by hash, so that the choice doesn't favour names that are first in
+	// the alphabet.
 	slices.SortFunc(domains, func(a, b string) int {
 		return cmp.Or(cmp.Compare(spread.HashKey(a), spread.HashKey(b)), cmp.Compare(a, b))
 	})
@@ -135,21 +141,22 @@
 		})
 	}
 	var out []string
-	for round := 0; len(out) < count && len(out) < len(seeing); round++ {
+	for rank := 0; len(out) < count && len(out) < len(candidates); rank++ {
 		for _, d := range domains {
-			if round < len(byDomain[d]) && len(out) < count {
-				out = append(out, byDomain[d][round].ID)
+			if rank < len(byDomain[d]) && len(out) < count {
+				out = append(out, byDomain[d][rank].ID)
 			}
 		}
 	}
 	return out
 }
 
-// Owners tells which keeper looks after a subject, by rendezvous hash: when one
-// keeper goes, only its subjects move.
+// Owners assigns subjects to keepers by rendezvous hashing: when a keeper is
+// removed, only its subjects are reassigned.
 type Owners struct{ ring *rendezvous.Rendezvous }
 
-// NewOwners hashes the keepers once for many subjects.
+// NewOwners returns the assignment over the keepers. It hashes their ids once, so
+// one value should be used for many subjects.
 func NewOwners(keepers []Member) Owners {
 	ids := make([]string, len(keepers))
 	for i := range keepers {
@@ -158,5 +165,6 @@
 	return Owners{ring: rendezvous.New(ids, spread.HashKey)}
 }
 
-// Of returns the keeper that looks after the subject, "" where there is none.
+// Of returns the id of the keeper that owns the subject, "" if there are no
+// keepers.
 func (o Owners) Of(subject string) string { return o.ring.Lookup(subject) }
