--- a/internal/core/membership/eras_test.go
+++ b/internal/core/membership/eras_test.go
@@ -17,8 +17,9 @@
 	return r
 }
 
-// endpointFromAnySource generates endpoint states from all sources: listed, listed by a store
-// restored from a backup, removed, or reported by the endpoint itself.
+// endpointFromAnySource generates endpoint states from all sources: listed,
+// listed by a store restored from a backup, removed, or reported by the endpoint
+// itself.
 var endpointFromAnySource = rapid.Custom(func(t *rapid.T) Endpoint {
 	revision := storeRevision(t, rapid.Uint64Range(0, 2).Draw(t, "era"), rapid.Uint64Range(1, 3).Draw(t, "revision"))
 	listing := port.Endpoint{
--- a/internal/core/membership/lattice_test.go
+++ b/internal/core/membership/lattice_test.go
@@ -83,7 +83,7 @@
 	return revision
 })
 
-func TestMembersAreASemilattice(t *testing.T) { checkLattice(t, MemberOrder{}, memberGenerator) }
+func TestMembersAreASemilattice(t *testing.T)   { checkLattice(t, MemberOrder{}, memberGenerator) }
 func TestEndpointsAreASemilattice(t *testing.T) { checkLattice(t, EndpointOrder{}, endpointGenerator) }
 
 func TestRecordsAreASemilattice(t *testing.T) { checkLattice(t, spread.RecordOrder{}, recordGenerator) }
--- a/internal/core/membership/ring.go
+++ b/internal/core/membership/ring.go
@@ -107,9 +107,9 @@
 	return []int{1, root}
 }
 
-// blindPerWatcherInOutage is the number of blind keepers per requested watcher from which on
-// the platform is considered down for all keepers. Blind watchers are then no
-// longer replaced by other keepers.
+// blindPerWatcherInOutage is the number of blind keepers per requested watcher
+// from which on the platform is considered down for all keepers. Blind watchers
+// are then no longer replaced by other keepers.
 const blindPerWatcherInOutage = 3
 
 // Watchers returns the ids of the count keepers that watch the platform. They are
--- a/internal/core/spread/changes.go
+++ b/internal/core/spread/changes.go
@@ -2,22 +2,22 @@
 
 import "sync"
 
-// Changes collects the keys of a table whose entries changed, for one reader.
-// What it costs to read is proportional to the changes, not to the table: at
-// thousands of entries and tens of changes a second, reading the whole table
-// each time is most of a daemon's processor time.
+// Changes collects the keys of the entries of a table that changed, for one
+// reader. The cost of reading is proportional to the number of changes, not to the
+// size of the table. With thousands of entries and tens of changes per second,
+// reading the whole table each time would be most of a daemon's CPU time.
 type Changes[T any] struct {
 	table *Table[T]
 	mu    sync.Mutex
 	keys  map[string]struct{}
 }
 
-// Follow begins to collect changes. The first Take yields all entries.
+// Follow starts collecting changes. The first Take returns all entries.
 func (t *Table[T]) Follow() *Changes[T] {
 	c := &Changes[T]{table: t, keys: make(map[string]struct{})}
 	t.addFollower(c)
-	// Only now the entries that were there before: one that is merged in
-	// between is collected twice, none is missed.
+	// The existing entries are added after the follower is registered: an entry
+	// merged in between is added twice, and none is missed.
 	for v := range t.All() {
 		c.add(t.order.Key(v))
 	}
@@ -25,8 +25,8 @@
 }
 
 func (t *Table[T]) addFollower(c *Changes[T]) {
-	t.following.Lock()
-	defer t.following.Unlock()
+	t.followersMu.Lock()
+	defer t.followersMu.Unlock()
 	var next []*Changes[T]
 	if old := t.followers.Load(); old != nil {
 		next = append(next, *old...)
@@ -35,8 +35,9 @@
 	t.followers.Store(&next)
 }
 
-// noteChange is called under the lock of the key's shard, so that a reader
-// that takes the key sees at least the entry that was merged.
+// noteChange adds a changed key to all followers. It is called with the lock of the
+// key's shard held, so a reader that takes the key reads the merged entry or a
+// newer one.
 func (t *Table[T]) noteChange(key string) {
 	followers := t.followers.Load()
 	if followers == nil {
@@ -53,14 +54,13 @@
 	c.keys[key] = struct{}{}
 }
 
-// Take returns the newest state of each entry that changed since the last
-// call.
+// Take returns the current state of each entry that changed since the last call.
 func (c *Changes[T]) Take() []T {
 	changed, _ := c.TakeAll()
 	return changed
 }
 
-// TakeAll is Take with the keys of the entries that were removed.
+// TakeAll is like Take, but also returns the keys of removed entries.
 func (c *Changes[T]) TakeAll() (changed []T, removed []string) {
 	c.mu.Lock()
 	keys := c.keys
--- a/internal/core/spread/changes_test.go
+++ b/internal/core/spread/changes_test.go
@@ -17,7 +17,7 @@
 	return out
 }
 
-func TestChangesYieldWhatChangedOnce(t *testing.T) {
+func TestTakeReturnsEachChangedEntryOnce(t *testing.T) {
 	table := NewRecordTable()
 	put := func(name string, version uint64) {
 		table.Merge(Revision{Record: port.Record{Kind: "k", Name: name, Version: version}})
@@ -42,9 +42,9 @@
 	}
 }
 
-// A daemon begins to read while others' messages are merged. An entry that it
-// misses then stays unknown to its callers until the entry changes again.
-func TestChangesMissNothingWhileFollowing(t *testing.T) {
+// A reader calls Follow while entries are merged concurrently. If it missed one,
+// it wouldn't learn of that entry until the entry changes again.
+func TestFollowMissesNoConcurrentChange(t *testing.T) {
 	const writers, each = 4, 200
 	table := NewRecordTable()
 	var wg sync.WaitGroup
@@ -67,7 +67,7 @@
 	take()
 	for w := range writers {
 		if got := newest[string(rune('a'+w))]; got != each {
-			t.Fatalf("writer %d: the newest read is %d, want %d", w, got, each)
+			t.Fatalf("writer %d: last version read is %d, want %d", w, got, each)
 		}
 	}
 }
--- a/internal/core/spread/hasher.go
+++ b/internal/core/spread/hasher.go
@@ -6,8 +6,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Hasher hashes the fields of an entry. Strings carry their length, so that
-// no two entries run together.
+// Hasher hashes the fields of an entry. Strings and byte slices are prefixed with
+// their length, so that different sequences of fields give different input.
 type Hasher struct{ digest *xxhash.Digest }
 
 // NewHasher returns an empty hasher.
@@ -42,8 +42,8 @@
 	h.Uint64(0)
 }
 
-// Sum returns the hash. It is never zero, so that an entry always moves the
-// digest of its table.
+// Sum returns the hash. It is never zero, so that every entry changes the digest
+// of its table.
 func (h Hasher) Sum() uint64 {
 	if sum := h.digest.Sum64(); sum != 0 {
 		return sum
--- a/internal/core/spread/node/bodies.go
+++ b/internal/core/spread/node/bodies.go
@@ -10,34 +10,36 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// keptVersions of a record are those whose parts are kept: a neighbour that is
-// a few versions behind can still put one of them together while operators
-// write the next. Versions share most parts, so this costs little.
-const keptVersions = 8
+// maxKeptVersions is the number of versions of a record whose parts are kept. A
+// neighbour that is a few versions behind can still assemble one of them while
+// operators write the next. Versions share most parts, so this needs little
+// memory.
+const maxKeptVersions = 8
 
-// bodies keeps the newest whole version of each record, and the parts of the
-// newest versions, whole or not. It is safe for concurrent use.
+// bodies holds the newest version of each record whose body is complete, and the
+// available parts of the newest versions. It is safe for concurrent use.
 type bodies struct {
-	mu    sync.Mutex
+	mu sync.Mutex
+	// whole are the newest records with complete bodies, by key.
 	whole map[string]port.Record
-	// versions are the newest revisions that came in parts, by record, the
-	// oldest first.
+	// versions are the newest revisions in parts, by key, oldest first.
 	versions map[string][]spread.Revision
-	// parts are those held.
+	// parts are the parts that are present.
 	parts map[spread.PartID]*part
-	// missing are the parts of versions that are newer than the whole one.
+	// missing are the absent parts of versions newer than the complete one.
 	missing map[spread.PartID]struct{}
-	// taken counts the parts that came.
-	taken uint64
+	// received is the number of parts received.
+	received uint64
 }
 
-// part is a piece of a body.
+// part is a part of a body.
 type part struct {
-	// packed is how it is sent.
+	// packed is the compressed content, as it is sent.
 	packed []byte
-	// content is a slice of the newest whole body where that has the part: a
-	// version is put together without unpacking what it shares with the one
-	// before. Nil where it has to be unpacked.
+	// content is a slice of the newest complete body if that contains the part, so
+	// that a version can be assembled without decompressing the parts that it shares
+	// with the one before. It is also set for a part that has just arrived, and nil
+	// if the part has to be decompressed.
 	content []byte
 }
 
@@ -50,9 +52,9 @@
 	}
 }
 
-// put takes a record with its whole body, and reports whether it is newer than
-// the one held.
-func (b *bodies) put(r port.Record, revision *spread.Revision, parts [][]byte) bool {
+// putWhole stores a record with its body, and reports whether it is newer than the
+// record present.
+func (b *bodies) putWhole(r port.Record, revision *spread.Revision, parts [][]byte) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if !b.setWhole(r) {
@@ -63,20 +65,20 @@
 			b.parts[id] = &part{packed: spread.Pack(parts[i])}
 		}
 	}
-	b.know(revision)
-	b.share(revision, parts, r.Body)
-	b.tidy()
+	b.addVersion(revision)
+	b.shareBody(revision, parts, r.Body)
+	b.pruneParts()
 	return true
 }
 
-// expect takes a revision of which parts may be missing, and returns the
-// versions that are whole now.
-func (b *bodies) expect(revision *spread.Revision) []port.Record {
+// addRevision stores a revision whose parts may be missing, and returns the versions
+// that become complete.
+func (b *bodies) addRevision(revision *spread.Revision) []port.Record {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if len(revision.Parts) > 0 {
-		b.know(revision)
-		return b.settle()
+		b.addVersion(revision)
+		return b.assembleComplete()
 	}
 	if !b.setWhole(revision.Record) {
 		return nil
@@ -84,9 +86,10 @@
 	return []port.Record{revision.Record}
 }
 
-// take takes parts that came, and returns the versions that are whole now.
-// Parts that no version lacks are dropped, so that a peer can't fill the memory.
-func (b *bodies) take(parts [][]byte) []port.Record {
+// receiveParts stores received parts, and returns the versions that become
+// complete. Parts that aren't missing are discarded, so that a peer can't exhaust
+// the memory.
+func (b *bodies) receiveParts(parts [][]byte) []port.Record {
 	if len(parts) == 0 {
 		return nil
 	}
@@ -95,20 +98,21 @@
 	for _, packed := range parts {
 		content, err := spread.Unpack(packed)
 		if err != nil {
-			// It names nothing that is missing; the part is asked for again.
+			// Without its content the part's id is unknown. The missing part is
+			// requested again later.
 			continue
 		}
 		id := spread.IDOf(content)
 		if _, lacked := b.missing[id]; lacked {
 			b.parts[id] = &part{packed: packed, content: content}
-			b.taken++
+			b.received++
 		}
 	}
-	return b.settle()
+	return b.assembleComplete()
 }
 
-// get returns a part as it is sent, nil where it isn't held.
-func (b *bodies) get(id spread.PartID) []byte {
+// packedPart returns a part in compressed form, nil if it isn't present.
+func (b *bodies) packedPart(id spread.PartID) []byte {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if held := b.parts[id]; held != nil {
@@ -117,8 +121,8 @@
 	return nil
 }
 
-// lacks returns the parts that are missing.
-func (b *bodies) lacks() []spread.PartID {
+// missingParts returns the ids of the missing parts, sorted.
+func (b *bodies) missingParts() []spread.PartID {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	out := make([]spread.PartID, 0, len(b.missing))
@@ -129,14 +133,14 @@
 	return out
 }
 
-// progress counts the parts that have come.
-func (b *bodies) progress() uint64 {
+// receivedParts returns the number of parts received so far.
+func (b *bodies) receivedParts() uint64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.taken
+	return b.received
 }
 
-// records returns the newest whole version of each record.
+// records returns the newest complete version of each record.
 func (b *bodies) records() []port.Record {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -154,7 +158,7 @@
 	return r, held
 }
 
-// allWhole reports whether each record that is known has a whole version.
+// allWhole reports whether each known record has a complete version.
 func (b *bodies) allWhole() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -166,8 +170,9 @@
 	return true
 }
 
-// know wants b.mu.
-func (b *bodies) know(revision *spread.Revision) {
+// addVersion adds a revision in parts to the known versions. It must be called
+// with b.mu held.
+func (b *bodies) addVersion(revision *spread.Revision) {
 	if len(revision.Parts) == 0 {
 		return
 	}
@@ -178,24 +183,24 @@
 	}
 	known = append(known, *revision)
 	slices.SortStableFunc(known, func(a, b spread.Revision) int { return cmp.Compare(a.Version, b.Version) })
-	if len(known) > keptVersions {
-		oldest := b.oldestToDrop(key, known)
+	if len(known) > maxKeptVersions {
+		oldest := b.indexToDrop(key, known)
 		known = slices.Delete(known, oldest, oldest+1)
 	}
 	b.versions[key] = known
 }
 
-// oldestToDrop is the oldest version but for the one in force, which a daemon
-// that starts now may need. It wants b.mu.
-func (b *bodies) oldestToDrop(key string, known []spread.Revision) int {
+// indexToDrop returns the index of the oldest version other than the one in force,
+// which a starting daemon may need. It must be called with b.mu held.
+func (b *bodies) indexToDrop(key string, known []spread.Revision) int {
 	if held, found := b.whole[key]; found && known[0].Version == held.Version {
 		return 1
 	}
 	return 0
 }
 
-// wholeRevisions returns, for those of the revisions that aren't whole here, the
-// newest that is.
+// wholeRevisions returns the newest complete version of each record whose given
+// revision isn't complete here.
 func (b *bodies) wholeRevisions(revisions []spread.Revision) []spread.Revision {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -211,7 +216,8 @@
 	return out
 }
 
-// revisionOf wants b.mu.
+// revisionOf returns the revision of a complete record, in parts if the version is
+// known in parts. It must be called with b.mu held.
 func (b *bodies) revisionOf(key string, held port.Record) spread.Revision {
 	for _, known := range b.versions[key] {
 		if known.Version == held.Version {
@@ -221,21 +227,22 @@
 	return spread.Revision{Record: held}
 }
 
-// settle puts together what can be, and wants b.mu.
-func (b *bodies) settle() (completed []port.Record) {
+// assembleComplete assembles the versions whose parts are all present, and
+// returns them. It must be called with b.mu held.
+func (b *bodies) assembleComplete() (completed []port.Record) {
 	for key, known := range b.versions {
-		if r, ok := b.newestWhole(key, known); ok {
+		if r, ok := b.assembleNewest(key, known); ok {
 			b.setWhole(r)
 			completed = append(completed, r)
 		}
 	}
-	b.tidy()
+	b.pruneParts()
 	return completed
 }
 
-// newestWhole puts together the newest version of which all parts are held and
-// that is newer than the one held.
-func (b *bodies) newestWhole(key string, known []spread.Revision) (port.Record, bool) {
+// assembleNewest assembles the newest version whose parts are all present and that is
+// newer than the complete one.
+func (b *bodies) assembleNewest(key string, known []spread.Revision) (port.Record, bool) {
 	held, found := b.whole[key]
 	for i := len(known) - 1; i >= 0; i-- {
 		revision := &known[i]
@@ -247,19 +254,20 @@
 			continue
 		}
 		body := bytes.Join(contents, nil)
-		if r, right := revision.Whole(body); right {
-			b.share(revision, contents, body)
+		if r, ok := revision.WithBody(body); ok {
+			b.shareBody(revision, contents, body)
 			return r, true
 		}
-		// The sender hashes otherwise, or two contents share a hash. Fetched anew
-		// they would be the same, over and over; the version before stays.
+		// The sender computes hashes differently, or two contents have the same hash.
+		// Requesting the parts again would give the same result every time, so the
+		// version is discarded and the one before stays in force.
 		b.versions[key] = slices.Delete(slices.Clone(known), i, i+1)
 	}
 	return port.Record{}, false
 }
 
-// contents returns the contents of parts, and whether all are held. It wants
-// b.mu.
+// contents returns the contents of parts, and whether all are present. It must be
+// called with b.mu held.
 func (b *bodies) contents(parts []spread.PartID) ([][]byte, bool) {
 	contents := make([][]byte, len(parts))
 	for i, id := range parts {
@@ -275,7 +283,7 @@
 		}
 		content, err := spread.Unpack(b.parts[id].packed)
 		if err != nil {
-			// Only parts that could be unpacked were taken.
+			// Can't happen: parts that can't be decompressed aren't stored.
 			return nil, false
 		}
 		contents[i] = content
@@ -283,9 +291,9 @@
 	return contents, true
 }
 
-// share has the parts of a body be slices of it, so that no older body is kept
-// for them. It wants b.mu.
-func (b *bodies) share(revision *spread.Revision, contents [][]byte, body []byte) {
+// shareBody makes the contents of the parts slices of the body, so that they
+// don't keep an older body in memory. It must be called with b.mu held.
+func (b *bodies) shareBody(revision *spread.Revision, contents [][]byte, body []byte) {
 	for _, known := range b.versions[spread.RecordKey(revision.Kind, revision.Name)] {
 		for _, id := range known.Parts {
 			if held := b.parts[id]; held != nil {
@@ -299,8 +307,8 @@
 	}
 }
 
-// setWhole reports whether the record is newer than the one held; another
-// changes nothing. It wants b.mu.
+// setWhole stores a record with its body if it is newer than the one present, and
+// reports whether it is. It must be called with b.mu held.
 func (b *bodies) setWhole(r port.Record) bool {
 	key := spread.RecordKey(r.Kind, r.Name)
 	if held, found := b.whole[key]; found && r.Version <= held.Version {
@@ -310,9 +318,9 @@
 	return true
 }
 
-// tidy drops the parts that no kept version has, and works out what is
-// missing. It wants b.mu.
-func (b *bodies) tidy() {
+// pruneParts deletes the parts that no kept version contains, and recomputes the
+// missing ones. It must be called with b.mu held.
+func (b *bodies) pruneParts() {
 	used := map[spread.PartID]struct{}{}
 	clear(b.missing)
 	for key, known := range b.versions {
--- a/internal/core/spread/node/bounds_test.go
+++ b/internal/core/spread/node/bounds_test.go
@@ -8,11 +8,11 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// Hundreds of daemons start together and ask the same one for thousands of
-// endpoints. If each answer is one message, that daemon holds all of them at
-// once and is killed for its memory, and its callers' requests with it.
-func TestMessagesAreBoundedAndNothingIsLeftOut(t *testing.T) {
-	const endpoints, records, most = 5000, 2000, 1000
+// Hundreds of daemons start together and request thousands of endpoints from the
+// same daemon. If each answer were one message, that daemon would have all of them
+// in memory at once and be killed, failing its callers' requests.
+func TestBoundedMessagesSendAllEntries(t *testing.T) {
+	const endpoints, records, maxEntries = 5000, 2000, 1000
 	a, b := New(), New()
 	for i := range endpoints {
 		a.PutEndpoint(membership.Listed(port.Endpoint{ID: fmt.Sprint("runner-", i), Address: "a:1", Incarnation: 1}))
@@ -26,7 +26,7 @@
 	answering.Receive(&ask)
 	for messages := 0; ; messages++ {
 		m := answering.Next()
-		if n := len(m.Endpoints.Entries); n > most {
+		if n := len(m.Endpoints.Entries); n > maxEntries {
 			t.Fatalf("%d endpoints in one message", n)
 		}
 		if m.Complete && b.Records.Len()+len(m.Records.Entries) < records {
@@ -45,10 +45,9 @@
 	}
 }
 
-// A daemon that starts among hundreds is connected to one that all start
-// with. It hears there of the others at once, and of the endpoints once that
-// one is its neighbour.
-func TestHeldEndpointsFollowLater(t *testing.T) {
+// Many daemons connect to the same one when they start. That one sends members at
+// once, but endpoints only when they are no longer held for the link.
+func TestHeldEndpointsAreSentAfterRelease(t *testing.T) {
 	a, b := New(), New()
 	a.PutEndpoint(membership.Listed(port.Endpoint{ID: "runner", Address: "a:1", Incarnation: 1}))
 	a.PutMember(membership.Member{ID: "other", Incarnation: 1, State: port.MemberLive})
@@ -64,17 +63,17 @@
 	}
 	pass()
 	if b.Members.Len() != 1 || b.Endpoints.Len() != 0 {
-		t.Fatalf("%d members and %d endpoints over a link that holds endpoints", b.Members.Len(), b.Endpoints.Len())
+		t.Fatalf("%d members and %d endpoints received while endpoints are held", b.Members.Len(), b.Endpoints.Len())
 	}
 	<-answering.Woken()
 	answering.HoldEndpoints(false)
 	select {
 	case <-answering.Woken():
 	default:
-		t.Fatal("nothing is sent once endpoints are held no more")
+		t.Fatal("the link isn't woken when endpoints are no longer held")
 	}
 	pass()
 	if b.Endpoints.Len() != 1 {
-		t.Fatal("the endpoint never came")
+		t.Fatal("the endpoint didn't arrive")
 	}
 }
--- a/internal/core/spread/node/compat.go
+++ b/internal/core/spread/node/compat.go
@@ -8,12 +8,12 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// While daemons are replaced one after the other, some peers know no parts:
-// they send records with their bodies, and have to be sent bodies.
+// During a rolling upgrade some peers don't support records in parts. They send
+// records with their bodies, and must be sent bodies.
 
-// divide turns large bodies, as peers of an earlier build send them, into
-// parts that are all held.
-func (n *Node) divide(entries []spread.Revision) {
+// divideEntries converts entries with large bodies, as peers of earlier builds
+// send them, to revisions in parts, and stores the bodies.
+func (n *Node) divideEntries(entries []spread.Revision) {
 	for i := range entries {
 		whole := entries[i].Record
 		if len(entries[i].Parts) > 0 {
@@ -21,14 +21,15 @@
 		}
 		revision, parts := spread.Divide(whole)
 		if len(parts) > 0 {
-			n.bodies.put(whole, &revision, parts)
-			n.noteWhole([]port.Record{whole})
+			n.bodies.putWhole(whole, &revision, parts)
+			n.handleCompleted([]port.Record{whole})
 			entries[i] = revision
 		}
 	}
 }
 
-// deferredKeys are records that wait until it is known how a peer takes them.
+// deferredKeys are the keys of records to be sent once it is known whether the peer
+// supports parts.
 type deferredKeys struct {
 	mu   sync.Mutex
 	keys []string
@@ -50,48 +51,52 @@
 	return keys
 }
 
-// asPeerTakes returns revisions as the peer understands them. Until it has said
-// whether it takes parts, those that have some wait: with bodies they would be
-// megabytes on each new link at the moment at which operators write.
-func (l *Link) asPeerTakes(entries []spread.Revision) []spread.Revision {
+// convertForPeer converts revisions to the form that the peer supports. Until the
+// peer's first message shows whether it supports parts, revisions in parts are
+// deferred: sent with their bodies, they would be megabytes on each new link, which
+// delays the versions that operators write at that time.
+func (l *Link) convertForPeer(entries []spread.Revision) []spread.Revision {
 	if l.peerTakesParts.Load() {
 		return entries
 	}
-	if l.heard.Load() {
+	if l.receivedMessage.Load() {
 		return l.node.withBodies(entries)
 	}
-	now := slices.DeleteFunc(entries, func(r spread.Revision) bool {
+	ready := slices.DeleteFunc(entries, func(r spread.Revision) bool {
 		if len(r.Parts) > 0 {
 			l.deferred.add(spread.RecordKey(r.Kind, r.Name))
 		}
 		return len(r.Parts) > 0
 	})
-	if l.heard.Load() {
-		// The first word came in between.
+	if l.receivedMessage.Load() {
+		// The peer's first message arrived in between.
 		l.sendDeferred()
 	}
-	return now
+	return ready
 }
 
-// sendDeferred queues what waited for the peer's first word.
+// sendDeferred queues the records that were deferred until the peer's first
+// message.
 func (l *Link) sendDeferred() {
 	for _, key := range l.deferred.take() {
-		l.records.Dirty(key)
+		l.records.Queue(key)
 	}
 }
 
-// hearPeer takes note of what the peer understands.
-func (l *Link) hearPeer(takesParts bool) {
+// recordPeerSupport records that a message was received and whether the peer
+// supports parts.
+func (l *Link) recordPeerSupport(takesParts bool) {
 	if takesParts {
 		l.peerTakesParts.Store(true)
 	}
-	l.heard.Store(true)
+	l.receivedMessage.Store(true)
 	l.sendDeferred()
 }
 
-// withBodies replaces revisions in parts by the newest versions held whole, for
-// a peer of an earlier build, which would take them for empty. One that isn't
-// whole yet is left out, and sent once it is.
+// withBodies replaces revisions in parts by the newest versions with complete
+// bodies, for a peer of an earlier build, which would take a revision in parts for
+// one with an empty body. A record without a complete body is omitted, and sent
+// once it has one.
 func (n *Node) withBodies(entries []spread.Revision) []spread.Revision {
 	var out []spread.Revision
 	for i := range entries {
--- a/internal/core/spread/node/link.go
+++ b/internal/core/spread/node/link.go
@@ -9,39 +9,40 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// Message is one step of the exchange over a link.
+// Message is one message of the exchange over a link.
 type Message struct {
 	Records   spread.Step[spread.Revision]
 	Endpoints spread.Step[membership.Endpoint]
 	Members   spread.Step[membership.Member]
 	Suspects  spread.Step[quarantine.Suspect]
-	// HighestVersion is the highest record version known anywhere.
+	// HighestVersion is the highest record version that any daemon is known to have.
 	HighestVersion uint64
-	// Complete: the sender holds a complete set of records, and with this
-	// message the receiver has had all of it.
+	// Complete is set if the sender has a complete set of records, and has sent all
+	// of it to the receiver with this message.
 	Complete bool
-	// Parts are packed pieces of records' bodies that the receiver asked for,
-	// WantedParts name those that the sender asks for.
+	// Parts are the compressed parts of bodies that the receiver requested,
+	// WantedParts the ids of the parts that the sender requests.
 	Parts       [][]byte
 	WantedParts []spread.PartID
-	// Fallbacks are the newest versions that the sender holds whole, for those of
-	// Records that it doesn't. The daemon that had the newest may be gone with
-	// parts that nobody else got; one that starts then has something to serve by.
+	// Fallbacks are the newest complete versions of those of Records whose bodies
+	// the sender doesn't have. The only daemon with all parts of the newest version
+	// may have failed; a daemon that starts then can use the version before.
 	Fallbacks []spread.Revision
-	// TakesParts: the sender understands records in parts. It is said once.
+	// TakesParts is set in the first message on a link if the sender supports
+	// records in parts.
 	TakesParts bool
 }
 
-// Empty reports whether the message says nothing new.
+// Empty reports whether the message has no content.
 func (m *Message) Empty() bool {
 	return m.Records.Empty() && m.Endpoints.Empty() && m.Members.Empty() && m.Suspects.Empty() &&
 		m.HighestVersion == 0 && !m.Complete &&
 		len(m.Parts) == 0 && len(m.WantedParts) == 0 && !m.TakesParts
 }
 
-// askAgainTicks is how many heartbeats a node that isn't complete waits for an
-// answer before it asks again.
-const askAgainTicks = 3
+// repairRequestTicks is the number of ticks after which a node that isn't complete
+// repeats its request for a repair of the records.
+const repairRequestTicks = 3
 
 // Link is one end of a connection to another node.
 type Link struct {
@@ -52,26 +53,27 @@
 	members   *spread.Exchange[membership.Member]
 	suspects  *spread.Exchange[quarantine.Suspect]
 	parts     partExchange
-	woken     chan struct{}
-	// answered is set once the peer's bucket digests were compared: from
-	// then on a message that says Complete is.
-	answered     atomic.Bool
-	saidComplete atomic.Bool
-	saidHighest  atomic.Uint64
-	// peerComplete: the peer said that it holds a complete set.
+	wakeups   chan struct{}
+	// bucketsCompared is set once the peer's bucket digests were compared. Only
+	// then can the end that isn't the initiator have sent all that the peer
+	// lacks, so only then it may send Complete.
+	bucketsCompared    atomic.Bool
+	sentComplete       atomic.Bool
+	sentHighestVersion atomic.Uint64
+	// peerComplete is set once the peer has sent Complete.
 	peerComplete atomic.Bool
-	// peerTakesParts: the peer said that it understands records in parts.
+	// peerTakesParts is set once the peer has sent TakesParts.
 	peerTakesParts atomic.Bool
-	saidTakesParts atomic.Bool
-	// heard: the peer has said something.
-	heard atomic.Bool
-	// deferred are the records in parts that wait for the peer's first word.
+	sentTakesParts atomic.Bool
+	// receivedMessage is set once a message from the peer was received.
+	receivedMessage atomic.Bool
+	// deferred are the records in parts that wait for the peer's first message.
 	deferred deferredKeys
-	// holdsEndpoints: what is new of endpoints stays queued.
-	holdsEndpoints atomic.Bool
-	// peer names the other end in what is told of records.
+	// endpointsPaused keeps changes of endpoints in the queue.
+	endpointsPaused atomic.Bool
+	// peer is the name of the other end, for the Listener.
 	peer atomic.Pointer[string]
-	// ticks counts towards the next time an incomplete node asks again.
+	// ticks counts the ticks while the node isn't complete, see repairRequestTicks.
 	ticks atomic.Uint32
 }
 
@@ -83,7 +85,7 @@
 		endpoints: spread.NewExchange(n.Endpoints, initiator),
 		members:   spread.NewExchange(n.Members, initiator),
 		suspects:  spread.NewExchange(n.suspects, initiator),
-		woken:     make(chan struct{}, 1),
+		wakeups:   make(chan struct{}, 1),
 	}
 	n.mu.Lock()
 	n.links[l] = struct{}{}
@@ -91,7 +93,7 @@
 	return l
 }
 
-// SetPeer names the other end.
+// SetPeer sets the name of the other end that the Listener gets.
 func (l *Link) SetPeer(name string) { l.peer.Store(&name) }
 
 func (l *Link) peerName() string {
@@ -106,37 +108,37 @@
 	l.node.mu.Lock()
 	delete(l.node.links, l)
 	l.node.mu.Unlock()
-	l.node.askAnotherLink()
+	l.node.requestFromAnotherLink()
 }
 
-// Woken yields a value when there is something to send.
-func (l *Link) Woken() <-chan struct{} { return l.woken }
+// Woken returns a channel that receives a value when there is something to send.
+func (l *Link) Woken() <-chan struct{} { return l.wakeups }
 
 func (l *Link) wake() {
 	select {
-	case l.woken <- struct{}{}:
+	case l.wakeups <- struct{}{}:
 	default:
 	}
 }
 
-// HoldEndpoints keeps endpoints back, or sends them again.
+// HoldEndpoints stops the sending of endpoints, or resumes it.
 func (l *Link) HoldEndpoints(hold bool) {
-	if l.holdsEndpoints.Swap(hold) && !hold {
+	if l.endpointsPaused.Swap(hold) && !hold {
 		l.wake()
 	}
 }
 
-// wakeForMore has the rest sent that a bounded message left.
-func (l *Link) wakeForMore() {
-	if l.records.More() || l.members.More() || l.suspects.More() || l.parts.more(l.node.bodies) || !l.holdsEndpoints.Load() && l.endpoints.More() {
+// wakeIfMore wakes the link if data remains that didn't fit into the message.
+func (l *Link) wakeIfMore() {
+	if l.records.HasMore() || l.members.HasMore() || l.suspects.HasMore() || l.parts.hasMore(l.node.bodies) || !l.endpointsPaused.Load() && l.endpoints.HasMore() {
 		l.wake()
 	}
 }
 
 // Tick compares digests; call it once per heartbeat.
 func (l *Link) Tick() {
-	if !l.node.Complete() && l.ticks.Add(1)%askAgainTicks == 0 {
-		l.records.Ask()
+	if !l.node.Complete() && l.ticks.Add(1)%repairRequestTicks == 0 {
+		l.records.RequestRepair()
 	}
 	l.records.Tick()
 	l.endpoints.Tick()
@@ -145,55 +147,55 @@
 	l.parts.tick(l.node.bodies)
 }
 
-// Next returns what to send now; it may be empty.
+// Next returns the next message to send; it may be empty.
 func (l *Link) Next() Message {
-	// Whether the node is complete is read before its records: read after,
-	// a list that ends in between would vouch for records not sent.
-	complete := l.node.Complete() && (l.initiator || l.answered.Load())
-	defer l.wakeForMore()
+	// Completeness is read before the records. Otherwise a list that ends in
+	// between could make the message complete without the list's last records.
+	complete := l.node.Complete() && (l.initiator || l.bucketsCompared.Load())
+	defer l.wakeIfMore()
 	m := Message{Records: l.records.Next(), Members: l.members.Next(), Suspects: l.suspects.Next()}
-	if !l.holdsEndpoints.Load() {
+	if !l.endpointsPaused.Load() {
 		m.Endpoints = l.endpoints.Next()
 	}
 	m.Fallbacks = l.node.bodies.wholeRevisions(m.Records.Entries)
-	m.Records.Entries = l.asPeerTakes(m.Records.Entries)
+	m.Records.Entries = l.convertForPeer(m.Records.Entries)
 	m.WantedParts, m.Parts = l.parts.next(l.node.bodies)
-	m.TakesParts = !l.saidTakesParts.Swap(true)
-	if highest := l.node.HighestKnown(); highest > l.saidHighest.Load() {
+	m.TakesParts = !l.sentTakesParts.Swap(true)
+	if highest := l.node.HighestKnown(); highest > l.sentHighestVersion.Load() {
 		m.HighestVersion = highest
-		l.saidHighest.Store(highest)
+		l.sentHighestVersion.Store(highest)
 	}
-	if complete && !l.records.More() && !l.saidComplete.Swap(true) {
+	if complete && !l.records.HasMore() && !l.sentComplete.Swap(true) {
 		m.Complete = true
 	}
 	return m
 }
 
-// Receive merges a message and passes on what it changed.
+// Receive merges a message and queues its changes for the other links.
 func (l *Link) Receive(m *Message) {
-	raise(&l.node.highestKnown, m.HighestVersion)
-	l.hearPeer(m.TakesParts)
+	storeMax(&l.node.highestKnown, m.HighestVersion)
+	l.recordPeerSupport(m.TakesParts)
 	l.receiveRecords(m)
 	l.receiveEndpoints(m)
 	for _, v := range l.members.Receive(&m.Members) {
-		l.node.spread(l, func(o *Link) { o.members.Dirty(v.ID) })
+		l.node.queueForLinks(l, func(o *Link) { o.members.Queue(v.ID) })
 	}
 	for _, v := range l.suspects.Receive(&m.Suspects) {
-		l.node.spread(l, func(o *Link) { o.suspects.Dirty(quarantine.Order{}.Key(v)) })
+		l.node.queueForLinks(l, func(o *Link) { o.suspects.Queue(quarantine.Order{}.Key(v)) })
 	}
 	if len(m.Records.BucketDigests) > 0 {
-		l.answered.Store(true)
-		l.saidComplete.Store(false)
+		l.bucketsCompared.Store(true)
+		l.sentComplete.Store(false)
 	}
-	l.takeOver(m)
-	// Repairs and what is to be sent back go out at once.
+	l.updateComplete(m)
+	// Repairs and differing entries are sent without waiting for a tick.
 	l.wake()
 }
 
 func (l *Link) receiveEndpoints(m *Message) {
 	newest := port.StoreRevision(0)
 	for _, e := range l.endpoints.Receive(&m.Endpoints) {
-		l.node.spread(l, func(o *Link) { o.endpoints.Dirty(e.ID) })
+		l.node.queueForLinks(l, func(o *Link) { o.endpoints.Queue(e.ID) })
 		newest = max(newest, e.EntryRevision)
 	}
 	if l.node.listener != nil && newest.Era() > 0 {
@@ -201,18 +203,18 @@
 	}
 }
 
-// takeOver decides whether this node is complete now. The initiator is with
-// the answer to its first message. The other end is once both hold the same:
-// a keeper that starts while the platform is down becomes complete through
-// the routers that connect to it.
-func (l *Link) takeOver(m *Message) {
+// updateComplete makes this node complete if the peer's complete set has been
+// received. At the initiator that is so with a message that has Complete set. At
+// the other end it is once both have the same records: a keeper that starts while
+// the platform is down becomes complete through the routers that connect to it.
+func (l *Link) updateComplete(m *Message) {
 	if m.Complete {
 		l.peerComplete.Store(true)
 	}
 	if l.node.Complete() || !l.peerComplete.Load() {
 		return
 	}
-	if l.initiator && m.Complete || l.records.Agrees() {
-		l.node.becomeComplete()
+	if l.initiator && m.Complete || l.records.InSync() {
+		l.node.setRevisionsComplete()
 	}
 }
--- a/internal/core/spread/node/node.go
+++ b/internal/core/spread/node/node.go
@@ -1,6 +1,6 @@
-// Package node joins the tables of one daemon (records, endpoints, members)
-// with its links to others. It knows no sockets and no clock: an adapter
-// carries the messages of a Link and calls Tick.
+// Package node combines the replicated tables of one daemon (records, endpoints,
+// members, suspects) with its links to other daemons. It uses no sockets and no
+// clock: an adapter transfers the messages of a Link and calls Tick.
 package node
 
 import (
@@ -13,25 +13,26 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// Node is the state of one daemon. It is safe for concurrent use.
+// Node is the replicated state of one daemon. It is safe for concurrent use.
 type Node struct {
-	// Records holds revisions; the bodies of large ones may still be on their
-	// way, see Whole.
+	// Records holds revisions. Parts of large bodies may not have arrived yet, see
+	// Whole.
 	Records   *spread.Table[spread.Revision]
 	Endpoints *spread.Table[membership.Endpoint]
 	Members   *spread.Table[membership.Member]
 	suspects  *spread.Table[quarantine.Suspect]
 
-	// highestHeld is the highest record version held, highestKnown the
-	// highest that any daemon is known to hold.
+	// highestHeld is the highest record version that this node has with its body,
+	// highestKnown the highest that any daemon is known to have.
 	highestHeld  atomic.Uint64
 	highestKnown atomic.Uint64
 	complete     atomic.Bool
 
-	// bodies holds what the revisions leave out.
+	// bodies holds the bodies of the records and their parts.
 	bodies *bodies
-	// completeOnceWhole: all records that make the set complete are known.
-	completeOnceWhole atomic.Bool
+	// revisionsComplete is set once the revisions are a complete set. The node
+	// becomes complete when each record has a body.
+	revisionsComplete atomic.Bool
 
 	listener Listener
 
@@ -53,78 +54,82 @@
 	}
 }
 
-// Listener is told of versions of records.
+// Listener receives events about records and about the era of the platform's
+// store.
 type Listener interface {
-	// RecordHeard tells of a version that is new here, of the peer that it came
-	// from, empty for the platform, and how many parts of bodies are missing now.
+	// RecordHeard is called for a version that is new to this node. from is the
+	// peer that sent it, empty for the platform; missing is the number of parts of
+	// bodies that are missing now.
 	RecordHeard(r *spread.Revision, from string, missing int)
-	// RecordWhole tells of a version of which all parts have come.
+	// RecordWhole is called for a version in parts once all its parts are present.
 	RecordWhole(r *port.Record)
-	// EraHeard tells of a revision of the platform's store that a peer passed on
-	// with an endpoint, from the eras in which a store has come back from a copy.
+	// EraHeard is called for a revision of the platform's store that a peer sent
+	// with an endpoint, if its era isn't 0, so the store was restored from a backup.
 	EraHeard(at port.StoreRevision, from string)
 }
 
-// SetListener is called before any link is opened.
+// SetListener must be called before any link is opened.
 func (n *Node) SetListener(l Listener) { n.listener = l }
 
-func (n *Node) heardRecord(r *spread.Revision, from string) {
+func (n *Node) reportRecordHeard(r *spread.Revision, from string) {
 	if n.listener != nil {
-		n.listener.RecordHeard(r, from, len(n.bodies.lacks()))
+		n.listener.RecordHeard(r, from, len(n.bodies.missingParts()))
 	}
 }
 
-// PutRecord merges a record from the platform and passes it on.
+// PutRecord merges a record from the platform and queues it for all links.
 func (n *Node) PutRecord(r port.Record) bool {
 	revision, parts := spread.Divide(r)
 	merged := n.Records.Merge(revision)
-	// A peer may have told of the version before; its body is new all the same.
-	if newer := n.bodies.put(r, &revision, parts); !merged && !newer {
+	// A peer may have sent this revision before without the body, so the body may be
+	// new even if the revision isn't.
+	if newer := n.bodies.putWhole(r, &revision, parts); !merged && !newer {
 		return false
 	}
-	raise(&n.highestKnown, r.Version)
-	n.heardRecord(&revision, "")
-	n.noteWhole([]port.Record{r})
+	storeMax(&n.highestKnown, r.Version)
+	n.reportRecordHeard(&revision, "")
+	n.handleCompleted([]port.Record{r})
 	key := spread.RecordKey(r.Kind, r.Name)
-	n.spread(nil, func(l *Link) {
+	n.queueForLinks(nil, func(l *Link) {
 		if merged {
-			l.records.Dirty(key)
+			l.records.Queue(key)
 		}
 	})
 	return true
 }
 
-// Whole returns the newest version of each record that is held with its whole
-// body, deleted ones included.
+// Whole returns the newest version of each record whose body is complete,
+// including deleted records.
 func (n *Node) Whole() []port.Record { return n.bodies.records() }
 
-// WholeRecord returns the newest version of one record that is held whole.
+// WholeRecord returns the newest version of a record whose body is complete.
 func (n *Node) WholeRecord(kind, name string) (port.Record, bool) {
 	return n.bodies.record(spread.RecordKey(kind, name))
 }
 
-// MissingParts counts the parts of newer versions that are on their way.
-func (n *Node) MissingParts() int { return len(n.bodies.lacks()) }
+// MissingParts returns the number of missing parts of newer versions.
+func (n *Node) MissingParts() int { return len(n.bodies.missingParts()) }
 
-// noteWhole takes note of versions that are whole from now on.
-func (n *Node) noteWhole(records []port.Record) {
+// handleCompleted handles versions whose bodies have become complete.
+func (n *Node) handleCompleted(records []port.Record) {
 	for i := range records {
-		raise(&n.highestHeld, records[i].Version)
+		storeMax(&n.highestHeld, records[i].Version)
 		if n.listener != nil && spread.InParts(&records[i]) {
 			n.listener.RecordWhole(&records[i])
 		}
 	}
-	if n.completeOnceWhole.Load() && n.bodies.allWhole() {
+	if n.revisionsComplete.Load() && n.bodies.allWhole() {
 		n.SetComplete()
 	}
 	if len(records) > 0 {
-		n.tellWhole(records)
+		n.announceCompleted(records)
 	}
 }
 
-// tellWhole tells those who wait on Changed, and the peers that take no parts
-// and so could not be told of the versions before.
-func (n *Node) tellWhole(records []port.Record) {
+// announceCompleted closes the channel of Changed, and queues versions in parts
+// for the peers that don't support parts and couldn't be sent these versions
+// before.
+func (n *Node) announceCompleted(records []port.Record) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for l := range n.links {
@@ -133,7 +138,7 @@
 		}
 		for i := range records {
 			if spread.InParts(&records[i]) {
-				l.records.Dirty(spread.RecordKey(records[i].Kind, records[i].Name))
+				l.records.Queue(spread.RecordKey(records[i].Kind, records[i].Name))
 				l.wake()
 			}
 		}
@@ -141,24 +146,25 @@
 	n.notify()
 }
 
-// becomeComplete says that all records of a complete set are known. Where
-// bodies are on their way the set is complete once each has come.
-func (n *Node) becomeComplete() {
-	n.completeOnceWhole.Store(true)
-	n.noteWhole(nil)
+// setRevisionsComplete records that the revisions are a complete set. If bodies are
+// missing, the node becomes complete once each record has a body.
+func (n *Node) setRevisionsComplete() {
+	n.revisionsComplete.Store(true)
+	n.handleCompleted(nil)
 }
 
-// PutEndpoint merges an endpoint state and passes it on.
+// PutEndpoint merges an endpoint state. It queues a change for all links, and
+// reports whether there was one.
 func (n *Node) PutEndpoint(e membership.Endpoint) bool {
 	changed := n.Endpoints.Merge(e)
 	if changed {
-		n.spread(nil, func(l *Link) { l.endpoints.Dirty(e.ID) })
+		n.queueForLinks(nil, func(l *Link) { l.endpoints.Queue(e.ID) })
 	}
 	return changed
 }
 
-// ForgetDeparted forgets the endpoints that have left so long ago that nobody has
-// to be told of it any more, and returns them.
+// ForgetDeparted removes the endpoints that departed so long ago that their state
+// needn't be replicated any more, and returns their ids.
 func (n *Node) ForgetDeparted() []string {
 	ids := membership.Forgettable(n.Endpoints.All())
 	if len(ids) == 0 {
@@ -173,56 +179,58 @@
 	return ids
 }
 
-// Suspects returns the requests under which endpoints have crashed.
+// Suspects returns the table of requests during which endpoints have crashed.
 func (n *Node) Suspects() *spread.Table[quarantine.Suspect] { return n.suspects }
 
-// PutSuspect merges what is known of a request and passes it on.
+// PutSuspect merges the state of a suspected request. It queues a change for all
+// links, and reports whether there was one.
 func (n *Node) PutSuspect(s quarantine.Suspect) bool {
 	changed := n.suspects.Merge(s)
 	if changed {
-		n.spread(nil, func(l *Link) { l.suspects.Dirty(quarantine.Order{}.Key(s)) })
+		n.queueForLinks(nil, func(l *Link) { l.suspects.Queue(quarantine.Order{}.Key(s)) })
 	}
 	return changed
 }
 
-// PutMember merges a member state and passes it on.
+// PutMember merges a member state. It queues a change for all links, and reports
+// whether there was one.
 func (n *Node) PutMember(m membership.Member) bool {
 	changed := n.Members.Merge(m)
 	if changed {
-		n.spread(nil, func(l *Link) { l.members.Dirty(m.ID) })
+		n.queueForLinks(nil, func(l *Link) { l.members.Queue(m.ID) })
 	}
 	return changed
 }
 
-// spread marks a change on all links but the one it came from, and tells
-// those who wait on Changed.
-func (n *Node) spread(from *Link, mark func(l *Link)) {
+// queueForLinks calls queue for all links except from, wakes them, and closes the
+// channel of Changed.
+func (n *Node) queueForLinks(from *Link, queue func(l *Link)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for l := range n.links {
 		if l != from {
-			mark(l)
+			queue(l)
 			l.wake()
 		}
 	}
 	n.notify()
 }
 
-// notify wants n.mu.
+// notify closes the channel of Changed. It must be called with n.mu held.
 func (n *Node) notify() {
 	close(n.changed)
 	n.changed = make(chan struct{})
 }
 
-// Changed is closed at the next change of any table.
+// Changed returns a channel that is closed at the next change of any table.
 func (n *Node) Changed() <-chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.changed
 }
 
-// WakeLinks makes every link send what it has, for adapters that have more to
-// say than messages hold.
+// WakeLinks wakes every link so that its adapter sends. Adapters use it when they
+// have data of their own to send with the messages.
 func (n *Node) WakeLinks() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -231,8 +239,8 @@
 	}
 }
 
-// SetComplete says that the records held are a complete set: the platform's
-// list was read, or a complete peer's state was taken over.
+// SetComplete marks the records as a complete set: the platform's list was read,
+// or the state of a complete peer was received.
 func (n *Node) SetComplete() {
 	if n.complete.Swap(true) {
 		return
@@ -248,16 +256,17 @@
 // Complete reports whether the node has had a complete set of records.
 func (n *Node) Complete() bool { return n.complete.Load() }
 
-// HighestHeld is the highest record version held here.
+// HighestHeld returns the highest record version that this node has with its body.
 func (n *Node) HighestHeld() uint64 { return n.highestHeld.Load() }
 
-// HighestKnown is the highest record version known to be held anywhere.
+// HighestKnown returns the highest record version that any daemon is known to
+// have.
 func (n *Node) HighestKnown() uint64 { return n.highestKnown.Load() }
 
-// CaughtUp reports whether nothing newer is known to be held elsewhere.
+// CaughtUp reports whether no daemon is known to have a newer version.
 func (n *Node) CaughtUp() bool { return n.HighestHeld() >= n.HighestKnown() }
 
-func raise(a *atomic.Uint64, v uint64) {
+func storeMax(a *atomic.Uint64, v uint64) {
 	for {
 		old := a.Load()
 		if v <= old || a.CompareAndSwap(old, v) {
--- a/internal/core/spread/node/parts.go
+++ b/internal/core/spread/node/parts.go
@@ -7,83 +7,88 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/core/spread"
 )
 
-// Bounds of what a link carries of parts.
+// Limits for the transfer of parts over a link.
 const (
-	// messageParts bounds the packed parts of one message, in bytes but for
-	// the last one. Heartbeats wait behind a message, and a link without one
-	// for a second is cut: this is 13 ms of a link of 10 Mbit/s.
-	messageParts = 16 << 10
-	// maxOwed bounds the parts that a peer can ask for and that aren't sent
-	// yet; the largest record has some hundred.
-	maxOwed = 4096
-	// askAnewTicks is how many ticks without any part pass before a link asks
-	// again for what it has asked for already.
-	askAnewTicks = 4
+	// maxMessagePartBytes limits the compressed parts of one message, in bytes;
+	// the last part may exceed it. Heartbeats wait behind a message, and a link
+	// without a heartbeat for a second is closed. This size takes 13 ms at 10
+	// Mbit/s.
+	maxMessagePartBytes = 16 << 10
+	// maxRequestedParts limits the parts that a peer can have requested and not
+	// been sent yet. The largest record has about a hundred parts.
+	maxRequestedParts = 4096
+	// repeatRequestTicks is the number of ticks without any new part after which
+	// a link repeats its requests.
+	repeatRequestTicks = 4
 )
 
-// partExchange is one end of a link, for the parts of records. Each daemon asks
-// one neighbour for the parts that it lacks, the one that told it of the
-// version first, and is sent them as that neighbour gets them: a part crosses
-// to each daemon once, however many neighbours it has.
+// partExchange transfers parts of records over one end of a link. A daemon requests
+// missing parts from one neighbour only, the first that sent the version. That
+// neighbour sends them as it gets them itself. So each part is sent to each daemon
+// once, however many neighbours it has.
 type partExchange struct {
 	mu sync.Mutex
-	// asked are those asked of the peer and not come yet, ask those to ask for
-	// with the next message.
-	asked map[spread.PartID]struct{}
-	ask   []spread.PartID
-	// owed are those that the peer asked for, in its order.
-	owed []spread.PartID
-	// progress is the node's at the last tick, idle the ticks since it moved.
-	progress uint64
-	idle     int
+	// requested are the parts requested from the peer that haven't arrived, toRequest
+	// those of them to request with the next message.
+	requested map[spread.PartID]struct{}
+	toRequest []spread.PartID
+	// toSend are the parts that the peer requested, in the order of its requests.
+	toSend []spread.PartID
+	// receivedAtLastTick is the node's number of received parts at the last tick,
+	// idleTicks the number of consecutive ticks in which parts were missing and
+	// none arrived.
+	receivedAtLastTick uint64
+	idleTicks          int
 }
 
-// want asks for parts that were not asked for yet.
-func (x *partExchange) want(parts []spread.PartID) (asks bool) {
+// request adds parts to the next request, unless they were requested from this peer
+// already. It reports whether there is something to request.
+func (x *partExchange) request(parts []spread.PartID) (pending bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	for _, id := range parts {
-		if _, done := x.asked[id]; done {
+		if _, found := x.requested[id]; found {
 			continue
 		}
-		if x.asked == nil {
-			x.asked = map[spread.PartID]struct{}{}
+		if x.requested == nil {
+			x.requested = map[spread.PartID]struct{}{}
 		}
-		x.asked[id] = struct{}{}
-		x.ask = append(x.ask, id)
+		x.requested[id] = struct{}{}
+		x.toRequest = append(x.toRequest, id)
 	}
-	return len(x.ask) > 0
+	return len(x.toRequest) > 0
 }
 
-func (x *partExchange) hasAsked(id spread.PartID) bool {
+func (x *partExchange) hasRequested(id spread.PartID) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	_, asked := x.asked[id]
-	return asked
+	_, found := x.requested[id]
+	return found
 }
 
-// owe notes what the peer asks for.
-func (x *partExchange) owe(parts []spread.PartID) {
+// addPeerRequests records the parts that the peer requests.
+func (x *partExchange) addPeerRequests(parts []spread.PartID) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	for _, id := range parts {
-		if len(x.owed) < maxOwed && !slices.Contains(x.owed, id) {
-			x.owed = append(x.owed, id)
+		if len(x.toSend) < maxRequestedParts && !slices.Contains(x.toSend, id) {
+			x.toSend = append(x.toSend, id)
 		}
 	}
 }
 
-// next returns what to ask for, and the parts held that the peer asked for.
-func (x *partExchange) next(b *bodies) (ask []spread.PartID, parts [][]byte) {
+// next returns the parts to request, and those of the peer's requested parts that
+// this node has, up to the limit of a message.
+func (x *partExchange) next(b *bodies) (requests []spread.PartID, parts [][]byte) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	ask, x.ask = x.ask, nil
+	requests, x.toRequest = x.toRequest, nil
 	size := 0
-	x.owed = slices.DeleteFunc(x.owed, func(id spread.PartID) bool {
-		if size >= messageParts {
+	x.toSend = slices.DeleteFunc(x.toSend, func(id spread.PartID) bool {
+		if size >= maxMessagePartBytes {
 			return false
 		}
-		packed := b.get(id)
+		packed := b.packedPart(id)
 		if packed == nil {
 			return false
 		}
@@ -91,86 +96,88 @@
 		size += len(packed)
 		return true
 	})
-	return ask, parts
+	return requests, parts
 }
 
-// more reports whether there is something to send.
-func (x *partExchange) more(b *bodies) bool {
+// hasMore reports whether there are requests or requested parts to send.
+func (x *partExchange) hasMore(b *bodies) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return len(x.ask) > 0 || slices.ContainsFunc(x.owed, func(id spread.PartID) bool { return b.get(id) != nil })
+	return len(x.toRequest) > 0 || slices.ContainsFunc(x.toSend, func(id spread.PartID) bool { return b.packedPart(id) != nil })
 }
 
-// tick asks this peer, too, for what is missing once no part has come from
-// anyone for a whole tick: the neighbour that was asked may be gone, frozen or
-// cut off, or may wait for the same parts itself.
+// tick requests the missing parts from this peer too once no part arrived from any
+// peer for two ticks. The neighbour they were requested from may have failed, be
+// frozen or unreachable, or lack the same parts itself.
 func (x *partExchange) tick(b *bodies) {
-	missing, progress := b.lacks(), b.progress()
+	missing, received := b.missingParts(), b.receivedParts()
 	x.mu.Lock()
-	stalled := len(missing) > 0 && progress == x.progress
-	x.progress = progress
+	stalled := len(missing) > 0 && received == x.receivedAtLastTick
+	x.receivedAtLastTick = received
 	if !stalled {
-		x.idle = 0
-	} else if x.idle++; x.idle%askAnewTicks == 0 {
-		clear(x.asked)
+		x.idleTicks = 0
+	} else if x.idleTicks++; x.idleTicks%repeatRequestTicks == 0 {
+		clear(x.requested)
 	}
-	idle := x.idle
+	idle := x.idleTicks
 	x.mu.Unlock()
 	if idle > 1 {
-		x.want(missing)
+		x.request(missing)
 	}
 }
 
-// forget drops what was asked for and has come, or is wanted no more.
-func (x *partExchange) forget(missing []spread.PartID) {
+// dropObsoleteRequests removes requested parts that have arrived or are no longer
+// needed.
+func (x *partExchange) dropObsoleteRequests(missing []spread.PartID) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	for id := range x.asked {
+	for id := range x.requested {
 		if _, still := slices.BinarySearch(missing, id); !still {
-			delete(x.asked, id)
+			delete(x.requested, id)
 		}
 	}
 }
 
-// receiveRecords takes the versions and the parts of a message, and asks for
-// what is missing now.
+// receiveRecords merges the revisions and parts of a message, and requests the
+// parts that are missing then.
 func (l *Link) receiveRecords(m *Message) {
 	n := l.node
-	n.divide(m.Records.Entries)
+	n.divideEntries(m.Records.Entries)
 	if len(m.Parts) > 0 {
-		n.noteWhole(n.bodies.take(m.Parts))
-		n.passOnParts()
+		n.handleCompleted(n.bodies.receiveParts(m.Parts))
+		n.wakeLinksWithParts()
 	}
 	for _, r := range l.records.Receive(&m.Records) {
-		raise(&n.highestKnown, r.Version)
-		completed := n.bodies.expect(&r)
-		n.heardRecord(&r, l.peerName())
-		n.noteWhole(completed)
+		storeMax(&n.highestKnown, r.Version)
+		completed := n.bodies.addRevision(&r)
+		n.reportRecordHeard(&r, l.peerName())
+		n.handleCompleted(completed)
 		key := spread.RecordKey(r.Kind, r.Name)
-		n.spread(l, func(o *Link) { o.records.Dirty(key) })
+		n.queueForLinks(l, func(o *Link) { o.records.Queue(key) })
 	}
 	for i := range m.Fallbacks {
-		n.noteWhole(n.bodies.expect(&m.Fallbacks[i]))
+		n.handleCompleted(n.bodies.addRevision(&m.Fallbacks[i]))
 	}
-	l.parts.owe(m.WantedParts)
-	missing := n.bodies.lacks()
-	l.parts.forget(missing)
-	l.parts.want(n.unasked(missing))
+	l.parts.addPeerRequests(m.WantedParts)
+	missing := n.bodies.missingParts()
+	l.parts.dropObsoleteRequests(missing)
+	l.parts.request(n.unrequested(missing))
 }
 
-// passOnParts has the links send what their peers asked for and is held now.
-func (n *Node) passOnParts() {
+// wakeLinksWithParts wakes the links that can send parts which their peers requested.
+func (n *Node) wakeLinksWithParts() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for l := range n.links {
-		if l.parts.more(n.bodies) {
+		if l.parts.hasMore(n.bodies) {
 			l.wake()
 		}
 	}
 }
 
-// unasked returns the missing parts that no peer was asked for.
-func (n *Node) unasked(missing []spread.PartID) []spread.PartID {
+// unrequested returns the missing parts that weren't requested from any peer. It
+// overwrites missing.
+func (n *Node) unrequested(missing []spread.PartID) []spread.PartID {
 	if len(missing) == 0 {
 		return nil
 	}
@@ -178,7 +185,7 @@
 	defer n.mu.Unlock()
 	return slices.DeleteFunc(missing, func(id spread.PartID) bool {
 		for l := range n.links {
-			if l.parts.hasAsked(id) {
+			if l.parts.hasRequested(id) {
 				return true
 			}
 		}
@@ -186,17 +193,17 @@
 	})
 }
 
-// askAnotherLink has one of the links that are left ask for what was asked of
-// a peer that is gone.
-func (n *Node) askAnotherLink() {
-	missing := n.unasked(n.bodies.lacks())
+// requestFromAnotherLink requests the parts that were requested over a closed
+// link from the peer of one of the remaining links.
+func (n *Node) requestFromAnotherLink() {
+	missing := n.unrequested(n.bodies.missingParts())
 	if len(missing) == 0 {
 		return
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for l := range n.links {
-		if l.parts.want(missing) {
+		if l.parts.request(missing) {
 			l.wake()
 			return
 		}
--- a/internal/core/spread/node/spread_test.go
+++ b/internal/core/spread/node/spread_test.go
@@ -16,15 +16,17 @@
 	keepers = 3
 	routers = 3
 	names   = 4
-	// healRounds of a tick and a delivery on every link bring all together;
-	// a digest mismatch needs up to five ticks to be asked about, per hop.
+	// healRounds is the number of rounds, each with a tick and the delivery of all
+	// messages on every link, in which all nodes converge. With differing digests,
+	// a repair is requested after up to five ticks per hop.
 	healRounds = 24
 )
 
 func nameOf(i int) string { return fmt.Sprintf("r%d", i) }
 
-// bodyOf is the only body that the platform ever gave to a version. Every other
-// one is large enough to be passed on in parts, most of which it shares.
+// bodyOf returns the body that the platform gave to a version, the same one every
+// time. Odd versions have bodies that are large enough to be sent in parts, and
+// share most of these.
 func bodyOf(version uint64, deleted bool) []byte {
 	if deleted {
 		return nil
@@ -47,49 +49,51 @@
 	return largeBodies[version]
 }
 
-// largeBodies are those made so far; a thousand checks ask for the same few.
+// largeBodies caches the bodies of odd versions, as the checks use the same few
+// thousands of times.
 var largeBodies = map[uint64][]byte{}
 
-// floors holds a version per record.
-type floors [names]uint64
+// versions holds a version per record.
+type versions [names]uint64
 
-func lowest(a, b floors) floors {
+func minVersions(a, b versions) versions {
 	for i := range a {
 		a[i] = min(a[i], b[i])
 	}
 	return a
 }
 
-// daemon is one node with what the oracle knows of it.
+// daemon is a node with the state that the test's model keeps of it.
 type daemon struct {
 	node *Node
 	// floor is the highest version seen at the node, per record.
-	floor floors
-	// base is what the node must hold once it is complete.
-	base floors
+	floor versions
+	// base is the lowest version that the node must have once it is complete, per
+	// record.
+	base versions
 }
 
-// wire is one link: two ends and the messages on their way.
+// wire is a connection: two link ends and the messages in flight.
 type wire struct {
 	a, b     int
 	ends     [2]*Link
 	inFlight [2][]Message
 }
 
-// system is the state machine: a platform, keepers in a ring, routers at one
-// keeper each, and links that lose, delay, reorder and repeat messages.
-type system struct {
-	platform   floors
+// simulation simulates a platform, keepers in a ring, routers connected to one keeper
+// each, and links that lose, delay, reorder and repeat messages.
+type simulation struct {
+	platform   versions
 	tombstones [names]bool
 	version    uint64
 	down       bool
 	daemons    [keepers + routers]*daemon
 	wires      []*wire
-	homeOf     [routers]int
+	keeperOf   [routers]int
 }
 
-func newSystem() *system {
-	s := &system{}
+func newSystem() *simulation {
+	s := &simulation{}
 	for i := range s.daemons {
 		s.daemons[i] = &daemon{node: New()}
 	}
@@ -97,28 +101,28 @@
 		s.connect(i, (i+1)%keepers)
 	}
 	for r := range routers {
-		s.homeOf[r] = r % keepers
-		s.connect(keepers+r, s.homeOf[r])
+		s.keeperOf[r] = r % keepers
+		s.connect(keepers+r, s.keeperOf[r])
 	}
 	return s
 }
 
-func (s *system) connect(initiator, to int) {
+func (s *simulation) connect(initiator, to int) {
 	s.wires = append(s.wires, &wire{
 		a: initiator, b: to,
 		ends: [2]*Link{s.daemons[initiator].node.Open(true), s.daemons[to].node.Open(false)},
 	})
 }
 
-// reset replaces a wire by a new connection; what was in flight is lost.
-func (s *system) reset(w *wire) {
+// reset replaces a connection by a new one; the messages in flight are lost.
+func (s *simulation) reset(w *wire) {
 	w.ends[0].Close()
 	w.ends[1].Close()
 	w.ends = [2]*Link{s.daemons[w.a].node.Open(true), s.daemons[w.b].node.Open(false)}
 	w.inFlight = [2][]Message{}
 }
 
-func (s *system) record(i int) port.Record {
+func (s *simulation) record(i int) port.Record {
 	v := s.platform[i]
 	return port.Record{
 		Kind: port.ObjectRoutingConfiguration, Name: nameOf(i), Version: v,
@@ -126,14 +130,14 @@
 	}
 }
 
-func (s *system) write(i int, deleted bool) {
+func (s *simulation) write(i int, deleted bool) {
 	s.version++
 	s.platform[i] = s.version
 	s.tombstones[i] = deleted
 }
 
-// list is a keeper's read of the platform's whole list.
-func (s *system) list(keeper int) {
+// list simulates that a keeper reads the platform's complete list.
+func (s *simulation) list(keeper int) {
 	for i := range names {
 		if s.platform[i] > 0 {
 			s.daemons[keeper].node.PutRecord(s.record(i))
@@ -142,17 +146,17 @@
 	s.daemons[keeper].node.SetComplete()
 }
 
-// restart loses all that the daemon held. Its base is what every daemon is
-// sure to hand over: the least of what the complete ones hold now.
-func (s *system) restart(i int) {
+// restart replaces a daemon by one without state. Its base is the lowest version of
+// each record that any other daemon has, or has to have once it is complete.
+func (s *simulation) restart(i int) {
 	base := s.platform
 	for j, d := range s.daemons {
 		switch {
 		case j == i:
 		case d.node.Complete():
-			base = lowest(base, d.floor)
+			base = minVersions(base, d.floor)
 		default:
-			base = lowest(base, d.base)
+			base = minVersions(base, d.base)
 		}
 	}
 	s.daemons[i] = &daemon{node: New(), base: base}
@@ -163,14 +167,14 @@
 	}
 }
 
-func (s *system) send(w *wire, end int) {
+func (s *simulation) send(w *wire, end int) {
 	if m := w.ends[end].Next(); !m.Empty() {
 		w.inFlight[end] = append(w.inFlight[end], m)
 	}
 }
 
-// deliver hands over one message; with keep it will come again.
-func (s *system) deliver(w *wire, end, at int, keep bool) {
+// deliver delivers one message. With keep it stays in flight and is delivered again.
+func (s *simulation) deliver(w *wire, end, at int, keep bool) {
 	m := w.inFlight[end][at]
 	if !keep {
 		w.inFlight[end] = slices.Delete(w.inFlight[end], at, at+1)
@@ -178,20 +182,20 @@
 	w.ends[1-end].Receive(&m)
 }
 
-// check is the oracle: nothing goes back, nothing is made up, and a node that
-// says it is complete holds what it must.
-func (s *system) check(t *rapid.T) {
+// check verifies that no record goes back to an older version, that all records have
+// contents that the platform wrote, and that a complete node has at least its base.
+func (s *simulation) check(t *rapid.T) {
 	for i, d := range s.daemons {
 		for _, r := range d.node.Whole() {
 			var n int
 			if _, err := fmt.Sscanf(r.Name, "r%d", &n); err != nil {
-				t.Fatalf("daemon %d holds %q", i, r.Name)
+				t.Fatalf("daemon %d has a record with the unknown name %q", i, r.Name)
 			}
 			if r.Version < d.floor[n] {
 				t.Fatalf("daemon %d went back from %d to %d on %s", i, d.floor[n], r.Version, r.Name)
 			}
 			if r.Version > s.platform[n] || string(r.Body) != string(bodyOf(r.Version, r.Deleted)) {
-				t.Fatalf("daemon %d holds what the platform never gave: %+v", i, r)
+				t.Fatalf("daemon %d has a record that the platform never wrote: %+v", i, r)
 			}
 			d.floor[n] = r.Version
 		}
@@ -200,15 +204,15 @@
 		}
 		for n := range names {
 			if d.floor[n] < d.base[n] {
-				t.Fatalf("daemon %d is complete with %s at %d, below %d that all others held when it started",
+				t.Fatalf("daemon %d is complete with %s at version %d, below version %d that all others had when it started",
 					i, nameOf(n), d.floor[n], d.base[n])
 			}
 		}
 	}
 }
 
-// heal lets every message through for a bounded number of heartbeats.
-func (s *system) heal() {
+// heal delivers all messages for healRounds ticks.
+func (s *simulation) heal() {
 	for range healRounds {
 		for _, w := range s.wires {
 			w.ends[0].Tick()
@@ -227,7 +231,7 @@
 	}
 }
 
-func (s *system) checkConverged(t *rapid.T) {
+func (s *simulation) checkConverged(t *rapid.T) {
 	want := s.daemons[0].node.Records.Digest()
 	complete := false
 	for _, d := range s.daemons {
@@ -235,22 +239,22 @@
 	}
 	for i, d := range s.daemons {
 		if got := d.node.Records.Digest(); got != want {
-			t.Fatalf("after healing daemon %d differs from daemon 0: %v and %v", i, held(d.node), held(s.daemons[0].node))
+			t.Fatalf("after healing, daemon %d differs from daemon 0: %v and %v", i, heldVersions(d.node), heldVersions(s.daemons[0].node))
 		}
 		if complete && !d.node.Complete() {
-			t.Fatalf("after healing daemon %d is not complete although others are", i)
+			t.Fatalf("after healing, daemon %d isn't complete although others are", i)
 		}
 		if !s.down {
 			for n := range names {
 				if s.platform[n] > 0 && d.floor[n] != s.platform[n] {
-					t.Fatalf("after healing daemon %d holds %s at %d, the platform at %d", i, nameOf(n), d.floor[n], s.platform[n])
+					t.Fatalf("after healing, daemon %d has %s at version %d, the platform at %d", i, nameOf(n), d.floor[n], s.platform[n])
 				}
 			}
 		}
 	}
 }
 
-func held(n *Node) []string {
+func heldVersions(n *Node) []string {
 	var out []string
 	for _, r := range n.Whole() {
 		out = append(out, fmt.Sprintf("%s@%d", r.Name, r.Version))
@@ -259,16 +263,16 @@
 	return out
 }
 
-// A router or keeper must never show a caller an older record than before,
-// whatever the links do to the messages and whoever restarts, with the
-// platform up or down; and once the links work again all must hold the same,
-// the platform's newest if it can be read.
-func TestSpreadAgainstFloors(t *testing.T) {
+// A router or keeper must never serve an older version of a record than before,
+// whatever happens to messages, whichever daemons restart, and whether the platform
+// is up or down. Once the links work again all daemons must have the same records,
+// and the platform's newest ones if it is up.
+func TestRecordsNeverGoBackAndConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSystem()
-		if rapid.Bool().Draw(t, "begin settled") {
-			// All hold the same and are complete, as after some hours of
-			// work: then a daemon that starts has something to miss.
+		if rapid.Bool().Draw(t, "start synchronised") {
+			// All daemons have the same records and are complete, as in normal
+			// operation, so that a restarted daemon can miss some.
 			for i := range names {
 				s.write(i, false)
 			}
@@ -336,16 +340,16 @@
 	})
 }
 
-// A watch misses one change and says nothing; the change reached another
-// keeper. Nothing else changes after it, so no delta will ever mention it.
-// The digests differ, and within a few heartbeats the record is there.
-func TestDigestsFindWhatADeltaMissed(t *testing.T) {
+// A change reaches one keeper, but its delta to another is lost. Nothing changes
+// afterwards, so no later delta contains it. The digests differ, and the record must
+// arrive within a few ticks.
+func TestDigestsDetectLostDelta(t *testing.T) {
 	a, b := New(), New()
 	a.SetComplete()
 	w := &wire{ends: [2]*Link{b.Open(true), a.Open(false)}}
-	s := &system{wires: []*wire{w}}
+	s := &simulation{wires: []*wire{w}}
 	s.heal()
-	// Merged past the links, as if its delta had been lost.
+	// Merged without queueing it for the links, as if its delta had been lost.
 	a.Records.Merge(spread.Revision{Record: port.Record{Kind: "k", Name: "n", Version: 7, Body: []byte("{}")}})
 	s.heal()
 	if r, ok := b.Records.Get(spread.RecordKey("k", "n")); !ok || r.Version != 7 {
@@ -353,17 +357,18 @@
 	}
 }
 
-// chain joins nodes one after the other.
-func chain(nodes ...*Node) *system {
-	s := &system{}
+// chain connects nodes in a line.
+func chain(nodes ...*Node) *simulation {
+	s := &simulation{}
 	for i := range len(nodes) - 1 {
 		s.wires = append(s.wires, &wire{ends: [2]*Link{nodes[i].Open(true), nodes[i+1].Open(false)}})
 	}
 	return s
 }
 
-// pass hands over all that the links have to say, without a heartbeat.
-func (s *system) pass() (messages int) {
+// pass delivers the next message of each link end, without a tick, and returns the
+// number of messages.
+func (s *simulation) pass() (messages int) {
 	for _, w := range s.wires {
 		for end := range 2 {
 			s.send(w, end)
@@ -376,9 +381,9 @@
 	return messages
 }
 
-// A change goes from link to link by itself: waiting for a heartbeat to show a
-// differing digest at each hop would take seconds for each.
-func TestDeltaCrossesLinksWithoutAHeartbeat(t *testing.T) {
+// A change must be forwarded over several links without ticks: if each hop waited
+// for a tick to detect a differing digest, it would take seconds per hop.
+func TestDeltaIsForwardedWithoutTicks(t *testing.T) {
 	a, b, c := New(), New(), New()
 	s := chain(a, b, c)
 	s.heal()
@@ -387,14 +392,15 @@
 		s.pass()
 	}
 	if c.HighestHeld() != 7 {
-		t.Fatalf("two links further the highest version is %d", c.HighestHeld())
+		t.Fatalf("the highest version after two hops is %d, want 7", c.HighestHeld())
 	}
 }
 
-// The message with a digest was lost, so one end takes the other for different
-// from then on. It asks, and the answer must end that: a link that goes on
-// asking costs every daemon half a kilobyte every few seconds, for ever.
-func TestLostDigestDoesNotKeepALinkBusy(t *testing.T) {
+// The message with the newest digest was lost, so one end has an old digest of the
+// other. It requests a repair, and the answer must update the digest. A link that
+// repeats the request costs every daemon half a kilobyte every few seconds, for
+// ever.
+func TestLostDigestDoesNotCauseEndlessRepairs(t *testing.T) {
 	a, b := New(), New()
 	s := chain(b, a)
 	a.SetComplete()
@@ -405,26 +411,26 @@
 	stale := w.ends[1].Next()
 	b.Records.Merge(spread.Revision{Record: port.Record{Kind: "k", Name: "n", Version: 8, Body: []byte("{}")}})
 	s.heal()
-	// The old digest arrives last of all.
+	// The old digest arrives after all other messages.
 	w.ends[0].Receive(&stale)
 	s.heal()
 	for range healRounds {
 		s.wires[0].ends[0].Tick()
 		s.wires[0].ends[1].Tick()
 		if n := s.pass(); n > 0 {
-			t.Fatalf("%d messages on a settled link", n)
+			t.Fatalf("%d messages on a synchronised link", n)
 		}
 	}
 }
 
-// All keepers restart while the platform is down; the routers hold the
-// records. The first router to connect hands them over, and only then may the
-// keeper call itself complete.
-func TestKeeperLearnsFromRouters(t *testing.T) {
+// All keepers restart while the platform is down, and only routers have the records.
+// A keeper must get them from the first router that connects and become complete
+// then, and so must a router that starts and connects to this keeper.
+func TestKeeperReceivesRecordsFromRouters(t *testing.T) {
 	router, keeper, started := New(), New(), New()
 	router.PutRecord(port.Record{Kind: "k", Name: "n", Version: 7, Body: []byte("{}")})
 	router.SetComplete()
-	s := &system{wires: []*wire{
+	s := &simulation{wires: []*wire{
 		{ends: [2]*Link{router.Open(true), keeper.Open(false)}},
 		{ends: [2]*Link{started.Open(true), keeper.Open(false)}},
 	}}
@@ -436,12 +442,12 @@
 	}
 }
 
-// All keepers have restarted, the platform is down, and one router alone holds
-// the records. Its first message, with the word that it is complete, is lost
-// on the way and the link stays up. Neither end would say it again by itself;
-// the keeper that isn't complete has to ask. Found by TestSpreadAgainstFloors
-// with -rapid.seed=6034927673869743753 -rapid.steps=120.
-func TestLostFirstWordOfTheOnlyCompleteRouter(t *testing.T) {
+// All keepers have restarted, the platform is down, and only one router has the
+// records. Its first message, which has Complete set, is lost while the link stays
+// open. The router doesn't repeat it unasked, so the keeper has to request a repair.
+// TestRecordsNeverGoBackAndConverge shows this failure with
+// -rapid.seed=6034927673869743753 -rapid.steps=120.
+func TestLostFirstMessageOfOnlyCompleteRouter(t *testing.T) {
 	router, keeper := New(), New()
 	router.PutRecord(port.Record{Kind: "k", Name: "n", Version: 7, Body: []byte("{}")})
 	router.SetComplete()
@@ -454,15 +460,15 @@
 	}
 }
 
-// A router moves to a keeper that holds a newer version, and the first message of
-// either end is lost; nothing changes afterwards. The router has never heard the
-// keeper's digest, so it saw no difference to ask about, and its callers stayed
-// on the old version. Found by TestSpreadAgainstFloors with -rapid.seed=136237.
-func TestFirstMessagesOfBothEndsAreLost(t *testing.T) {
+// A router connects to a keeper that has a newer version, and the first messages of
+// both ends are lost; nothing changes afterwards. If a missing digest didn't count as
+// a difference, the router would request no repair and stay on the old version.
+// TestRecordsNeverGoBackAndConverge shows this failure with -rapid.seed=136237.
+func TestLostFirstMessagesOfBothEnds(t *testing.T) {
 	router, keeper := New(), New()
-	router.PutRecord(large(1))
+	router.PutRecord(largeRecord(1))
 	router.SetComplete()
-	keeper.PutRecord(large(3))
+	keeper.PutRecord(largeRecord(3))
 	keeper.SetComplete()
 	s := chain(router, keeper)
 	for end := range 2 {
@@ -470,13 +476,14 @@
 		s.wires[0].inFlight[end] = nil
 	}
 	s.heal()
-	if !holds(router, 3) {
-		t.Fatalf("the router still holds version %d", router.HighestHeld())
+	if !hasVersion(router, 3) {
+		t.Fatalf("the router still has version %d, want 3", router.HighestHeld())
 	}
 }
 
-// A new router hears of a version before it has it: it must not serve below.
-func TestKnownButNotHeldIsNotCaughtUp(t *testing.T) {
+// A new router learns of a newer version before it has it. It must not count as
+// caught up until then.
+func TestNotCaughtUpWithoutHighestKnownVersion(t *testing.T) {
 	n := New()
 	l := n.Open(true)
 	l.Receive(&Message{HighestVersion: 9, Complete: true})
@@ -485,6 +492,6 @@
 	}
 	n.PutRecord(port.Record{Kind: "k", Name: "n", Version: 9})
 	if !n.CaughtUp() {
-		t.Fatal("holds the version and is not caught up")
+		t.Fatal("not caught up although it has the highest known version")
 	}
 }
--- a/internal/core/spread/parts.go
+++ b/internal/core/spread/parts.go
@@ -10,27 +10,29 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// PartID names a part of a record's body by the hash of its content, so that
-// parts that two versions share are known to be the same.
+// PartID is the hash of the content of a part of a record's body. Parts shared by
+// two versions have the same id.
 type PartID uint64
 
-// Sizes of parts, in bytes before they are packed. A change of one route among
-// thousands costs the parts that it touches and the list of all parts: smaller
-// parts make the first cheaper and the second longer.
+// Sizes of parts, in bytes before compression. Changing one route among thousands
+// requires sending the affected parts and the list of all part ids. Smaller parts
+// reduce the former and lengthen the latter.
 const (
-	minPart = 2 << 10
-	maxPart = 32 << 10
-	// cutMask has a cut follow one in 4,096 bytes past the least size.
-	cutMask = 1<<12 - 1
+	minPartSize = 2 << 10
+	maxPartSize = 32 << 10
+	// boundaryMask selects on average one in 4,096 bytes beyond the minimum size
+	// as the end of a part.
+	boundaryMask = 1<<12 - 1
 )
 
-// ErrPart is a part that can't be unpacked.
-var ErrPart = merry.Sentinel("spread: part can't be unpacked")
+// ErrInvalidPart is the error for a part that can't be decompressed.
+var ErrInvalidPart = merry.Sentinel("spread: part can't be unpacked")
 
-// IDOf is the id of a part's content.
+// IDOf returns the id of a part with this content.
 func IDOf(content []byte) PartID { return PartID(xxhash.Sum64(content)) }
 
-// gear gives each byte a number, the same in all builds.
+// gear maps each byte value to a fixed pseudo-random number for the rolling hash
+// of Cut. It must be the same in all builds.
 var gear = func() (out [256]uint64) {
 	for i := range out {
 		out[i] = xxhash.Sum64([]byte{byte(i)})
@@ -38,16 +40,17 @@
 	return out
 }()
 
-// Cut divides content where the bytes themselves say so: a change moves no cut
-// but those next to it, so that all other parts stay as they were.
-func Cut(content []byte) [][]byte {
+// Split divides content by content-defined chunking: a rolling hash of the bytes
+// determines the boundaries. A change only moves the boundaries near it, so all
+// other parts stay the same.
+func Split(content []byte) [][]byte {
 	var parts [][]byte
 	begin := 0
 	var rolling uint64
 	for i, b := range content {
 		rolling = rolling<<1 + gear[b]
 		size := i + 1 - begin
-		if size >= maxPart || size >= minPart && rolling>>32&cutMask == 0 {
+		if size >= maxPartSize || size >= minPartSize && rolling>>32&boundaryMask == 0 {
 			parts = append(parts, content[begin:i+1])
 			begin, rolling = i+1, 0
 		}
@@ -58,19 +61,19 @@
 	return parts
 }
 
-var packers = sync.Pool{New: func() any {
+var compressors = sync.Pool{New: func() any {
 	w, err := flate.NewWriter(io.Discard, flate.DefaultCompression)
 	if err != nil {
-		// Only an unknown level is an error.
+		// NewWriter fails only for an invalid compression level.
 		panic(err)
 	}
 	return w
 }}
 
-// Pack compresses a part for the way.
+// Pack compresses the content of a part for transfer.
 func Pack(content []byte) []byte {
-	w := packers.Get().(*flate.Writer)
-	defer packers.Put(w)
+	w := compressors.Get().(*flate.Writer)
+	defer compressors.Put(w)
 	var out bytes.Buffer
 	w.Reset(&out)
 	// A buffer's Write never fails.
@@ -79,14 +82,15 @@
 	return out.Bytes()
 }
 
-// Unpack returns the content of a packed part.
+// Unpack returns the content of a compressed part. Content larger than the largest
+// part is an error, so that a peer can't exhaust the memory.
 func Unpack(packed []byte) ([]byte, error) {
-	content, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxPart+1))
+	content, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxPartSize+1))
 	if err != nil {
-		return nil, merry.Prepend(ErrPart, err.Error())
+		return nil, merry.Prepend(ErrInvalidPart, err.Error())
 	}
-	if len(content) > maxPart {
-		return nil, merry.Prepend(ErrPart, "too large")
+	if len(content) > maxPartSize {
+		return nil, merry.Prepend(ErrInvalidPart, "content larger than the largest part")
 	}
 	return content, nil
 }
--- a/internal/core/spread/records.go
+++ b/internal/core/spread/records.go
@@ -8,35 +8,37 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// HashKey is the hash that all daemons place keys with.
+// HashKey hashes a key. It must be the same on all daemons, as it determines
+// buckets and ring positions.
 func HashKey(key string) uint64 { return xxhash.Sum64String(key) }
 
-// Revision is one version of a record as daemons pass it on. The body of a
-// large one is left out and named by its parts: whole bodies of a megabyte, to
-// all neighbours for each version, fill slow links for seconds, and what else
-// is to be sent waits behind them.
+// Revision is one version of a record as it is replicated. A large body is
+// replaced by the ids of its parts. Sending a body of a megabyte to all neighbours
+// for each version would occupy slow links for seconds and delay all other
+// messages.
 type Revision struct {
 	port.Record
-	// Parts name the pieces of the body in order; Body is empty then.
+	// Parts are the ids of the parts of the body, in order. If set, Body is empty.
 	Parts []PartID
-	// Sum is the hash of the record with its whole body, set with Parts.
+	// Sum is the hash of the record including its body. It is set together with
+	// Parts.
 	Sum uint64
 }
 
-// divideOver is the size of a body, in bytes, from which on it is passed on in
-// parts. Below it the parts' names and the calls for them save nothing.
-const divideOver = 8 << 10
+// minDividedSize is the size of a body, in bytes, from which it is sent in parts. For
+// smaller bodies, part ids and requests for parts cost more than they save.
+const minDividedSize = 8 << 10
 
-// InParts reports whether a record's body is passed on in parts.
-func InParts(r *port.Record) bool { return len(r.Body) >= divideOver }
+// InParts reports whether the record's body is sent in parts.
+func InParts(r *port.Record) bool { return len(r.Body) >= minDividedSize }
 
-// Divide returns a record's revision and the contents of its parts, none for a
-// small body.
+// Divide returns the revision of a record and the contents of its parts. A small
+// body has no parts and stays in the revision.
 func Divide(r port.Record) (Revision, [][]byte) {
 	if !InParts(&r) {
 		return Revision{Record: r}, nil
 	}
-	parts := Cut(r.Body)
+	parts := Split(r.Body)
 	out := Revision{Record: r, Sum: hashRecord(&r)}
 	out.Body = nil
 	for _, part := range parts {
@@ -45,26 +47,25 @@
 	return out, parts
 }
 
-// Whole returns the record with its body put together, and whether that is the
-// body that was divided.
-func (r *Revision) Whole(body []byte) (port.Record, bool) {
+// WithBody returns the record with the given body, and whether its hash is Sum.
+func (r *Revision) WithBody(body []byte) (port.Record, bool) {
 	whole := r.Record
 	whole.Body = body
 	return whole, hashRecord(&whole) == r.Sum
 }
 
-// RecordOrder orders revisions of a record by the platform's version, the
-// only order between them.
+// RecordOrder is the semilattice of revisions of a record, ordered by the
+// version that the platform assigned.
 type RecordOrder struct{}
 
-// Key is kind/name.
+// Key returns the key of the record, kind/name.
 func (RecordOrder) Key(r Revision) string { return RecordKey(r.Kind, r.Name) }
 
-// RecordKey is the key of a record.
+// RecordKey returns the key of the record with this kind and name.
 func RecordKey(kind, name string) string { return kind + "/" + name }
 
-// Join keeps the larger version. Two different bodies at one version can't
-// come from the platform; the tie is broken by content so that even then all
+// Join returns the larger version. The platform never gives two contents the same
+// version; if it happens nevertheless, the tie is broken by content so that all
 // daemons agree.
 func (o RecordOrder) Join(a, b Revision) Revision {
 	if a.Version != b.Version {
@@ -91,8 +92,8 @@
 	return b
 }
 
-// Hash covers key, version and content. It is the same for a revision in parts
-// and for one with its body, so that daemons that know only the latter agree.
+// Hash covers key, version and content. A revision with parts and one with the
+// body have the same hash, so that daemons that support only the latter agree.
 func (RecordOrder) Hash(r Revision) uint64 {
 	if len(r.Parts) > 0 {
 		return r.Sum
--- a/internal/core/spread/table.go
+++ b/internal/core/spread/table.go
@@ -1,7 +1,6 @@
-// Package spread brings the newest known state to every daemon: tables that
-// only grow in the order of a semilattice, and the exchange by which two
-// daemons bring their tables to the same state. It knows no sockets and no
-// clock.
+// Package spread replicates state to every daemon by anti-entropy gossip. It has
+// tables whose entries are join-semilattices, and the exchange by which two daemons
+// synchronise their tables. It uses no sockets and no clock.
 package spread
 
 import (
@@ -10,28 +9,30 @@
 	"sync/atomic"
 )
 
-// Buckets is the number of parts of a table that digests are kept for. Each
-// has its own lock.
+// Buckets is the number of shards of a table. Each has its own digest and its own
+// lock.
 const Buckets = 64
 
-// Order is how the entries of a table grow. Join must be commutative,
-// associative and idempotent; then daemons that hear the same entries, in
-// whatever order and however often, hold the same state.
+// Order is the semilattice of the entries of a table. Join must be commutative,
+// associative and idempotent; then daemons that receive the same entries, in any
+// order and any number of times, have the same state.
 type Order[T any] interface {
 	Key(v T) string
 	Join(a, b T) T
-	// Hash is equal for equal states and covers all that Join compares.
+	// Hash is equal for equal states and covers all fields that Join compares.
 	Hash(v T) uint64
 }
 
-// Table holds the newest state of each key. It is safe for concurrent use.
+// Table holds the join of all merged states of each key. It is safe for concurrent
+// use.
 type Table[T any] struct {
 	order  Order[T]
 	hash   func(key string) uint64
 	shards [Buckets]tableShard[T]
-	// followers is replaced whole, as Merge reads it under a shard's lock.
-	followers atomic.Pointer[[]*Changes[T]]
-	following sync.Mutex
+	// followers is replaced as a whole, with followersMu held, since Merge and
+	// Remove read it with only a shard's lock held.
+	followers   atomic.Pointer[[]*Changes[T]]
+	followersMu sync.Mutex
 }
 
 type tableShard[T any] struct {
@@ -40,8 +41,8 @@
 	digest  uint64
 }
 
-// NewTable returns an empty table. The hash places keys in buckets and must
-// be the same at all daemons.
+// NewTable returns an empty table. The hash assigns keys to buckets and must be the
+// same on all daemons.
 func NewTable[T any](order Order[T], hash func(key string) uint64) *Table[T] {
 	t := &Table[T]{order: order, hash: hash}
 	for i := range t.shards {
@@ -53,9 +54,9 @@
 // Bucket returns the bucket of a key.
 func (t *Table[T]) Bucket(key string) int { return int(t.hash(key) % Buckets) }
 
-// Merge joins v into the table and reports whether that changed the entry.
-// An entry that is older than the one held changes nothing: this is the
-// floor below which a table never goes, whatever the source.
+// Merge joins v into the table and reports whether that changed the entry. A state
+// older than the present one changes nothing, so an entry never goes back,
+// whatever the source of v.
 func (t *Table[T]) Merge(v T) bool {
 	key := t.order.Key(v)
 	s := &t.shards[t.Bucket(key)]
@@ -74,15 +75,16 @@
 		return false
 	}
 	s.entries[key] = joined
-	// The digest is a sum, so one entry's change needs no other entry.
+	// The digest is a sum of hashes, so it can be updated without reading the other
+	// entries.
 	s.digest += after - before
 	t.noteChange(key)
 	return true
 }
 
-// Remove forgets an entry, as nothing in an order ever does. What a peer still
-// holds comes back with the next repair: entries that are removed need an end of
-// life by which peers refuse them.
+// Remove deletes an entry, which the join of an Order never does. If a peer still
+// has the entry, the next repair restores it. So entries may be removed only by a
+// rule that all daemons apply.
 func (t *Table[T]) Remove(key string) {
 	s := &t.shards[t.Bucket(key)]
 	s.mu.Lock()
@@ -130,7 +132,7 @@
 	}
 }
 
-// Len counts the entries.
+// Len returns the number of entries.
 func (t *Table[T]) Len() int {
 	n := 0
 	for i := range t.shards {
@@ -141,7 +143,7 @@
 	return n
 }
 
-// Digests returns the sum of entry hashes of each bucket.
+// Digests returns the sum of the entry hashes of each bucket.
 func (t *Table[T]) Digests() [Buckets]uint64 {
 	var out [Buckets]uint64
 	for i := range t.shards {
@@ -152,7 +154,7 @@
 	return out
 }
 
-// Digest returns the sum over all buckets.
+// Digest returns the sum of the digests of all buckets.
 func (t *Table[T]) Digest() uint64 {
 	var sum uint64
 	for _, d := range t.Digests() {
