--- a/internal/core/record/convert.go
+++ b/internal/core/record/convert.go
@@ -9,36 +9,37 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// reshape turns a value from one schema's form into the other's. What the
-// new form has no place for comes back as kept; ok is false for a value that
-// has no counterpart at all.
-type reshape func(v any) (moved, kept any, ok bool)
+// convertValue converts a value from the form of one schema to that of the other.
+// If the new form can't represent all of the value, kept is the original value.
+// ok is false for a value without a counterpart.
+type convertValue func(v any) (moved, kept any, ok bool)
 
-// restore joins a converted value with what was kept of its former self.
-// Moved is nil where the field is gone.
-type restore func(moved, kept any) any
+// joinValues combines a converted value with the original value that was kept.
+// moved is nil if the field was removed.
+type joinValues func(moved, kept any) any
 
-// move says where one field stands in either schema.
-type move struct {
+// fieldMapping maps the path of a field in schema 1 to its path in schema 2.
+type fieldMapping struct {
 	v1, v2 string
-	// up and down are nil for a value that is the same in both.
-	up, down reshape
-	// join restores the v2 value; the v1 values never keep a rest.
-	join restore
+	// toV2 and toV1 are nil for a value that is the same in both schemas.
+	toV2, toV1 convertValue
+	// join restores the v2 value. Nothing has to be kept of v1 values, as schema
+	// 2 can represent them completely.
+	join joinValues
 }
 
-// mapping is what the schemas of one kind have in common.
-type mapping struct {
-	moves []move
-	// v1Top and v2Top are all known fields at the top of a spec. Others keep
-	// their place in both schemas.
-	v1Top, v2Top []string
+// kindMapping maps the fields that both schemas of a kind have.
+type kindMapping struct {
+	fields []fieldMapping
+	// v1Fields and v2Fields are the known top-level fields of a spec. Other
+	// fields have the same place in both schemas.
+	v1Fields, v2Fields []string
 }
 
-var mappings = map[string]mapping{
+var mappings = map[string]kindMapping{
 	port.ObjectRoutingConfiguration: {
-		moves: []move{
-			{v1: "model", v2: "models", up: wrapModel, down: firstModel, join: joinModels},
+		fields: []fieldMapping{
+			{v1: "model", v2: "models", toV2: modelToList, toV1: listToModel, join: joinModels},
 			{v1: "weights.overflow", v2: "weights.stall"},
 			{v1: "weights.gap", v2: "weights.token_gap"},
 			{v1: "weights.prefill", v2: "weights.prefill"},
@@ -48,51 +49,51 @@
 			{v1: "hold_limit_ms", v2: "limits.hold_ms"},
 			{v1: "queue_limit", v2: "limits.queue"},
 		},
-		v1Top: []string{"model", "weights", "overflow_limit", "batch_limit", "hold_limit_ms", "queue_limit"},
-		v2Top: []string{"models", "weights", "limits"},
+		v1Fields: []string{"model", "weights", "overflow_limit", "batch_limit", "hold_limit_ms", "queue_limit"},
+		v2Fields: []string{"models", "weights", "limits"},
 	},
 	port.ObjectOrganisationPriority: {
-		moves: []move{
+		fields: []fieldMapping{
 			{v1: "organisation", v2: "organisation"},
 			{v1: "priority", v2: "priority"},
 			{v1: "share", v2: "share"},
 			{v1: "tokens_per_second", v2: "limits.tokens_per_second"},
 			{v1: "concurrency", v2: "limits.concurrency"},
-			{v1: "key_sha256", v2: "keys", up: wrapKeys, down: keyHashes, join: joinKeys},
+			{v1: "key_sha256", v2: "keys", toV2: hashesToKeys, toV1: keysToHashes, join: joinKeys},
 		},
-		v1Top: []string{"organisation", "priority", "share", "tokens_per_second", "concurrency", "key_sha256"},
-		v2Top: []string{"organisation", "priority", "share", "limits", "keys"},
+		v1Fields: []string{"organisation", "priority", "share", "tokens_per_second", "concurrency", "key_sha256"},
+		v2Fields: []string{"organisation", "priority", "share", "limits", "keys"},
 	},
 	port.ObjectDomainEvacuation: {
-		moves: []move{
+		fields: []fieldMapping{
 			{v1: "reason", v2: "reason"},
 			{v1: "requested_by", v2: "requested_by"},
 			{v1: "since", v2: "since"},
 		},
-		v1Top: []string{"reason", "requested_by", "since"},
-		v2Top: []string{"reason", "requested_by", "since"},
+		v1Fields: []string{"reason", "requested_by", "since"},
+		v2Fields: []string{"reason", "requested_by", "since"},
 	},
 	port.ObjectRequestQuarantine: {
-		moves: []move{{v1: "requests", v2: "requests"}},
-		v1Top: []string{"requests"},
-		v2Top: []string{"requests"},
+		fields:   []fieldMapping{{v1: "requests", v2: "requests"}},
+		v1Fields: []string{"requests"},
+		v2Fields: []string{"requests"},
 	},
 	port.ObjectModelDeployment: {
-		moves: []move{
+		fields: []fieldMapping{
 			{v1: "model", v2: "model"},
 			{v1: "version", v2: "revision.version"},
 			{v1: "adapters", v2: "revision.adapters"},
 			{v1: "replicas", v2: "placement.replicas"},
 			{v1: "role", v2: "placement.role"},
 		},
-		v1Top: []string{"model", "version", "replicas", "adapters", "role"},
-		v2Top: []string{"model", "revision", "placement", "rollout"},
+		v1Fields: []string{"model", "version", "replicas", "adapters", "role"},
+		v2Fields: []string{"model", "revision", "placement", "rollout"},
 	},
 }
 
-// Convert returns the document in another schema version. Converting back
-// gives the same document again: what the target has no place for travels in
-// the field carried.
+// Convert returns the document in another schema version. Converting it back gives
+// the same document: fields that the target can't represent are kept in the field
+// carried.
 func (d *Document) Convert(schemaVersion int) (*Document, error) {
 	if schemaVersion < SchemaV1 || schemaVersion > LatestSchema {
 		return nil, merry.Prependf(ErrNewerSchema, "no schema version %d", schemaVersion)
@@ -101,10 +102,10 @@
 		return d, nil
 	}
 	m := mappings[d.Kind]
-	up := schemaVersion > d.SchemaVersion
-	spec, rest := m.transfer(d.spec, up)
+	toV2 := schemaVersion > d.SchemaVersion
+	spec, rest := m.convertFields(d.spec, toV2)
 	if d.carried != nil {
-		spec = m.overlay(d.carried.spec, spec, up)
+		spec = m.mergeCarried(d.carried.spec, spec, toV2)
 	}
 	out := &Document{
 		SchemaVersion: schemaVersion, Kind: d.Kind, Name: d.Name,
@@ -116,15 +117,15 @@
 	return out, nil
 }
 
-// transfer moves the fields that both schemas know, and the top fields that
-// neither knows; rest is all else.
-func (m mapping) transfer(from object, up bool) (to, rest object) {
+// convertFields returns in to the converted fields that both schemas have and the
+// top-level fields that neither has. rest has all other fields.
+func (m kindMapping) convertFields(from object, toV2 bool) (to, rest object) {
 	rest, to = cloneObject(from), object{}
-	for _, mv := range m.moves {
-		mv.apply(rest, to, up)
+	for _, mv := range m.fields {
+		mv.apply(rest, to, toV2)
 	}
 	for name, v := range rest {
-		if !slices.Contains(m.v1Top, name) && !slices.Contains(m.v2Top, name) {
+		if !slices.Contains(m.v1Fields, name) && !slices.Contains(m.v2Fields, name) {
 			to[name] = v
 			delete(rest, name)
 		}
@@ -132,43 +133,44 @@
 	return to, rest
 }
 
-func (mv *move) apply(rest, to object, up bool) {
-	source, target, change := mv.v1, mv.v2, mv.up
-	if !up {
-		source, target, change = mv.v2, mv.v1, mv.down
+func (mv *fieldMapping) apply(rest, to object, toV2 bool) {
+	source, target, convert := mv.v1, mv.v2, mv.toV2
+	if !toV2 {
+		source, target, convert = mv.v2, mv.v1, mv.toV1
 	}
-	v, found := lookup(rest, path(source))
+	v, found := lookup(rest, splitPath(source))
 	if !found {
 		return
 	}
 	moved, kept := v, any(nil)
-	if change != nil {
+	if convert != nil {
 		var ok bool
-		if moved, kept, ok = change(v); !ok {
+		if moved, kept, ok = convert(v); !ok {
 			return
 		}
 	}
 	if kept == nil {
-		remove(rest, path(source))
+		remove(rest, splitPath(source))
 	}
-	set(to, path(target), moved)
+	set(to, splitPath(target), moved)
 }
 
-// overlay puts converted fields over those carried from before. A field that
-// was removed meanwhile stays removed, as carried never holds a moved field
-// whole but for lists, which their join settles.
-func (m mapping) overlay(kept, converted object, up bool) object {
+// mergeCarried merges converted fields into those carried from the target schema; the
+// converted ones take precedence. A field removed in between stays removed, since
+// carried doesn't contain converted fields, except for lists, which are merged by
+// their join.
+func (m kindMapping) mergeCarried(kept, converted object, toV2 bool) object {
 	out := mergeObjects(cloneObject(kept), converted)
-	if !up {
+	if !toV2 {
 		return out
 	}
-	for _, mv := range m.moves {
-		keptValue, found := lookup(kept, path(mv.v2))
+	for _, mv := range m.fields {
+		keptValue, found := lookup(kept, splitPath(mv.v2))
 		if mv.join == nil || !found {
 			continue
 		}
-		moved, _ := lookup(converted, path(mv.v2))
-		set(out, path(mv.v2), mv.join(moved, keptValue))
+		moved, _ := lookup(converted, splitPath(mv.v2))
+		set(out, splitPath(mv.v2), mv.join(moved, keptValue))
 	}
 	return out
 }
@@ -186,7 +188,7 @@
 	return under
 }
 
-func wrapModel(v any) (moved, kept any, ok bool) {
+func modelToList(v any) (moved, kept any, ok bool) {
 	model, isString := v.(string)
 	if !isString || model == "" {
 		return nil, nil, false
@@ -194,7 +196,7 @@
 	return []any{model}, nil, true
 }
 
-func firstModel(v any) (moved, kept any, ok bool) {
+func listToModel(v any) (moved, kept any, ok bool) {
 	models, isList := v.([]any)
 	if !isList || len(models) == 0 {
 		return nil, nil, false
@@ -205,8 +207,8 @@
 	return models[0], kept, true
 }
 
-// joinModels: the first model may have been revised through the older
-// schema, the others could not.
+// joinModels combines the converted first model with the other models that were
+// kept. Only the first one can be revised in schema 1.
 func joinModels(moved, kept any) any {
 	others, _ := kept.([]any)
 	first, revised := moved.([]any)
@@ -221,7 +223,7 @@
 
 const keyHashField = "sha256"
 
-func wrapKeys(v any) (moved, kept any, ok bool) {
+func hashesToKeys(v any) (moved, kept any, ok bool) {
 	hashes, isList := v.([]any)
 	if !isList {
 		return nil, nil, false
@@ -233,7 +235,7 @@
 	return keys, nil, true
 }
 
-func keyHashes(v any) (moved, kept any, ok bool) {
+func keysToHashes(v any) (moved, kept any, ok bool) {
 	keys, isList := v.([]any)
 	if !isList {
 		return nil, nil, false
@@ -252,8 +254,9 @@
 	return hashes, kept, true
 }
 
-// joinKeys gives each key back its name. Keys are matched in place first, so
-// that a hash that stands twice keeps both names.
+// joinKeys restores the fields of keys other than the hash. A key is first compared
+// with the kept one at the same index, so that two keys with equal hashes keep their
+// own names.
 func joinKeys(moved, kept any) any {
 	keys, revised := moved.([]any)
 	named, isList := kept.([]any)
@@ -293,7 +296,7 @@
 	return v, ok
 }
 
-// remove deletes a field and the objects that it leaves empty.
+// remove deletes a field, and the objects that become empty by that.
 func remove(o object, path []string) {
 	if len(path) == 1 {
 		delete(o, path[0])
@@ -321,9 +324,10 @@
 	o[path[len(path)-1]] = v
 }
 
-// KeepCarried is for a revision written in another schema version than the
-// stored one, by a client that knows nothing of the newer fields: it keeps
-// them, where without it each edit through the older schema would lose them.
+// KeepCarried returns the document with the fields of the stored one that its own
+// schema version can't represent. It is for a revision by a client that uses another
+// schema version and doesn't know these fields: without it, each edit in the older
+// schema would lose them.
 func (d *Document) KeepCarried(stored *Document) (*Document, error) {
 	if d.carried != nil || stored.SchemaVersion == d.SchemaVersion {
 		return d, nil
@@ -337,12 +341,12 @@
 	return &kept, nil
 }
 
-// Equal reports whether two documents say the same.
+// Equal reports whether two documents have the same JSON content.
 func (d *Document) Equal(o *Document) bool {
-	return reflect.DeepEqual(normal(d), normal(o))
+	return reflect.DeepEqual(normalForm(d), normalForm(o))
 }
 
-func normal(d *Document) object {
+func normalForm(d *Document) object {
 	root, err := decodeObject(d.Marshal())
 	if err != nil {
 		panic(err)
--- a/internal/core/record/convert_test.go
+++ b/internal/core/record/convert_test.go
@@ -13,23 +13,25 @@
 
 const hashA = "aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa"
 
-// drawn builds documents with known fields present or not, in whatever
-// combination, and unknown fields anywhere, some with the other schema's names.
-type drawn struct{ t *rapid.T }
+// documentGenerator generates documents with any combination of known fields, and
+// with unknown fields at all levels, some with names of the other schema.
+type documentGenerator struct{ t *rapid.T }
 
-func (d drawn) maybe(o object, field string, draw func() any) {
+func (d documentGenerator) maybe(o object, field string, draw func() any) {
 	if rapid.Bool().Draw(d.t, "has "+field) {
 		o[field] = draw()
 	}
 }
 
-func (d drawn) number() any {
+func (d documentGenerator) number() any {
 	return json.Number(fmt.Sprint(rapid.IntRange(1, 50).Draw(d.t, "number")))
 }
-func (d drawn) fraction() any { return json.Number("0.12500") }
-func (d drawn) word() any     { return rapid.SampledFrom([]string{"a", "b", "c"}).Draw(d.t, "word") }
+func (d documentGenerator) fraction() any { return json.Number("0.12500") }
+func (d documentGenerator) word() any {
+	return rapid.SampledFrom([]string{"a", "b", "c"}).Draw(d.t, "word")
+}
 
-func (d drawn) words() any {
+func (d documentGenerator) words() any {
 	var out []any
 	for _, w := range rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"a", "b", "c", "d"}), 0, 3, rapid.ID[string]).Draw(d.t, "words") {
 		out = append(out, w)
@@ -40,11 +42,11 @@
 	return out
 }
 
-func (d drawn) hash() any {
+func (d documentGenerator) hash() any {
 	return strings.Repeat(rapid.SampledFrom([]string{"a", "b", "0"}).Draw(d.t, "digit"), 64)
 }
 
-func (d drawn) unknown(o object, names ...string) {
+func (d documentGenerator) unknown(o object, names ...string) {
 	for _, n := range append(names, "note", "Model") {
 		d.maybe(o, n, func() any {
 			return rapid.SampledFrom([]any{
@@ -54,7 +56,7 @@
 	}
 }
 
-func (d drawn) nested(o object, field string, fields []string, draw func() any) {
+func (d documentGenerator) nested(o object, field string, fields []string, draw func() any) {
 	d.maybe(o, field, func() any {
 		if rapid.IntRange(0, 9).Draw(d.t, "null object") == 0 {
 			return nil
@@ -68,7 +70,7 @@
 	})
 }
 
-func (d drawn) document() *Document {
+func (d documentGenerator) document() *Document {
 	kind := rapid.SampledFrom(Kinds()).Draw(d.t, "kind")
 	version := rapid.IntRange(SchemaV1, LatestSchema).Draw(d.t, "schema version")
 	spec := object{}
@@ -139,17 +141,16 @@
 	return doc
 }
 
-// An operator reads a record in the other schema and writes it back as it is.
-// Nothing that stood in it may be gone: not a field of the newer schema, not
-// one that this build has never heard of, not a digit of a number.
-func TestConvertThereAndBackLosesNothing(t *testing.T) {
+// An operator reads a record in the other schema and writes it back unchanged. No
+// field of either schema, no unknown field and no digit of a number may be lost.
+func TestConvertRoundTripPreservesDocument(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		before := drawn{t}.document()
+		before := documentGenerator{t}.document()
 		other, err := before.Convert(SchemaV1 + SchemaV2 - before.SchemaVersion)
 		if err != nil {
 			t.Fatal(err)
 		}
-		// Over the wire and back, as an operator's client would.
+		// Encode and decode the document, as an operator's client does.
 		other, err = Parse(other.Marshal())
 		if err != nil {
 			t.Fatalf("the converted document is refused: %v", err)
@@ -159,7 +160,7 @@
 			t.Fatal(err)
 		}
 		if !after.Equal(before) {
-			t.Fatalf("lost on the way:\nbefore %s\nother  %s\nafter  %s", before.Marshal(), other.Marshal(), after.Marshal())
+			t.Fatalf("the conversions changed the document:\nbefore %s\nother  %s\nafter  %s", before.Marshal(), other.Marshal(), after.Marshal())
 		}
 	})
 }
@@ -173,9 +174,9 @@
 	return d
 }
 
-// A client of the older schema revises a record written in the newer one and
-// sends back only the fields it knows. The others stay.
-func TestRevisionThroughTheOlderSchemaKeepsNewerFields(t *testing.T) {
+// A client of the older schema revises a record written in the newer one and sends
+// only the fields it knows. The other fields must be kept.
+func TestRevisionInOlderSchemaKeepsNewerFields(t *testing.T) {
 	stored := parse(t, `{"schema_version":2,"kind":"model-deployments","name":"m","spec":{"model":"m",
 		"revision":{"version":"1"},"placement":{"replicas":3,"failure_domains":["a"]},"rollout":{"max_unavailable":2}}}`)
 	revised := parse(t, `{"schema_version":1,"kind":"model-deployments","name":"m","spec":{"model":"m","version":"2","replicas":3}}`)
@@ -194,7 +195,7 @@
 	}
 }
 
-func TestConvertedFieldsFollowRevisions(t *testing.T) {
+func TestConvertMergesRevisedLists(t *testing.T) {
 	cases := []struct{ name, v2, revise, with, want string }{
 		{
 			"first of several models",
@@ -203,7 +204,7 @@
 			`{"schema_version":2,"kind":"routing-configurations","name":"r","spec":{"models":["c","b"]}}`,
 		},
 		{
-			"a key goes, the other keeps its name",
+			"removed key, the other keeps its name",
 			`{"schema_version":2,"kind":"organisation-priorities","name":"o","spec":{"keys":[{"sha256":"` + strings.Repeat("b", 64) + `","name":"old"},{"sha256":"` + hashA + `","name":"desk"}]}}`,
 			`"key_sha256":["` + strings.Repeat("b", 64) + `","` + hashA + `"]`, `"key_sha256":["` + hashA + `"]`,
 			`{"schema_version":2,"kind":"organisation-priorities","name":"o","spec":{"keys":[{"sha256":"` + hashA + `","name":"desk"}]}}`,
--- a/internal/core/record/document.go
+++ b/internal/core/record/document.go
@@ -1,6 +1,6 @@
-// Package record holds what operators write: the kinds of record, their
-// schema versions, validation, defaults, conversion between versions, the
-// form in which they are stored, and what the daemons derive from them.
+// Package record implements the records that operators write: their kinds and
+// schema versions, validation, defaults, conversion between schema versions, the
+// stored form, and the values that the daemons derive from them.
 package record
 
 import (
@@ -16,57 +16,58 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// The schema versions that this build knows.
+// The schema versions that this build supports.
 const (
 	SchemaV1     = 1
 	SchemaV2     = 2
 	LatestSchema = SchemaV2
 )
 
-// MaxDocumentBytes bounds one document. With its audit trail it stays far
-// below the platform's limit of one megabyte.
+// MaxDocumentBytes is the maximum size of a document. Together with its audit trail
+// it stays far below the platform's limit of one megabyte.
 const MaxDocumentBytes = 256 << 10
 
-// Errors of this package. Each error about a field names its path.
+// Errors of this package. Errors about a field contain its path.
 var (
-	// ErrInvalid is the kind of every error about a document's content.
+	// ErrInvalid is wrapped by all errors about the content of a document.
 	ErrInvalid = merry.Sentinel("record: invalid")
-	// ErrNewerSchema is a document written by a newer build. It is refused
-	// and never rewritten, as this build can't know what it would lose.
+	// ErrNewerSchema is the error for a document with the schema version of a newer
+	// build. It is refused and never rewritten, as this build could lose fields that
+	// it doesn't know.
 	ErrNewerSchema = merry.Sentinel("record: schema version is newer than known")
 )
 
-// FieldError is one wrong field.
+// FieldError describes an invalid field.
 type FieldError struct {
-	// Field is the path from the document's root, as in spec.limits.batch.
+	// Field is the path from the document's root, for example spec.limits.batch.
 	Field   string
 	Problem string
 }
 
-// Error names the field and what is wrong.
+// Error returns the field and the problem.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Problem }
 
-// Unwrap makes every FieldError an ErrInvalid.
+// Unwrap returns ErrInvalid.
 func (e *FieldError) Unwrap() error { return ErrInvalid }
 
-// object is a JSON object whose fields aren't all known to this build.
+// object is a JSON object, which may have fields that this build doesn't know.
 type object = map[string]any
 
-// Document is one operator record in one schema version.
+// Document is the content of a record in one schema version. Fields that this build
+// doesn't know are kept at every level.
 type Document struct {
 	SchemaVersion int
 	Kind          string
 	Name          string
-	// spec and the rest of the tree keep the fields this build doesn't know.
-	spec object
-	// carried holds what the present schema version has no place for.
+	spec          object
+	// carried holds the fields that SchemaVersion can't represent, nil for none.
 	carried *carried
-	// extra holds unknown fields beside spec.
+	// extra holds the unknown fields at the top level.
 	extra object
 }
 
-// carried are fields of another schema version, kept so that converting
-// there and back loses nothing.
+// carried holds fields of another schema version, so that converting to this
+// version and back loses nothing.
 type carried struct {
 	schemaVersion int
 	spec          object
@@ -83,20 +84,20 @@
 
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,127}$`)
 
-// Kinds lists the kinds of record, sorted.
+// Kinds returns the kinds of records, sorted.
 func Kinds() []string {
 	return []string{
 		port.ObjectDomainEvacuation, port.ObjectModelDeployment, port.ObjectOrganisationPriority, port.ObjectRequestQuarantine, port.ObjectRoutingConfiguration,
 	}
 }
 
-// KnownKind reports whether operators write records of the kind.
+// KnownKind reports whether kind is one of Kinds.
 func KnownKind(kind string) bool { return slices.Contains(Kinds(), kind) }
 
-// ValidName reports whether a record may have the name.
+// ValidName reports whether name is allowed as the name of a record.
 func ValidName(name string) bool { return namePattern.MatchString(name) }
 
-// Parse reads and validates a document. The error is a *FieldError, or
+// Parse decodes and validates a document. The error is a *FieldError, or wraps
 // ErrNewerSchema.
 func Parse(raw []byte) (*Document, error) {
 	if len(raw) > MaxDocumentBytes {
@@ -118,7 +119,7 @@
 
 func decodeObject(raw []byte) (object, error) {
 	decoder := json.NewDecoder(bytes.NewReader(raw))
-	// Numbers keep their digits: a float64 would round an unknown field.
+	// Numbers are kept as text: a float64 could round the value of an unknown field.
 	decoder.UseNumber()
 	var root object
 	if err := decoder.Decode(&root); err != nil {
@@ -218,7 +219,7 @@
 	return merry.Prepend(err, prefix)
 }
 
-// Marshal returns the document as JSON, unknown fields included.
+// Marshal returns the document as JSON, including unknown fields.
 func (d *Document) Marshal() json.RawMessage {
 	root := cloneObject(d.extra)
 	root[fieldSchema] = d.SchemaVersion
@@ -230,7 +231,7 @@
 	}
 	raw, err := json.Marshal(root)
 	if err != nil {
-		// The tree came from JSON and holds nothing else.
+		// Can't happen: all values came from JSON.
 		panic(err)
 	}
 	return raw
@@ -259,5 +260,5 @@
 	}
 }
 
-// path splits a field's path.
-func path(p string) []string { return strings.Split(p, ".") }
+// splitPath splits the splitPath of a field into names.
+func splitPath(p string) []string { return strings.Split(p, ".") }
--- a/internal/core/record/envelope.go
+++ b/internal/core/record/envelope.go
@@ -12,14 +12,14 @@
 // EnvelopeFormat is the format of stored values that this build writes.
 const EnvelopeFormat = 1
 
-// MaxAuditEntries bounds the trail inside a stored value; the oldest go
-// first. Older ones are in the keepers' logs.
+// MaxAuditEntries is the maximum number of entries in the audit trail of a stored
+// value; the oldest are removed first. Removed entries are in the keepers' logs.
 const MaxAuditEntries = 32
 
-// ErrNewerFormat is a stored value that a newer build wrote.
+// ErrNewerFormat is the error for a stored value in the format of a newer build.
 var ErrNewerFormat = merry.Sentinel("record: stored format is newer than known")
 
-// Action is what an operator asked for.
+// Action is the kind of a write.
 type Action string
 
 // The actions on records.
@@ -27,39 +27,39 @@
 	ActionCreate Action = "create"
 	ActionRevise Action = "revise"
 	ActionDelete Action = "delete"
-	// ActionRestore is no operator's: a daemon has written again what the
-	// platform's store had lost.
+	// ActionRestore is done by daemons, not by operators: it writes a record again
+	// that the platform's store has lost.
 	ActionRestore Action = "restore"
 )
 
-// AuditEntry says who changed a record, and why that was accepted.
+// AuditEntry records who changed a record, and why the change was accepted.
 type AuditEntry struct {
 	Time   time.Time `json:"time"`
 	Actor  string    `json:"actor"`
 	Action Action    `json:"action"`
-	// WriteID names the write; it is also the decision's id.
+	// WriteID identifies the write; it is also the id of the decision.
 	WriteID string `json:"write_id"`
-	// BasedOn is the version that the operator had seen; zero for none.
+	// BasedOn is the version that the writer had read; zero for none.
 	BasedOn       uint64 `json:"based_on"`
 	SchemaVersion int    `json:"schema_version,omitempty"`
 	Reason        string `json:"reason"`
 }
 
-// Envelope is the value stored at the platform: one write carries the
-// document and its trail, so that an audit costs no write of its own.
+// Envelope is the value stored at the platform. It contains the document and its
+// audit trail, so that the trail needs no write of its own.
 type Envelope struct {
 	Format int `json:"format"`
-	// Document stays after a delete, for whoever asks what was deleted.
+	// Document is kept after a delete, to show what was deleted.
 	Document json.RawMessage `json:"document"`
-	// Deleted marks a tombstone: versions stay ordered across a delete.
+	// Deleted marks a tombstone. It keeps the versions ordered across a delete.
 	Deleted bool `json:"deleted,omitempty"`
-	// WriteID is the last write's, by which its writer knows it again after
+	// WriteID is the id of the last write, so that its writer can recognise it after
 	// a lost reply.
 	WriteID string       `json:"write_id"`
 	Audit   []AuditEntry `json:"audit"`
 }
 
-// DecodeEnvelope reads a stored value.
+// DecodeEnvelope decodes a stored value.
 func DecodeEnvelope(value json.RawMessage) (*Envelope, error) {
 	var e Envelope
 	if err := json.Unmarshal(value, &e); err != nil {
@@ -78,13 +78,13 @@
 func (e *Envelope) Encode() json.RawMessage {
 	raw, err := json.Marshal(e)
 	if err != nil {
-		// Document is valid JSON by then and the rest are plain fields.
+		// Can't happen: Document is valid JSON, and all other fields can be encoded.
 		panic(err)
 	}
 	return raw
 }
 
-// Next returns the envelope that follows, with the entry added to the trail.
+// Next returns the envelope after a write, with its entry added to the trail.
 func (e *Envelope) Next(document json.RawMessage, entry *AuditEntry) *Envelope {
 	trail := append([]AuditEntry(nil), e.Audit...)
 	trail = append(trail, *entry)
@@ -97,7 +97,7 @@
 	}
 }
 
-// HoldsWrite reports whether the write is the value's last or in its trail.
+// HoldsWrite reports whether the write is the last one or in the trail.
 func (e *Envelope) HoldsWrite(writeID string) bool {
 	if e.WriteID == writeID {
 		return true
@@ -110,8 +110,9 @@
 	return false
 }
 
-// KnowsSuccessorOf reports whether the trail holds the write that followed a
-// version. Only one can: each write is conditional on the version before it.
+// KnowsSuccessorOf reports whether the trail contains the write that replaced a
+// version. There is at most one, since each write is conditional on the version
+// before it.
 func (e *Envelope) KnowsSuccessorOf(version uint64) bool {
 	for i := range e.Audit {
 		if e.Audit[i].BasedOn == version {
@@ -121,7 +122,7 @@
 	return false
 }
 
-// FromObject returns the record that daemons spread: the trail stays behind.
+// FromObject returns the record that daemons replicate, without the audit trail.
 func FromObject(o *port.Object) (port.Record, error) {
 	e, err := DecodeEnvelope(o.Value)
 	if err != nil {
--- a/internal/core/record/evacuation.go
+++ b/internal/core/record/evacuation.go
@@ -8,9 +8,9 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// Evacuations returns the evacuations in force. A record that this build can't
-// read still evacuates the domain that it is named after: the order is that it
-// exists.
+// Evacuations returns the evacuations in force. A record whose body this build can't
+// decode still evacuates the failure domain that it is named after, since its
+// existence alone is the order.
 func Evacuations(rs []port.Record) evacuation.Set {
 	var out []evacuation.Evacuation
 	for i := range rs {
@@ -31,5 +31,6 @@
 	return evacuation.NewSet(out)
 }
 
-// PresentDocument is the document of an object that says all by being there.
+// PresentDocument returns the empty document, for objects whose existence is all
+// their information.
 func PresentDocument() json.RawMessage { return json.RawMessage("{}") }
--- a/internal/core/record/evacuation_test.go
+++ b/internal/core/record/evacuation_test.go
@@ -7,8 +7,9 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// Guards against losing who evacuated a failure domain, or the order itself where its record can't be read.
-func TestEvacuationsAreReadFromTheirRecords(t *testing.T) {
+// Guards against losing the reason and the author of an evacuation, and against
+// ignoring an evacuation whose record can't be decoded.
+func TestEvacuationsFromRecords(t *testing.T) {
 	body := json.RawMessage(`{"schema_version":2,"kind":"domain-evacuations","name":"a","spec":{"reason":"power work","requested_by":"anjali","since":"2026-12-03T10:00:00Z"}}`)
 	d, err := Parse(body)
 	if err != nil {
@@ -21,7 +22,7 @@
 	for _, raw := range []json.RawMessage{body, old.Marshal()} {
 		all := Evacuations([]port.Record{{Kind: port.ObjectDomainEvacuation, Name: "a", Version: 3, Body: raw}}).All()
 		if len(all) != 1 || all[0].Reason != "power work" || all[0].RequestedBy != "anjali" || all[0].Since == nil || all[0].Version != 3 {
-			t.Fatalf("%+v", all)
+			t.Fatalf("evacuations in force: %+v, want that of the record with all its fields", all)
 		}
 	}
 	set := Evacuations([]port.Record{
@@ -32,15 +33,15 @@
 		{Kind: port.ObjectOrganisationPriority, Name: "other", Body: body},
 	})
 	if !set.Has("newer") || !set.Has("platform") || set.Has("ended") || set.Has("other") {
-		t.Fatalf("%+v", set.All())
+		t.Fatalf("evacuations in force: %+v, want newer and platform", set.All())
 	}
 }
 
-// Guards against orders that nobody can account for.
+// Guards against evacuations without a reason or with an invalid time.
 func TestEvacuationNeedsAReason(t *testing.T) {
 	for _, spec := range []string{`{}`, `{"reason":""}`, `{"reason":"x","since":"yesterday"}`} {
 		if _, err := Parse([]byte(`{"schema_version":2,"kind":"domain-evacuations","name":"a","spec":` + spec + `}`)); err == nil {
-			t.Errorf("%s was taken", spec)
+			t.Errorf("the invalid spec %s was accepted", spec)
 		}
 	}
 }
--- a/internal/core/record/policy.go
+++ b/internal/core/record/policy.go
@@ -9,7 +9,7 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// Defaults of fields that a record leaves out.
+// Default values of fields that a record omits.
 const (
 	defaultWeight              = 1.0
 	defaultOverflowProbability = 0.05
@@ -21,7 +21,7 @@
 	defaultMaxUnavailable      = 1
 )
 
-// SetDefaults fills what was left out.
+// SetDefaults sets omitted fields to their defaults.
 func (c *RoutingConfiguration) SetDefaults() {
 	setDefault(&c.Weights.Stall, defaultWeight)
 	setDefault(&c.Weights.TokenGap, defaultWeight)
@@ -33,10 +33,10 @@
 	setDefault(&c.Limits.Queue, defaultQueue)
 }
 
-// SetDefaults fills what was left out.
+// SetDefaults sets omitted fields to their defaults.
 func (p *OrganisationPriority) SetDefaults() { setDefault(&p.Share, defaultShare) }
 
-// SetDefaults fills what was left out.
+// SetDefaults sets omitted fields to their defaults.
 func (d *ModelDeployment) SetDefaults() {
 	setDefault(&d.Placement.Replicas, defaultReplicas)
 	setDefault(&d.Rollout.MaxUnavailable, defaultMaxUnavailable)
@@ -48,17 +48,18 @@
 	}
 }
 
-// revision is a record in force, in the latest schema with its defaults.
-type revision[T any] struct {
+// decodedRecord is a record in force with its spec in the latest schema.
+type decodedRecord[T any] struct {
 	record port.Record
 	spec   T
 }
 
-// decoded returns the records of a kind, oldest revision first, so that where
-// two name the same subject the newest wins. A body that this build can't
-// read (a newer schema) is left out: keepers refuse those at the write.
-func decoded[T any](rs []port.Record, kind string) []revision[T] {
-	var out []revision[T]
+// decodeKind returns the decodeKind records of a kind, smallest version first, so
+// that of two records for the same subject the newer one is applied last and
+// wins. A body that this build can't decode (a newer schema) is omitted; keepers
+// refuse such bodies when they are written.
+func decodeKind[T any](rs []port.Record, kind string) []decodedRecord[T] {
+	var out []decodedRecord[T]
 	for _, r := range rs {
 		if r.Kind != kind || r.Deleted {
 			continue
@@ -67,9 +68,9 @@
 		if decodeLatest(r, &spec) != nil {
 			continue
 		}
-		out = append(out, revision[T]{record: r, spec: spec})
+		out = append(out, decodedRecord[T]{record: r, spec: spec})
 	}
-	slices.SortFunc(out, func(a, b revision[T]) int {
+	slices.SortFunc(out, func(a, b decodedRecord[T]) int {
 		return cmp.Or(cmp.Compare(a.record.Version, b.record.Version), strings.Compare(a.record.Name, b.record.Name))
 	})
 	return out
@@ -87,8 +88,8 @@
 	return decodeSpec(latest.spec, out)
 }
 
-// Policy derives what the scheduler obeys. The empty model and the empty
-// organisation hold the defaults, and are always present.
+// Policy derives the scheduling policy from the records. The entries for the empty
+// model and the empty organisation are the defaults; they always exist.
 func Policy(rs []port.Record) port.Policy {
 	p := port.Policy{
 		Weights:       map[string]port.Weights{},
@@ -96,7 +97,7 @@
 	}
 	p.Weights[""] = weightsOf(&RoutingConfiguration{})
 	p.Organisations[""] = limitsOf(&OrganisationPriority{})
-	for _, c := range decoded[RoutingConfiguration](rs, port.ObjectRoutingConfiguration) {
+	for _, c := range decodeKind[RoutingConfiguration](rs, port.ObjectRoutingConfiguration) {
 		weights := weightsOf(&c.spec)
 		for _, model := range c.spec.Models {
 			p.Weights[model] = weights
@@ -106,7 +107,7 @@
 		}
 		p.Version = max(p.Version, c.record.Version)
 	}
-	for _, o := range decoded[OrganisationPriority](rs, port.ObjectOrganisationPriority) {
+	for _, o := range decodeKind[OrganisationPriority](rs, port.ObjectOrganisationPriority) {
 		p.Organisations[o.spec.Organisation] = limitsOf(&o.spec)
 	}
 	return p
@@ -132,13 +133,13 @@
 	}
 }
 
-// Keys finds the organisation of a caller's key.
+// Keys maps the API keys of callers to organisations.
 type Keys struct{ organisations map[string]string }
 
-// NewKeys indexes the keys of all organisations.
+// NewKeys returns the keys of all organisations.
 func NewKeys(rs []port.Record) Keys {
 	k := Keys{organisations: map[string]string{}}
-	for _, o := range decoded[OrganisationPriority](rs, port.ObjectOrganisationPriority) {
+	for _, o := range decodeKind[OrganisationPriority](rs, port.ObjectOrganisationPriority) {
 		for _, key := range o.spec.Keys {
 			k.organisations[strings.ToLower(key.SHA256)] = o.spec.Organisation
 		}
@@ -146,7 +147,8 @@
 	return k
 }
 
-// Organisation returns the name for the SHA-256 of a key, in hex.
+// Organisation returns the name of the organisation for the SHA-256 hash of a key,
+// in hexadecimal.
 func (k Keys) Organisation(keySHA256Hex string) (name string, ok bool) {
 	name, ok = k.organisations[strings.ToLower(keySHA256Hex)]
 	return name, ok
@@ -159,10 +161,10 @@
 	ModelDeployment
 }
 
-// Deployments lists the model deployments in force with their defaults,
-// oldest revision first.
+// Deployments returns the model deployments in force with defaults set, smallest
+// version first.
 func Deployments(rs []port.Record) []Deployment {
-	all := decoded[ModelDeployment](rs, port.ObjectModelDeployment)
+	all := decodeKind[ModelDeployment](rs, port.ObjectModelDeployment)
 	out := make([]Deployment, len(all))
 	for i := range all {
 		all[i].spec.SetDefaults()
--- a/internal/core/record/quarantine.go
+++ b/internal/core/record/quarantine.go
@@ -10,11 +10,11 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// QuarantineName is the name of the one quarantine that there is.
+// QuarantineName is the name of the only record with quarantined requests.
 const QuarantineName = "main"
 
-// QuarantineDocument is the record of quarantined requests: of more than it holds,
-// the first ones.
+// QuarantineDocument returns the document for the quarantined requests, for the
+// first MaxQuarantinedRequests of them if there are more.
 func QuarantineDocument(quarantined []quarantine.Suspect) json.RawMessage {
 	spec := RequestQuarantine{Requests: []QuarantinedRequest{}}
 	for _, s := range quarantined[:min(len(quarantined), MaxQuarantinedRequests)] {
@@ -31,13 +31,14 @@
 		Spec          RequestQuarantine `json:"spec"`
 	}{LatestSchema, port.ObjectRequestQuarantine, QuarantineName, spec})
 	if err != nil {
-		// Only strings are in it.
+		// Can't happen: all values are strings, numbers or booleans.
 		panic(err)
 	}
 	return raw
 }
 
-// HoldsQuarantine reports whether a record of quarantined requests is up to date.
+// HoldsQuarantine reports whether the record contains exactly the first
+// MaxQuarantinedRequests of the quarantined requests, and no released ones.
 func HoldsQuarantine(r port.Record, quarantined []quarantine.Suspect) bool {
 	held, released, err := Quarantined(r)
 	return err == nil && len(released) == 0 &&
@@ -46,8 +47,8 @@
 		})
 }
 
-// Quarantined returns what a record of quarantined requests holds: those that are
-// to be held back, and those that an operator has released.
+// Quarantined returns the requests of a quarantine record: those that must not be
+// sent, and those that an operator has released.
 func Quarantined(r port.Record) (held, released []quarantine.Suspect, err error) {
 	var spec RequestQuarantine
 	if err := decodeLatest(r, &spec); err != nil {
--- a/internal/core/record/quarantine_test.go
+++ b/internal/core/record/quarantine_test.go
@@ -12,8 +12,9 @@
 	return port.Record{Kind: port.ObjectRequestQuarantine, Name: QuarantineName, Version: 1, Body: body}
 }
 
-// Guards against losing quarantined requests on the way through the record.
-func TestQuarantineOutlivesItsRecord(t *testing.T) {
+// Guards against losing quarantined requests when they are encoded as a record,
+// converted and decoded.
+func TestQuarantineRoundTrip(t *testing.T) {
 	var quarantined []quarantine.Suspect
 	for n := range MaxQuarantinedRequests + 10 {
 		quarantined = append(quarantined, quarantine.Suspect{
@@ -36,13 +37,14 @@
 			t.Fatalf("%d held, %d released, %v", len(held), len(released), err)
 		}
 		if !HoldsQuarantine(r, quarantined) || HoldsQuarantine(r, quarantined[1:]) {
-			t.Fatal("a record can't be told from one that is out of date")
+			t.Fatal("HoldsQuarantine is false for the same requests or true for different ones")
 		}
 	}
 }
 
-// Guards against a release that is overwritten before it takes effect.
-func TestReleaseIsReadFromTheRecord(t *testing.T) {
+// Guards against a release by an operator that is ignored, or is left in the record
+// after it has taken effect.
+func TestReleaseIsDecodedFromRecord(t *testing.T) {
 	quarantined := []quarantine.Suspect{{Fingerprint: quarantine.Fingerprint{1}, Crashes: []quarantine.CrashID{1, 2, 3}}}
 	r := quarantineRecord(bytes.Replace(QuarantineDocument(quarantined), []byte(`"crashes"`), []byte(`"released":true,"crashes"`), 1))
 	held, released, err := Quarantined(r)
@@ -50,9 +52,9 @@
 		t.Fatalf("held %v, released %v, %v", held, released, err)
 	}
 	if HoldsQuarantine(r, nil) {
-		t.Fatal("the release would stay in the record")
+		t.Fatal("a record with a release counts as up to date")
 	}
 	if _, _, err := Quarantined(quarantineRecord([]byte(`{"schema_version":2,"kind":"request-quarantines","name":"main","spec":{"requests":[{"fingerprint":"zz"}]}}`))); err == nil {
-		t.Fatal("a wrong fingerprint is read")
+		t.Fatal("an invalid fingerprint was accepted")
 	}
 }
--- a/internal/core/record/restore.go
+++ b/internal/core/record/restore.go
@@ -6,29 +6,30 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// Outlasts reports whether a record that daemons hold goes on to be in force
-// against the value that the platform's store holds in a later era. A store that
-// came back from a copy has lost the newest writes; what operators wrote last
-// stays in force, and is written again. What was written after the restore is
-// newer than anything held.
+// Outlasts reports whether a record that the daemons have stays in force although
+// the platform's store has another value in a later era. A store restored from a
+// backup lacks the newest writes. The last version that operators wrote stays in
+// force and is written to the store again. A value written after the restore is
+// newer than any version that the daemons have.
 func Outlasts(held *port.Record, stored *port.Object, e *Envelope) bool {
-	before, now := port.StoreRevision(held.Version), port.StoreRevision(stored.Version)
+	heldAt, storedAt := port.StoreRevision(held.Version), port.StoreRevision(stored.Version)
 	switch {
-	case now.Era() <= before.Era():
+	case storedAt.Era() <= heldAt.Era():
 		return false
 	case e.Deleted == held.Deleted && (e.Deleted || bytes.Equal(e.Document, held.Body)):
-		// The same, at the version by which it can be revised.
+		// The contents are the same. The stored version is adopted, since the next
+		// revision must be based on it.
 		return false
-	case e.era() > before.Era() || e.KnowsSuccessorOf(held.Version):
+	case e.era() > heldAt.Era() || e.KnowsSuccessorOf(held.Version):
 		return false
 	default:
-		// Revisions of both eras are the same up to the copy.
-		return now.Revision() < before.Revision()
+		// Up to the backup, the revisions of both eras are the same.
+		return storedAt.Revision() < heldAt.Revision()
 	}
 }
 
-// era is the one in which the last write was made, or one before it: that of
-// the version on which it rested.
+// era returns the era of the version that the last write was based on. It is the
+// era of that write or an earlier one.
 func (e *Envelope) era() uint64 {
 	if len(e.Audit) == 0 {
 		return 0
@@ -36,10 +37,10 @@
 	return port.StoreRevision(e.Audit[len(e.Audit)-1].BasedOn).Era()
 }
 
-// FromCopy returns the record of a value that a store holds which has just come
-// back from a copy, at a version that is no larger than when it was written: up
-// to the copy the revisions are those of the era before. At the store's own
-// version it would go before newer ones that the copy lacks.
+// FromCopy returns the record of a value in a store that was just restored from a
+// backup, with a version no larger than the one at which it was written: up to the
+// backup the revisions are those of the era before. With the store's own version the
+// record would take precedence over newer ones that the backup lacks.
 func FromCopy(o *port.Object) (port.Record, error) {
 	r, err := FromObject(o)
 	if err != nil {
@@ -49,8 +50,8 @@
 	if err != nil {
 		return port.Record{}, err
 	}
-	now := port.StoreRevision(o.Version)
-	version, err := port.NewStoreRevision(min(e.era(), now.Era()), now.Revision())
+	storedAt := port.StoreRevision(o.Version)
+	version, err := port.NewStoreRevision(min(e.era(), storedAt.Era()), storedAt.Revision())
 	r.Version = uint64(version)
 	return r, err
 }
--- a/internal/core/record/schema.go
+++ b/internal/core/record/schema.go
@@ -13,16 +13,17 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// RoutingConfiguration is the latest schema of a routing configuration. Nil
-// fields were left out; SetDefaults fills them.
+// RoutingConfiguration is the latest schema of a routing configuration. Fields that
+// the document omits are nil until SetDefaults sets them.
 type RoutingConfiguration struct {
-	// Models it applies to; none makes it the default of all models.
+	// Models lists the models to which it applies. An empty list makes it the default
+	// for all models.
 	Models  []string       `json:"models" validate:"max=64,unique,dive,required,max=128"`
 	Weights RoutingWeights `json:"weights"`
 	Limits  RoutingLimits  `json:"limits"`
 }
 
-// RoutingWeights weigh what a routing decision avoids.
+// RoutingWeights are the weights of the cost terms of a routing decision.
 type RoutingWeights struct {
 	Stall    *float64 `json:"stall" validate:"omitempty,min=0,max=1000"`
 	TokenGap *float64 `json:"token_gap" validate:"omitempty,min=0,max=1000"`
@@ -30,11 +31,11 @@
 	Prefix   *float64 `json:"prefix" validate:"omitempty,min=0,max=1000"`
 }
 
-// RoutingLimits bound what a routing decision accepts.
+// RoutingLimits are the limits that a routing decision observes.
 type RoutingLimits struct {
 	OverflowProbability *float64 `json:"overflow_probability" validate:"omitempty,min=0,max=1"`
 	Batch               *int     `json:"batch" validate:"omitempty,min=1,max=65536"`
-	// HoldMillis is in milliseconds.
+	// HoldMillis is how long a request may be held, in milliseconds.
 	HoldMillis *int64 `json:"hold_ms" validate:"omitempty,min=0,max=3600000"`
 	Queue      *int   `json:"queue" validate:"omitempty,min=0,max=1000000"`
 }
@@ -56,7 +57,8 @@
 
 // OrganisationPriority is the latest schema of an organisation priority.
 type OrganisationPriority struct {
-	// Organisation is its name; empty makes it the default of all others.
+	// Organisation is the name of the organisation. An empty name makes it the
+	// default for organisations without a record.
 	Organisation string             `json:"organisation" validate:"max=128"`
 	Priority     int                `json:"priority" validate:"min=-1000,max=1000"`
 	Share        *float64           `json:"share" validate:"omitempty,gt=0,max=1000000"`
@@ -64,13 +66,13 @@
 	Keys         []OrganisationKey  `json:"keys" validate:"max=256,dive"`
 }
 
-// OrganisationLimits bound one organisation; zero is no bound.
+// OrganisationLimits are the limits of one organisation; zero is no limit.
 type OrganisationLimits struct {
 	TokensPerSecond float64 `json:"tokens_per_second" validate:"min=0"`
 	Concurrency     int     `json:"concurrency" validate:"min=0"`
 }
 
-// OrganisationKey is one key that callers present, as its hash.
+// OrganisationKey is the hash of an API key that callers present.
 type OrganisationKey struct {
 	SHA256 string `json:"sha256" validate:"len=64,hexadecimal"`
 	Name   string `json:"name" validate:"max=128"`
@@ -94,24 +96,25 @@
 	Rollout   RolloutSettings `json:"rollout"`
 }
 
-// ModelRevision is what each replica loads.
+// ModelRevision is the model version and the adapters that each replica loads.
 type ModelRevision struct {
 	Version  string   `json:"version" validate:"required,max=128"`
 	Adapters []string `json:"adapters" validate:"max=256,unique,dive,required,max=128"`
 }
 
-// ModelPlacement is where and how often a model runs.
+// ModelPlacement is where a model runs and with how many replicas.
 type ModelPlacement struct {
 	Replicas *int `json:"replicas" validate:"omitempty,min=0,max=100000"`
-	// FailureDomains that may hold replicas; none allows all.
+	// FailureDomains lists the failure domains that may have replicas. An empty list
+	// allows all.
 	FailureDomains []string `json:"failure_domains" validate:"max=256,unique,dive,required,max=64"`
-	// Role is handed to the runners as it is.
+	// Role is passed to the runners unchanged.
 	Role string `json:"role" validate:"max=64"`
 }
 
-// RolloutSettings bound a change of version.
+// RolloutSettings are the limits of a version change.
 type RolloutSettings struct {
-	// MaxUnavailable is the number of ready replicas that may be missing.
+	// MaxUnavailable is the number of ready replicas that may be missing during it.
 	MaxUnavailable *int `json:"max_unavailable" validate:"omitempty,min=1,max=100000"`
 }
 
@@ -124,38 +127,38 @@
 	Role     string   `json:"role" validate:"max=64"`
 }
 
-// MaxQuarantinedRequests bounds the requests of one quarantine.
+// MaxQuarantinedRequests is the maximum number of requests in a RequestQuarantine.
 const MaxQuarantinedRequests = 256
 
-// RequestQuarantine lists the requests that are not sent to endpoints, as these
-// crash whenever they run one of them. The system keeps it; operators release
+// RequestQuarantine lists the requests that are not sent to endpoints, since
+// endpoints crash when they run them. The daemons maintain it; operators release
 // requests.
 type RequestQuarantine struct {
 	Requests []QuarantinedRequest `json:"requests" validate:"max=256,dive"`
 }
 
-// QuarantinedRequest is one of them.
+// QuarantinedRequest is one request of a RequestQuarantine.
 type QuarantinedRequest struct {
-	// Fingerprint tells the request, as the log names it.
+	// Fingerprint identifies the request, as in the log.
 	Fingerprint string `json:"fingerprint" validate:"len=32,hexadecimal"`
-	// Crashes name the endpoints that have crashed while it ran.
+	// Crashes are the ids of the endpoint crashes during the request.
 	Crashes []string `json:"crashes" validate:"max=8,dive,len=16,hexadecimal"`
-	// Released: an operator wants it sent again. It counts for the crashes that
-	// are listed; others that follow are held against it.
+	// Released is set by an operator to have the request sent again. The release
+	// covers the listed crashes; later ones count towards a new quarantine.
 	Released bool `json:"released,omitempty"`
 }
 
-// DomainEvacuation is the order that the endpoints of the failure domain after
-// which the record is named get nothing more, until the record is deleted.
+// DomainEvacuation is the order to send no more work to the endpoints of a failure
+// domain until the record is deleted. The record has the name of the domain.
 type DomainEvacuation struct {
 	Reason      string `json:"reason" validate:"required,max=512"`
 	RequestedBy string `json:"requested_by" validate:"max=128"`
-	// Since is a time by RFC 3339, empty where nobody says.
+	// Since is the start of the evacuation in RFC 3339 format, empty if unknown.
 	Since string `json:"since" validate:"omitempty,datetime=2006-01-02T15:04:05Z07:00"`
 }
 
-// typed returns an empty struct of the document's schema.
-func typed(kind string, schemaVersion int) any {
+// newSpec returns a pointer to an empty spec of the kind and schema version.
+func newSpec(kind string, schemaVersion int) any {
 	v1 := schemaVersion == SchemaV1
 	switch kind {
 	case port.ObjectRoutingConfiguration:
@@ -192,7 +195,7 @@
 	return v
 }
 
-// validate checks names, types and bounds; it changes nothing.
+// validate checks names, types and bounds. It doesn't change the document.
 func validate(d *Document) error {
 	if !KnownKind(d.Kind) {
 		return &FieldError{Field: fieldKind, Problem: "must be one of " + strings.Join(Kinds(), ", ")}
@@ -200,7 +203,7 @@
 	if !ValidName(d.Name) {
 		return &FieldError{Field: fieldName, Problem: "must match " + namePattern.String()}
 	}
-	spec := typed(d.Kind, d.SchemaVersion)
+	spec := newSpec(d.Kind, d.SchemaVersion)
 	if err := decodeSpec(d.spec, spec); err != nil {
 		return err
 	}
@@ -224,8 +227,8 @@
 	return &FieldError{Field: fieldSpec + "." + field, Problem: "must satisfy " + rule}
 }
 
-// decodeSpec fills a typed spec. Field names match exactly, unlike
-// encoding/json: a field in another case is an unknown field and is kept.
+// decodeSpec decodes a spec into a struct. Unlike with encoding/json, field names
+// are case-sensitive: a name in another case is an unknown field, which is kept.
 func decodeSpec(spec object, out any) error {
 	decoder, err := mapstructure.NewDecoder(&mapstructure.DecoderConfig{
 		Result:     out,
@@ -247,8 +250,8 @@
 	return &FieldError{Field: fieldSpec, Problem: err.Error()}
 }
 
-// refuseNumberAsString: json.Number is a string to reflection, so a number
-// would pass where a name belongs.
+// refuseNumberAsString is a decode hook that rejects numbers for string fields.
+// json.Number is a string type for reflection, so they would be accepted otherwise.
 func refuseNumberAsString(from, to reflect.Type, data any) (any, error) {
 	if from == reflect.TypeFor[json.Number]() && to.Kind() == reflect.String {
 		return nil, merry.New("must be a string, not a number")
--- a/internal/core/record/validate_test.go
+++ b/internal/core/record/validate_test.go
@@ -10,7 +10,7 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-func TestParseNamesTheWrongField(t *testing.T) {
+func TestParseReportsInvalidField(t *testing.T) {
 	routing := func(spec string) string {
 		return `{"schema_version":2,"kind":"routing-configurations","name":"r","spec":` + spec + `}`
 	}
@@ -77,7 +77,7 @@
 		t.Errorf("default weights %+v", w)
 	}
 	if p.Weights["a"].Overflow != 2 || p.Weights["b"].Overflow != 2 {
-		t.Errorf("the newer record doesn't win: %+v", p.Weights)
+		t.Errorf("the newer record doesn't take precedence: %+v", p.Weights)
 	}
 	if o := p.Organisations["kegs"]; o.Priority != 3 || o.Share != 2 || o.Concurrency != 4 {
 		t.Errorf("organisation %+v", o)
@@ -87,31 +87,31 @@
 	}
 	keys := NewKeys(rs)
 	if name, ok := keys.Organisation(hashA); !ok || name != "kegs" {
-		t.Errorf("key belongs to %q %v", name, ok)
+		t.Errorf("the key's organisation is %q, found %v", name, ok)
 	}
 	if _, ok := keys.Organisation(strings.Repeat("0", 64)); ok {
 		t.Error("an unknown key has an organisation")
 	}
 }
 
-func TestTrailIsBoundedAndKnowsItsWrites(t *testing.T) {
+func TestAuditTrailIsBounded(t *testing.T) {
 	e := &Envelope{}
 	for i := range MaxAuditEntries + 5 {
 		e = e.Next(json.RawMessage(`{}`), &AuditEntry{WriteID: string(rune('A' + i)), BasedOn: uint64(i)})
 	}
 	if len(e.Audit) != MaxAuditEntries {
-		t.Fatalf("trail of %d", len(e.Audit))
+		t.Fatalf("the trail has %d entries, want MaxAuditEntries", len(e.Audit))
 	}
 	if e.HoldsWrite("A") || !e.HoldsWrite(e.WriteID) || !e.HoldsWrite(string(rune('A'+5))) {
-		t.Error("wrong memory of writes")
+		t.Error("HoldsWrite must be true exactly for the writes in the trail")
 	}
 	if e.KnowsSuccessorOf(4) || !e.KnowsSuccessorOf(5) {
-		t.Error("wrong memory of successors")
+		t.Error("KnowsSuccessorOf must be true exactly for the versions that writes in the trail are based on")
 	}
 }
 
-// Whatever an operator or a damaged platform hands in: an error or a document
-// that converts there and back without loss, never a panic.
+// Any input, from an operator or a damaged platform, must give an error or a document
+// that can be converted and converted back without loss, and never a panic.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(`{"schema_version":1,"kind":"routing-configurations","name":"r","spec":{"model":"m","weights":{"gap":1}}}`))
 	f.Add([]byte(`{"schema_version":2,"kind":"organisation-priorities","name":"o","spec":{"keys":[{"sha256":"` + hashA + `","name":"x"}],"limits":null}}`))
@@ -129,10 +129,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		// A hand-made "carried" may hold what its schema would not, so only
-		// documents without one must come back as they were.
+		// A "carried" in the input may contain fields that a conversion wouldn't put
+		// there, so only documents without it must stay the same.
 		if d.carried == nil && !again.Equal(d) {
-			t.Fatalf("lost on the way:\n%s\n%s\n%s", d.Marshal(), other.Marshal(), again.Marshal())
+			t.Fatalf("the conversions changed the document:\n%s\n%s\n%s", d.Marshal(), other.Marshal(), again.Marshal())
 		}
 	})
 }
