--- a/internal/core/spread/node/spread_test.go
+++ b/internal/core/spread/node/spread_test.go
@@ -445,7 +445,7 @@
 // All keepers have restarted, the platform is down, and only one router has the
 // records. Its first message, which has Complete set, is lost while the link stays
 // open. The router doesn't repeat it unasked, so the keeper has to request a repair.
-// TestRecordsNeverGoBackAndConverge shows this failure with
+// Found by TestRecordsNeverGoBackAndConverge with
 // -rapid.seed=6034927673869743753 -rapid.steps=120.
 func TestLostFirstMessageOfOnlyCompleteRouter(t *testing.T) {
 	router, keeper := New(), New()
@@ -463,7 +463,7 @@
 // A router connects to a keeper that has a newer version, and the first messages of
 // both ends are lost; nothing changes afterwards. If a missing digest didn't count as
 // a difference, the router would request no repair and stay on the old version.
-// TestRecordsNeverGoBackAndConverge shows this failure with -rapid.seed=136237.
+// Found by TestRecordsNeverGoBackAndConverge with -rapid.seed=136237.
 func TestLostFirstMessagesOfBothEnds(t *testing.T) {
 	router, keeper := New(), New()
 	router.PutRecord(largeRecord(1))
