--- a/internal/router/attempt.go
+++ b/internal/router/attempt.go
@@ -9,35 +9,35 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// Answer takes a generation's frames on behalf of its caller.
+// Answer writes a generation's frames to its caller.
 type Answer interface {
-	// Frame gives one frame with the resume token of its run. An error
-	// means that the caller has gone.
-	// It may be kept back until Flush.
+	// Frame writes one frame with the resume token of its run. It may buffer the
+	// frame until Flush. An error means that the caller has disconnected.
 	Frame(token string, f *port.Frame) error
-	// Flush sends what Frame kept back.
+	// Flush sends the frames that Frame has buffered.
 	Flush() error
-	// Resumable reports whether the caller sees resume tokens as it reads.
+	// Resumable reports whether the caller receives resume tokens while it reads.
 	Resumable() bool
 }
 
-// attempt drives one run: it carries out the machine's commands and turns
-// what happens into events.
+// attempt drives one run: it executes the commands of the stream machine and feeds
+// the results back as events.
 type attempt struct {
-	r        *Router
-	machine  *stream.Machine
-	answer   Answer
-	endpoint port.Endpoint
-	start    *port.GenerationStart
-	token    string
-	// progress is told of each token, and may be nil.
-	progress func(tokens int)
+	r           *Router
+	machine     *stream.Machine
+	answer      Answer
+	endpoint    port.Endpoint
+	start       *port.GenerationStart
+	resumeToken string
+	// onToken is called after each delivered token with the number of tokens
+	// delivered so far. It may be nil.
+	onToken func(tokens int)
 
-	pump *pump
-	last time.Time
-	// stall is made with the first wait and used again for each.
-	stall *time.Timer
-	// unflushed: the caller lacks a frame that was given.
+	pump        *pump
+	lastTokenAt time.Time
+	// stallTimer is created for the first wait and reused for later ones.
+	stallTimer *time.Timer
+	// unflushed is set while answer may hold frames that have not been flushed.
 	unflushed bool
 }
 
@@ -48,7 +48,7 @@
 	cancelPending bool
 }
 
-// run drives the machine to its end. The context is the caller's.
+// run drives the machine until the run ends. The context is the caller's.
 func (a *attempt) run(ctx context.Context) attemptResult {
 	defer a.close()
 	event := stream.Event{Kind: stream.EventBegin}
@@ -57,8 +57,8 @@
 		switch c.Kind {
 		case stream.CommandRead, stream.CommandDeliver, stream.CommandComplete:
 		default:
-			// The step may take seconds. Where the caller has gone, the next
-			// read or the context says so.
+			// The step may take seconds, so buffered frames are sent first. If the
+			// caller has disconnected, the next read or the context reports it.
 			a.flush()
 		}
 		switch c.Kind {
@@ -87,21 +87,21 @@
 		a.pump.stop()
 		a.pump = nil
 	}
-	if a.stall != nil {
-		a.stall.Stop()
+	if a.stallTimer != nil {
+		a.stallTimer.Stop()
 	}
-	a.r.metrics.dropped.Inc(int64(a.machine.Dropped()))
+	a.r.metrics.droppedFrames.Inc(int64(a.machine.Dropped()))
 	a.r.metrics.resumes.Inc(int64(a.machine.Resumes()))
 }
 
 func (a *attempt) dispatch(ctx context.Context) stream.Event {
 	s, err := a.r.Engine.Start(ctx, a.start)
 	if err == nil {
-		return a.opened(s)
+		return a.startReading(s)
 	}
 	switch {
 	case errors.Is(err, port.ErrRefused):
-		a.r.loads.lookInto(a.endpoint)
+		a.r.loadPoller.pollAfterRefusal(a.endpoint)
 		return stream.Event{Kind: stream.EventRefused}
 	case errors.Is(err, port.ErrRejected):
 		return stream.Event{Kind: stream.EventRejected}
@@ -114,37 +114,38 @@
 	}
 }
 
-func (a *attempt) opened(s port.FrameStream) stream.Event {
+func (a *attempt) startReading(s port.FrameStream) stream.Event {
 	a.pump = startPump(s, a.r.o.BufferFrames, a.r.o.ReaderPatience)
 	return stream.Event{Kind: stream.EventOpened}
 }
 
-// read takes a frame that is waiting, else flushes and waits for one. Frames
-// that come in one burst so reach the caller in one write, and none is kept
-// back while there is nothing else to do.
+// read returns a buffered frame if there is one; otherwise it flushes and waits for
+// one. Frames that arrive in one burst thus reach the caller in one write, and no
+// frame stays unflushed during a wait.
 func (a *attempt) read(ctx context.Context) stream.Event {
-	if gone := a.interrupted(ctx); gone != 0 {
-		return stream.Event{Kind: gone}
+	if kind := a.interruption(ctx); kind != 0 {
+		return stream.Event{Kind: kind}
 	}
 	select {
 	case f, ok := <-a.pump.frames:
-		return a.took(f, ok)
+		return a.frameEvent(f, ok)
 	default:
 	}
 	if !a.flush() {
 		return stream.Event{Kind: stream.EventCallerGone}
 	}
-	return a.await(ctx)
+	return a.awaitFrame(ctx)
 }
 
-// interrupted returns the event that ends the reading, or zero. Behind frames
-// that are always waiting, a wait would never come to see it.
-func (a *attempt) interrupted(ctx context.Context) stream.EventKind {
+// interruption returns the event that ends the reading, or zero. read checks it
+// before each frame, because with a frame always buffered it would never get to the
+// wait that detects these events.
+func (a *attempt) interruption(ctx context.Context) stream.EventKind {
 	if ctx.Err() != nil {
 		return stream.EventCallerGone
 	}
 	select {
-	case <-a.r.life.handover:
+	case <-a.r.lifecycle.handover:
 		return stream.EventHandover
 	default:
 		return 0
@@ -159,48 +160,48 @@
 	return a.answer.Flush() == nil
 }
 
-func (a *attempt) took(f port.Frame, ok bool) stream.Event {
+func (a *attempt) frameEvent(f port.Frame, ok bool) stream.Event {
 	if !ok {
 		return stream.Event{Kind: stream.EventClosed}
 	}
-	a.report(&f)
+	a.forwardLoad(&f)
 	return stream.Event{Kind: stream.EventFrame, Frame: f}
 }
 
-func (a *attempt) await(ctx context.Context) stream.Event {
-	if a.stall == nil {
-		a.stall = time.NewTimer(a.r.o.StallTimeout)
+func (a *attempt) awaitFrame(ctx context.Context) stream.Event {
+	if a.stallTimer == nil {
+		a.stallTimer = time.NewTimer(a.r.o.StallTimeout)
 	} else {
-		a.stall.Reset(a.r.o.StallTimeout)
+		a.stallTimer.Reset(a.r.o.StallTimeout)
 	}
 	select {
 	case f, ok := <-a.pump.frames:
-		return a.took(f, ok)
-	case <-a.stall.C:
+		return a.frameEvent(f, ok)
+	case <-a.stallTimer.C:
 		return stream.Event{Kind: stream.EventSilent}
 	case <-ctx.Done():
 		return stream.Event{Kind: stream.EventCallerGone}
-	case <-a.r.life.handover:
+	case <-a.r.lifecycle.handover:
 		return stream.Event{Kind: stream.EventHandover}
 	}
 }
 
-// report passes on the load that rides on a frame.
-func (a *attempt) report(f *port.Frame) {
+// forwardLoad passes on the load report that a frame carries.
+func (a *attempt) forwardLoad(f *port.Frame) {
 	if f.Load == nil || f.Load.EndpointID != a.endpoint.ID {
 		return
 	}
-	a.r.tookReport(a.endpoint, f.Load)
+	a.r.handleReport(a.endpoint, f.Load)
 }
 
 func (a *attempt) deliver(ctx context.Context, f *port.Frame) stream.Event {
-	if err := a.answer.Frame(a.token, f); err != nil {
+	if err := a.answer.Frame(a.resumeToken, f); err != nil {
 		return stream.Event{Kind: stream.EventCallerGone}
 	}
 	a.unflushed = true
 	a.observeToken()
-	if a.progress != nil {
-		a.progress(a.machine.Next())
+	if a.onToken != nil {
+		a.onToken(a.machine.Next())
 	}
 	return a.read(ctx)
 }
@@ -208,14 +209,14 @@
 func (a *attempt) observeToken() {
 	now := a.r.Clock()
 	a.r.metrics.tokens.Inc(1)
-	if !a.last.IsZero() {
-		observe(a.r.metrics.tokenGap, now.Sub(a.last))
+	if !a.lastTokenAt.IsZero() {
+		observe(a.r.metrics.tokenGap, now.Sub(a.lastTokenAt))
 	}
-	a.last = now
+	a.lastTokenAt = now
 }
 
 func (a *attempt) complete(c *stream.Command) attemptResult {
-	err := a.answer.Frame(a.token, &c.Frame)
+	err := a.answer.Frame(a.resumeToken, &c.Frame)
 	if err == nil {
 		err = a.answer.Flush()
 	}
@@ -230,13 +231,13 @@
 		a.pump.stop()
 		a.pump = nil
 	}
-	if gone := a.wait(ctx, c.Delay); gone != 0 {
-		return stream.Event{Kind: gone}
+	if kind := a.wait(ctx, c.Delay); kind != 0 {
+		return stream.Event{Kind: kind}
 	}
 	s, err := a.r.Engine.Resume(ctx, a.endpoint, a.start.Generation, c.From)
 	switch {
 	case err == nil:
-		return a.opened(s)
+		return a.startReading(s)
 	case errors.Is(err, port.ErrNoGeneration):
 		return stream.Event{Kind: stream.EventNoGeneration}
 	case ctx.Err() != nil:
@@ -247,8 +248,8 @@
 }
 
 func (a *attempt) probe(ctx context.Context, c stream.Command) stream.Event {
-	if gone := a.wait(ctx, c.Delay); gone != 0 {
-		return stream.Event{Kind: gone}
+	if kind := a.wait(ctx, c.Delay); kind != 0 {
+		return stream.Event{Kind: kind}
 	}
 	status, err := a.r.Engine.Status(ctx, a.endpoint, a.start.Generation)
 	switch {
@@ -261,7 +262,8 @@
 	}
 }
 
-// cancel is done for the engine's sake, so the caller's context doesn't end it.
+// cancel frees resources at the engine, so the end of the caller's context doesn't
+// stop it.
 func (a *attempt) cancel(c stream.Command) stream.Event {
 	a.wait(context.Background(), c.Delay)
 	status, err := a.r.cancelOnce(context.Background(), a.endpoint, a.start.Generation)
@@ -274,18 +276,19 @@
 	return stream.Event{Kind: stream.EventStatus, Status: status}
 }
 
-// sameIncarnation reports whether the engine still is the one that got the
-// dispatch. A restarted engine at the same address knows no generation: taken
-// at its word, a request that ran before the restart would be called not run.
-// Incarnations only grow, so reading it after the cancel's answer is enough.
+// sameIncarnation reports whether the engine is still the incarnation that received
+// the dispatch. An engine that restarted at the same address knows no generation,
+// so its answer alone would report a request that ran before the restart as not
+// run. Incarnations only grow, so it is enough to read the incarnation after the
+// answer to the cancel.
 func (a *attempt) sameIncarnation() bool {
-	ctx, done := context.WithTimeout(context.Background(), a.r.o.CancelTimeout)
-	defer done()
+	ctx, cancel := context.WithTimeout(context.Background(), a.r.o.CancelTimeout)
+	defer cancel()
 	report, err := a.r.Engine.Load(ctx, a.endpoint)
 	return err == nil && report.EndpointID == a.endpoint.ID && report.Incarnation == a.endpoint.Incarnation
 }
 
-// wait sleeps; it returns the event that cut it short, or zero.
+// wait sleeps for d. It returns the event that interrupted it, or zero.
 func (a *attempt) wait(ctx context.Context, d time.Duration) stream.EventKind {
 	if d <= 0 {
 		return 0
@@ -297,7 +300,7 @@
 		return 0
 	case <-ctx.Done():
 		return stream.EventCallerGone
-	case <-a.r.life.handover:
+	case <-a.r.lifecycle.handover:
 		return stream.EventHandover
 	}
 }
--- a/internal/router/cancels.go
+++ b/internal/router/cancels.go
@@ -8,17 +8,17 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// Bounds of the cancels that are repeated.
+// Limits for retrying cancels.
 const (
-	maxPendingCancels   = 4096
-	cancelRetryInterval = 250 * time.Millisecond
-	cancelsAtOnce       = 16
+	maxPendingCancels    = 4096
+	cancelRetryInterval  = 250 * time.Millisecond
+	maxConcurrentCancels = 16
 )
 
-// cancels repeats the cancels that no engine has answered yet. A generation
-// that its caller no longer reads fills the engine's cache until its last
-// token, so one lost cancel would cost others their room.
-type cancels struct {
+// cancelQueue retries the cancels that no engine has answered yet. A generation
+// that its caller no longer reads fills the engine's cache until its last token, so
+// a lost cancel would take cache space from other generations.
+type cancelQueue struct {
 	r  *Router
 	mu sync.Mutex
 	m  map[string]pendingCancel
@@ -30,23 +30,23 @@
 	since      time.Time
 }
 
-func newCancels(r *Router) *cancels {
-	return &cancels{r: r, m: make(map[string]pendingCancel)}
+func newCancelQueue(r *Router) *cancelQueue {
+	return &cancelQueue{r: r, m: make(map[string]pendingCancel)}
 }
 
-// add remembers a cancel; past the bound it is dropped and the engine's own
-// limit ends the generation.
-func (c *cancels) add(e port.Endpoint, generation string) {
+// add queues a cancel. If the queue is full, the cancel is dropped and the engine's
+// own limit ends the generation.
+func (c *cancelQueue) add(e port.Endpoint, generation string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.m) >= maxPendingCancels {
 		return
 	}
 	c.m[generation] = pendingCancel{endpoint: e, generation: generation, since: c.r.Clock()}
-	c.r.metrics.pending.Update(int64(len(c.m)))
+	c.r.metrics.pendingCancels.Update(int64(len(c.m)))
 }
 
-func (c *cancels) pending() []pendingCancel {
+func (c *cancelQueue) pending() []pendingCancel {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := make([]pendingCancel, 0, len(c.m))
@@ -56,15 +56,15 @@
 	return out
 }
 
-func (c *cancels) remove(generation string) {
+func (c *cancelQueue) remove(generation string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.m, generation)
-	c.r.metrics.pending.Update(int64(len(c.m)))
+	c.r.metrics.pendingCancels.Update(int64(len(c.m)))
 }
 
-// run repeats the pending cancels until the context ends.
-func (c *cancels) run(ctx context.Context) {
+// run retries the pending cancels until the context ends.
+func (c *cancelQueue) run(ctx context.Context) {
 	ticker := time.NewTicker(cancelRetryInterval)
 	defer ticker.Stop()
 	for {
@@ -72,16 +72,16 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			c.round(ctx)
+			c.retryAll(ctx)
 		}
 	}
 }
 
-func (c *cancels) round(ctx context.Context) {
+func (c *cancelQueue) retryAll(ctx context.Context) {
 	var wg sync.WaitGroup
-	slots := make(chan struct{}, cancelsAtOnce)
+	slots := make(chan struct{}, maxConcurrentCancels)
 	for _, p := range c.pending() {
-		if c.pointless(p) {
+		if c.obsolete(p) {
 			c.remove(p.generation)
 			continue
 		}
@@ -96,9 +96,9 @@
 	wg.Wait()
 }
 
-// pointless: the engine that ran it is gone with its memory, or the time set
-// for cancels is over.
-func (c *cancels) pointless(p pendingCancel) bool {
+// obsolete reports whether a cancel needs no further retry: the engine process that
+// ran the generation has ended, or CancelLimit has passed.
+func (c *cancelQueue) obsolete(p pendingCancel) bool {
 	if c.r.Clock().Sub(p.since) > c.r.o.CancelLimit {
 		return true
 	}
@@ -110,10 +110,11 @@
 	return false
 }
 
-// cancelOnce asks the engine to end or bar a generation.
+// cancelOnce asks the engine once to end a generation, or to refuse it if it
+// arrives later.
 func (r *Router) cancelOnce(ctx context.Context, e port.Endpoint, generation string) (port.GenerationStatus, error) {
-	ctx, done := context.WithTimeout(ctx, r.o.CancelTimeout)
-	defer done()
+	ctx, cancel := context.WithTimeout(ctx, r.o.CancelTimeout)
+	defer cancel()
 	status, err := r.Engine.Cancel(ctx, e, generation)
 	if err == nil {
 		r.metrics.cancels.Inc(1)
--- a/internal/router/claims.go
+++ b/internal/router/claims.go
@@ -11,17 +11,18 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// claimKey is an organisation's idempotency key; the zero value is none.
+// claimKey is an organisation's idempotency key. The zero value means that there is
+// no key.
 type claimKey struct {
 	set  bool
 	hash [16]byte
-	// text is the key as the caller sent it; it may carry its own time.
+	// text is the key as the caller sent it; it may contain a timestamp.
 	text string
 }
 
-// newClaimKey hashes the key with its organisation, so that two organisations
-// that use the same key don't meet. The parts are joined by a zero byte, which
-// neither can hold.
+// newClaimKey hashes the key together with its organisation, so that equal keys of
+// two organisations don't collide. The parts are joined by a zero byte, which
+// neither can contain.
 func newClaimKey(organisation, key string) claimKey {
 	sum := sha256.Sum256([]byte(organisation + "\x00" + key))
 	k := claimKey{set: true, text: key}
@@ -29,22 +30,22 @@
 	return k
 }
 
-// claim is a granted claim; a nil claim settles nothing.
+// claim is a granted claim. Settling a nil claim does nothing.
 type claim struct {
 	r     *Router
 	state port.ClaimState
 }
 
-// claim asks for the key before anything is dispatched. It returns nil and
-// nil for a request without a key.
+// claim claims the key before anything is dispatched. It returns nil and nil for a
+// request without a key.
 func (r *Router) claim(ctx context.Context, key claimKey, requestID string) (*claim, *Refusal) {
 	if !key.set {
 		return nil, nil
 	}
 	if r.keyTooOld(key) {
-		return nil, keyExpired()
+		return nil, keyExpiredRefusal()
 	}
-	began := r.Clock()
+	start := r.Clock()
 	entry := port.ClaimEntry{KeyHash: key.hash, RequestID: requestID, AttemptID: uuid.NewString()}
 	c := &claim{r: r, state: port.ClaimState{
 		KeyHash: key.hash, RequestID: requestID, AttemptID: entry.AttemptID,
@@ -52,37 +53,38 @@
 	ctx, cancel := context.WithTimeout(ctx, r.o.ClaimTimeout)
 	defer cancel()
 	verdict, holder, err := r.Claimer.Claim(ctx, entry)
-	observe(r.metrics.claims, r.Clock().Sub(began))
+	observe(r.metrics.claimWait, r.Clock().Sub(start))
 	if err != nil {
 		verdict = port.ClaimUnavailable
 	}
 	switch verdict {
 	case port.ClaimGranted:
-		c.state.ClaimedUnixMillis = began.UnixMilli()
-		// A router that has just started learns the retention with its first
-		// claim. Unchecked here, that claim would run a call again whose
-		// first run is forgotten.
+		c.state.ClaimedUnixMillis = start.UnixMilli()
+		// A router that has just started learns the retention from the answer to its
+		// first claim. Without this second check, that claim could run a call again
+		// whose first run is no longer recorded.
 		if r.keyTooOld(key) {
 			c.settle(outcome.NotRun, 0)
-			return nil, keyExpired()
+			return nil, keyExpiredRefusal()
 		}
 		return c, nil
 	case port.ClaimHeld:
-		return nil, r.refuseDuplicate(ctx, &holder)
+		return nil, r.duplicateKeyRefusal(ctx, &holder)
 	case port.ClaimExpired:
-		return nil, keyExpired()
+		return nil, keyExpiredRefusal()
 	default:
-		// A claim that was written although its answer was lost is freed by
-		// the claimer, as it will never be granted.
+		// If the claim was written but its answer was lost, the claimer frees it, as
+		// it will never be granted.
 		return nil, &Refusal{
-			Cause: CauseClaims, Outcome: outcome.NotRun, RetryAfter: retrySoon, LastIndex: -1,
+			Cause: CauseClaimsUnavailable, Outcome: outcome.NotRun, RetryAfter: defaultRetryAfter, LastIndex: -1,
 			Detail: "no claim could be recorded, so nothing was dispatched",
 		}
 	}
 }
 
-// keyTooOld reports whether the key's own time says that its claim may be
-// forgotten. No claim would tell it from a new key then, and it would run again.
+// keyTooOld reports whether, by the timestamp in the key, its claim may already
+// have been deleted. The key would then look like a new one, and the call would run
+// again.
 func (r *Router) keyTooOld(key claimKey) bool {
 	if r.KeyRetention == nil {
 		return false
@@ -91,19 +93,21 @@
 	return retention > 0 && keyclaim.KeyTooOld(key.text, r.Clock(), retention)
 }
 
-func keyExpired() *Refusal {
+func keyExpiredRefusal() *Refusal {
 	return &Refusal{
 		Cause: CauseKeyExpired, Outcome: outcome.NotRun, LastIndex: -1,
 		Detail: "the key is older than the memory of claims, so it is not run again",
 	}
 }
 
-// refuseDuplicate tells what became of the request that holds the key.
-func (r *Router) refuseDuplicate(ctx context.Context, holder *port.ClaimState) *Refusal {
+// duplicateKeyRefusal refuses a request whose key is held by another request, and
+// reports the outcome of that request.
+func (r *Router) duplicateKeyRefusal(ctx context.Context, holder *port.ClaimState) *Refusal {
 	o := claimedOutcome(holder.Outcome)
 	if holder.Outcome == port.ClaimedOnly {
-		// The router that holds it may know more than the platform yet.
-		if s, known := r.ask(ctx, holder.RequestID); known && s.State == RequestOver {
+		// The router that serves the holder may already know an outcome that the
+		// platform hasn't stored yet.
+		if s, known := r.lookupStatus(ctx, holder.RequestID); known && s.State == RequestFinished {
 			o = s.Outcome
 		}
 	}
@@ -113,8 +117,9 @@
 	}
 }
 
-// claimedOutcome says what a stored claim proves. A key that is only claimed
-// may be running, or its router may have died before or after the dispatch.
+// claimedOutcome returns the outcome that a stored claim proves. If the key is only
+// claimed, the request may be running, or its router may have died before or after
+// the dispatch.
 func claimedOutcome(o port.ClaimOutcome) outcome.Outcome {
 	switch o {
 	case port.ClaimDone:
@@ -128,7 +133,7 @@
 	}
 }
 
-// settle records what became of the call; not_run frees the key.
+// settle records the outcome of the call; not_run frees the key.
 func (c *claim) settle(o outcome.Outcome, status int) {
 	if c == nil {
 		return
--- a/internal/router/claims_test.go
+++ b/internal/router/claims_test.go
@@ -12,25 +12,26 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/testkit/fakes"
 )
 
-// learning tells the retention with its first answer, as keepers do.
-type learning struct {
+// retentionClaimer is a claimer whose retention becomes known with its first
+// answer, as with real keepers.
+type retentionClaimer struct {
 	*fakes.Claims
 	retention time.Duration
-	told      time.Duration
+	learned   time.Duration
 }
 
-func (l *learning) Claim(ctx context.Context, e port.ClaimEntry) (port.ClaimVerdict, port.ClaimState, error) {
-	l.told = l.retention
+func (l *retentionClaimer) Claim(ctx context.Context, e port.ClaimEntry) (port.ClaimVerdict, port.ClaimState, error) {
+	l.learned = l.retention
 	return l.Claims.Claim(ctx, e)
 }
 
-// A caller retries a ledger entry two days later with its first key. Claims
-// and tombstones are gone by then, so nothing at the keepers tells the key
-// from a new one and the entry would run twice. The time in the key does,
-// also at a router that hears the retention only with this claim.
-func TestOldKeyWithATimeNeverRunsAgain(t *testing.T) {
+// Guards against running a ledger entry twice: the caller retries it two days later
+// with its first key, when the claim and its tombstone are deleted and the keepers
+// can't tell the key from a new one. Only the timestamp in the key shows its age,
+// also at a router that receives the retention with the answer to this claim.
+func TestExpiredTimestampedKeyIsRefused(t *testing.T) {
 	key := uuid.Must(uuid.NewV7())
-	made := time.Unix(key.Time().UnixTime())
+	keyTime := time.Unix(key.Time().UnixTime())
 	cases := []struct {
 		name, key string
 		known     time.Duration
@@ -39,16 +40,16 @@
 	}{
 		{"fresh", key.String(), time.Hour, time.Minute, 1},
 		{"old, retention known", key.String(), time.Hour, 48 * time.Hour, 0},
-		{"old, retention told with the claim", key.String(), 0, 48 * time.Hour, 0},
-		{"old, without a time", "entry-17", time.Hour, 48 * time.Hour, 1},
+		{"old, retention received with the claim", key.String(), 0, 48 * time.Hour, 0},
+		{"old, without a timestamp", "entry-17", time.Hour, 48 * time.Hour, 1},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			b := newBench(testOptions("router-1"), serviceEndpoint("s1"))
-			l := &learning{Claims: b.claimer, retention: time.Hour, told: c.known}
+			b := newFixture(testOptions("router-1"), serviceEndpoint("s1"))
+			l := &retentionClaimer{Claims: b.claimer, retention: time.Hour, learned: c.known}
 			b.Claimer = l
-			b.KeyRetention = func() time.Duration { return l.told }
-			b.Clock = func() time.Time { return made.Add(c.age) }
+			b.KeyRetention = func() time.Duration { return l.learned }
+			b.Clock = func() time.Time { return keyTime.Add(c.age) }
 			b.services.reply["s1"] = okReply("entered")
 			_, refusal := b.CallService(t.Context(), &ServiceRequest{
 				RequestID: b.NewRequestID(), Organisation: "kegsetu", Service: "depot", Method: "POST", Path: "/entries",
@@ -61,10 +62,10 @@
 				return
 			}
 			if refusal == nil || refusal.Cause != CauseKeyExpired || refusal.Outcome != outcome.NotRun {
-				t.Fatalf("refusal %+v", refusal)
+				t.Fatalf("got refusal %+v, want cause key_expired and outcome not_run", refusal)
 			}
 			if len(b.claimer.Held) != 0 {
-				t.Fatal("the key stays claimed although nothing was dispatched")
+				t.Fatal("the key is still claimed although nothing was dispatched")
 			}
 		})
 	}
--- a/internal/router/crashes_test.go
+++ b/internal/router/crashes_test.go
@@ -13,38 +13,38 @@
 )
 
 // Guards against a generation that crashes one engine after the other.
-func TestGenerationThatCrashesEnginesIsNotSentOn(t *testing.T) {
-	b := newBench(testOptions("r1"), runner("e1"), runner("e2"), runner("e3"), runner("e4"))
+func TestGenerationCrashingEnginesIsQuarantined(t *testing.T) {
+	b := newFixture(testOptions("r1"), runner("e1"), runner("e2"), runner("e3"), runner("e4"))
 	b.engine.Gone = true
 	for range 3 {
 		b.engine.OnStart = append(b.engine.OnStart, fakes.Lost)
 	}
-	if refusal := b.generate(&reader{}, false); refusal == nil {
-		t.Fatal("answered")
+	if refusal := b.generate(&fakeCaller{}, false); refusal == nil {
+		t.Fatal("the request was answered although every endpoint crashed")
 	}
 	eventually.True(t, "the request is quarantined", b.quarantine.Any)
 	sent, _, _ := b.engine.Seen()
 	b.engine.OnStart = append(b.engine.OnStart, fakes.Whole(3))
-	refusal := b.generate(&reader{}, false)
+	refusal := b.generate(&fakeCaller{}, false)
 	if refusal == nil || refusal.Cause != CauseQuarantined || refusal.Outcome != outcome.NotRun {
-		t.Fatalf("%+v", refusal)
+		t.Fatalf("got refusal %+v, want CauseQuarantined, outcome.NotRun", refusal)
 	}
-	if again, _, _ := b.engine.Seen(); len(again) != len(sent) {
-		t.Fatalf("sent %d times, then %d", len(sent), len(again))
+	if resent, _, _ := b.engine.Seen(); len(resent) != len(sent) {
+		t.Fatalf("the quarantined request was dispatched: %d dispatches before, %d after", len(sent), len(resent))
 	}
-	other := &reader{}
+	other := &fakeCaller{}
 	refusal = b.Generate(t.Context(), &GenerationRequest{
 		RequestID: b.NewRequestID(), Organisation: "kegsetu", Model: "m", Prompt: "another",
 	}, other)
 	if refusal != nil {
-		t.Fatalf("another one: %+v", refusal)
+		t.Fatalf("a different request was refused: %+v", refusal)
 	}
 }
 
-// The same for a call of a plain service.
-func TestCallThatCrashesEndpointsIsNotSentOn(t *testing.T) {
-	b := newBench(testOptions("r1"), serviceEndpoint("s1"), serviceEndpoint("s2"), serviceEndpoint("s3"), serviceEndpoint("s4"))
-	b.services.gone = true
+// Guards against a service call that crashes one endpoint after the other.
+func TestCallCrashingEndpointsIsQuarantined(t *testing.T) {
+	b := newFixture(testOptions("r1"), serviceEndpoint("s1"), serviceEndpoint("s2"), serviceEndpoint("s3"), serviceEndpoint("s4"))
+	b.services.endpointsGone = true
 	for _, id := range []string{"s1", "s2", "s3", "s4"} {
 		b.services.reply[id] = func() (*ServiceReply, error) { return nil, port.ErrEndpointLost }
 	}
@@ -55,64 +55,66 @@
 		return refusal
 	}
 	if refusal := call(); refusal == nil {
-		t.Fatal("answered")
+		t.Fatal("the request was answered although every endpoint crashed")
 	}
 	eventually.True(t, "the request is quarantined", b.quarantine.Any)
 	sent := b.services.count()
 	if refusal := call(); refusal == nil || refusal.Cause != CauseQuarantined {
-		t.Fatalf("%+v", refusal)
+		t.Fatalf("got refusal %+v, want CauseQuarantined", refusal)
 	}
 	if b.services.count() != sent {
-		t.Fatal("it was sent again")
+		t.Fatal("the quarantined call was sent again")
 	}
 }
 
 // Guards against quarantining generations whose connections break at engines that go on serving.
-func TestBrokenStreamIsNoCrash(t *testing.T) {
-	b := newBench(testOptions("r1"), runner("e1"), runner("e2"), runner("e3"))
+func TestBrokenConnectionIsNotACrash(t *testing.T) {
+	b := newFixture(testOptions("r1"), runner("e1"), runner("e2"), runner("e3"))
 	for range 9 {
 		b.engine.OnStart = append(b.engine.OnStart, fakes.Lost)
 	}
 	for range 3 {
-		b.generate(&reader{}, false)
+		b.generate(&fakeCaller{}, false)
 	}
-	eventually.True(t, "the looks have ended", func() bool { return b.crashes.Looking() == 0 })
+	eventually.True(t, "the crash checks have finished", func() bool { return b.crashWatch.Looking() == 0 })
 	if n := b.quarantine.Entries(); len(n) != 0 {
-		t.Fatalf("quarantined: %v", n)
+		t.Fatalf("requests were quarantined without a crash: %v", n)
 	}
 	b.engine.OnStart = append(b.engine.OnStart, fakes.Whole(3))
-	if refusal := b.generate(&reader{}, false); refusal != nil {
-		t.Fatalf("%+v", refusal)
+	if refusal := b.generate(&fakeCaller{}, false); refusal != nil {
+		t.Fatalf("a request that crashed no engine was refused: %+v", refusal)
 	}
 }
 
-// quarantineRequest has engines that nobody knows end under the prompt of generate.
-func (b *bench) quarantineRequest() {
-	f := (&GenerationRequest{Organisation: "kegsetu", Model: "m", Prompt: "p"}).crashPrint()
+// quarantineRequest records crashes of three other engines that ran the request of
+// generate, so that it is quarantined.
+func (b *fixture) quarantineRequest() {
+	f := (&GenerationRequest{Organisation: "kegsetu", Model: "m", Prompt: "p"}).crashFingerprint()
 	for id := range quarantine.CrashID(3) {
 		b.quarantine.Crashed(time.Now(), 1000+id, []quarantine.Fingerprint{f})
 	}
 }
 
-// Guards against a quarantined generation that holds a place.
-func TestQuarantinedGenerationTakesNoPlace(t *testing.T) {
-	for _, waits := range []bool{false, true} {
-		b := newBench(testOptions("r1"), runner("e1"))
+// Guards against a quarantined generation that keeps its place at the scheduler,
+// also if it was quarantined while it waited to be placed.
+func TestQuarantinedGenerationReleasesItsPlace(t *testing.T) {
+	for _, whileWaiting := range []bool{false, true} {
+		b := newFixture(testOptions("r1"), runner("e1"))
 		b.engine.OnStart = append(b.engine.OnStart, fakes.Whole(3))
-		asked := 0
+		submitted := 0
 		b.scheduler.onSubmit = func() {
-			asked++
+			submitted++
 			b.quarantineRequest()
 		}
-		if !waits {
+		if !whileWaiting {
 			b.quarantineRequest()
 		}
-		refusal := b.generate(&reader{}, false)
+		refusal := b.generate(&fakeCaller{}, false)
 		if refusal == nil || refusal.Cause != CauseQuarantined || refusal.Outcome != outcome.NotRun {
-			t.Errorf("waits %v: %+v", waits, refusal)
+			t.Errorf("quarantined while waiting %v: refused with %+v, want CauseQuarantined, outcome.NotRun", whileWaiting, refusal)
 		}
-		if sent, _, _ := b.engine.Seen(); len(sent) > 0 || asked != len(b.scheduler.finished) || (asked > 0) != waits {
-			t.Errorf("waits %v: %d sent, %d places asked for, %d given back", waits, len(sent), asked, len(b.scheduler.finished))
+		if sent, _, _ := b.engine.Seen(); len(sent) > 0 || submitted != len(b.scheduler.finished) || (submitted > 0) != whileWaiting {
+			t.Errorf("quarantined while waiting %v: %d dispatches, %d submissions, %d released", whileWaiting, len(sent), submitted, len(b.scheduler.finished))
 		}
 	}
 }
--- a/internal/router/decide.go
+++ b/internal/router/decisions.go
@@ -8,7 +8,7 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// Verdicts of decisions beside the scheduler's own.
+// Verdicts of the decisions that the router records in addition to the scheduler's.
 const (
 	verdictFinish = "finish"
 	verdictMove   = "move"
@@ -18,14 +18,14 @@
 
 const subjectRequest = "request"
 
-// NewRequestID returns a request id that names this router.
+// NewRequestID returns a new request id that contains this router's id.
 func (r *Router) NewRequestID() string { return r.o.ID + "." + uuid.NewString() }
 
-// draw is the balancer's source of chance.
-func draw(n int) int { return rand.IntN(n) }
+// randIntN is the balancer's source of random numbers.
+func randIntN(n int) int { return rand.IntN(n) }
 
-// decide stamps and records a decision and returns its id.
-func (r *Router) decide(d *port.DecisionRecord) string {
+// recordDecision sets the id and time of a decision, records it and returns the id.
+func (r *Router) recordDecision(d *port.DecisionRecord) string {
 	d.ID = r.o.ID + ".d." + uuid.NewString()
 	d.Time = r.Clock()
 	r.Sink.Record(d)
--- a/internal/router/doc.go
+++ b/internal/router/doc.go
@@ -1,4 +1,4 @@
-// Package router joins the decisions of core with the ports: it admits a
-// request, places it, follows its stream and says what became of it. It knows
-// no HTTP and no gRPC.
+// Package router connects the decision logic of internal/core with the ports: it
+// admits a request, places it on an endpoint, follows its stream and records its
+// outcome. It contains no HTTP or gRPC transport code.
 package router
--- a/internal/router/drain_test.go
+++ b/internal/router/drain_test.go
@@ -13,41 +13,41 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/testkit/fakes"
 )
 
-// A planned stop: a stream is open and a caller still holds this router's
-// address. The router says that it leaves, serves that caller, lets the
-// stream end, and only then stops.
-func TestPlannedStopCutsNothing(t *testing.T) {
+// A router drains while a stream is open and a caller still uses this router's
+// address. The router must announce that it is leaving, serve that caller, let the
+// stream end, and only then stop.
+func TestDrainCompletesOpenStreams(t *testing.T) {
 	o := testOptions("r1")
-	b := newBench(o, runner("e1"))
+	b := newFixture(o, runner("e1"))
 	release := make(chan struct{})
 	b.engine.OnStart = append(b.engine.OnStart, fakes.Whole(9), fakes.Whole(2))
-	long := &reader{before: func(f *port.Frame) error {
+	streamCaller := &fakeCaller{onFrame: func(f *port.Frame) error {
 		if f.Index == 5 {
 			<-release
 		}
 		return nil
 	}}
 	streamed := make(chan *Refusal, 1)
-	go func() { streamed <- b.generate(long, false) }()
-	eventually.True(t, "the stream is open", func() bool { return long.count() == 5 })
-	late, served := &reader{}, make(chan struct{})
+	go func() { streamed <- b.generate(streamCaller, false) }()
+	eventually.True(t, "the stream is open", func() bool { return streamCaller.count() == 5 })
+	lateCaller, served := &fakeCaller{}, make(chan struct{})
 	b.view.onLeave = func() {
-		// The requests that the test sends below would take the engine's answer
-		// that is meant for this one.
+		// This request is sent here, because the requests sent below would consume
+		// the scripted answer that is meant for it.
 		defer close(served)
 		if addresses, _ := b.Entry("kegsetu"); slices.Contains(addresses, o.CallerAddress) {
-			t.Error("entry names a router that leaves")
+			t.Error("Entry lists a router that is leaving")
 		}
-		if refusal := b.generate(late, true); refusal != nil {
-			t.Errorf("a caller that holds the address: %v", refusal)
+		if refusal := b.generate(lateCaller, true); refusal != nil {
+			t.Errorf("a caller with the cached address was refused: %v", refusal)
 		}
 	}
 	drained := make(chan struct{})
 	go func() { b.Drain(context.Background()); close(drained) }()
 	<-served
-	eventually.True(t, "the router leaves", b.view.hasLeft)
+	eventually.True(t, "the router has announced that it is leaving", b.view.isLeaving)
 	eventually.True(t, "new requests are refused", func() bool {
-		refusal := b.generate(&reader{}, true)
+		refusal := b.generate(&fakeCaller{}, true)
 		return refusal != nil && refusal.Cause == CauseStopping && refusal.Outcome == outcome.NotRun
 	})
 	select {
@@ -57,54 +57,55 @@
 	}
 	close(release)
 	if refusal := <-streamed; refusal != nil {
-		t.Fatalf("the stream was cut: %v", refusal)
+		t.Fatalf("the open stream was refused during the drain: %v", refusal)
 	}
-	long.check(t, 0, 9)
+	streamCaller.checkFrames(t, 0, 9)
 	<-drained
-	late.check(t, 0, 2)
+	lateCaller.checkFrames(t, 0, 2)
 }
 
-// The host is taken before the stream ends: at the drain timeout the caller is
-// told to resume elsewhere, and there it gets the rest with no token lost or
-// doubled. The engine's run is not cancelled.
-func TestBoundedStopHandsStreamsOver(t *testing.T) {
+// The host is reclaimed before a stream ends. At the drain timeout the caller must
+// be told to resume at another router and get the remaining tokens there, none lost
+// or duplicated. The engine's run must not be cancelled.
+func TestDrainTimeoutHandsOverStreams(t *testing.T) {
 	o := testOptions("r1")
 	o.DrainTimeout = 10 * time.Millisecond
-	b := newBench(o, runner("e1"))
+	b := newFixture(o, runner("e1"))
 	b.engine.OnStart = append(b.engine.OnStart, func(s *port.GenerationStart) (port.FrameStream, error) {
 		return &fakes.Connection{Script: fakes.Tokens(s.Generation, 0, 4, 9), Hangs: true}, nil
 	})
-	r := &reader{}
+	r := &fakeCaller{}
 	streamed := make(chan *Refusal, 1)
 	go func() { streamed <- b.generate(r, true) }()
 	eventually.True(t, "the stream is open", func() bool { return r.count() == 4 })
 	b.Drain(context.Background())
 	refusal := <-streamed
 	if refusal == nil || refusal.Cause != CauseStopping || refusal.ResumeToken == "" || refusal.LastIndex != 3 {
-		t.Fatalf("got %+v", refusal)
+		t.Fatalf("got refusal %+v, want router_stopping with a resume token and last index 3", refusal)
 	}
 	if _, _, cancels := b.engine.Seen(); len(cancels) != 0 {
 		t.Fatal("the run was cancelled")
 	}
-	other := newBench(testOptions("r2"))
+	other := newFixture(testOptions("r2"))
 	other.engine.OnResume = append(other.engine.OnResume, fakes.Rest(9))
-	again := &reader{}
+	resumed := &fakeCaller{}
 	if refusal := other.Resume(context.Background(), &ResumeRequest{
 		RequestID: other.NewRequestID(), Organisation: "kegsetu", Token: refusal.ResumeToken, From: refusal.LastIndex + 1,
-	}, again); refusal != nil {
-		t.Fatalf("refused: %v", refusal)
+	}, resumed); refusal != nil {
+		t.Fatalf("the resume was refused: %v", refusal)
 	}
-	again.check(t, 4, 9)
+	resumed.checkFrames(t, 4, 9)
 }
 
-// The drain timeout comes while a ledger entry is under way at a service. It
-// can't be handed over and must not run twice, so it is finished first.
-func TestBoundedStopFinishesServiceCalls(t *testing.T) {
+// The drain timeout passes while a ledger entry is being written at a service. The
+// call can't be handed over and must not run twice, so the router must let it
+// finish.
+func TestDrainTimeoutFinishesServiceCalls(t *testing.T) {
 	o := testOptions("r1")
 	o.DrainTimeout = 10 * time.Millisecond
-	b := newBench(o, serviceEndpoint("s1"))
+	b := newFixture(o, serviceEndpoint("s1"))
 	sent, release := make(chan struct{}), make(chan struct{})
-	b.both(func() (*ServiceReply, error) {
+	b.scriptBoth(func() (*ServiceReply, error) {
 		close(sent)
 		<-release
 		return okReply("entered")()
@@ -117,26 +118,26 @@
 	<-sent
 	drained := make(chan struct{})
 	go func() { b.Drain(context.Background()); close(drained) }()
-	<-b.life.handover
+	<-b.lifecycle.handover
 	if b.grace() <= b.Router.o.ServiceTimeout {
-		t.Fatalf("a call may take %s, and is cut after %s", b.Router.o.ServiceTimeout, b.grace())
+		t.Fatalf("a call may take %s, but the grace period is only %s", b.Router.o.ServiceTimeout, b.grace())
 	}
 	select {
 	case <-drained:
-		t.Fatal("the router stopped while a call was under way")
+		t.Fatal("the router stopped while a call was open")
 	default:
 	}
 	close(release)
 	if refusal := <-replied; refusal != nil {
-		t.Fatalf("the call was cut: %v", refusal)
+		t.Fatalf("the open call was refused during the drain: %v", refusal)
 	}
 	<-drained
 }
 
-// An entry answer names live routers only, begins elsewhere for each
-// organisation, and keeps its order.
+// Entry must list live routers only, start at different routers for different
+// organisations, and keep its order between calls.
 func TestEntry(t *testing.T) {
-	b := newBench(testOptions("r1"))
+	b := newFixture(testOptions("r1"))
 	add := func(id string, role port.MemberRole, s port.MemberState) {
 		b.view.members = append(b.view.members, port.Member{ID: id, Role: role, State: s, CallerAddress: id + ":1"})
 	}
@@ -149,17 +150,17 @@
 	firsts := make(map[string]bool)
 	for _, organisation := range []string{"a", "b", "c", "d", "e", "f", "g", "h", "i", "j"} {
 		got, valid := b.Entry(organisation)
-		again, _ := b.Entry(organisation)
-		if !slices.Equal(got, again) || valid != b.Router.o.EntryValidity {
-			t.Fatalf("got %v then %v", got, again)
+		second, _ := b.Entry(organisation)
+		if !slices.Equal(got, second) || valid != b.Router.o.EntryValidity {
+			t.Fatalf("Entry returned %v, then %v, want the same list twice and the configured validity", got, second)
 		}
 		firsts[got[0]] = true
 		slices.Sort(got)
 		if !slices.Equal(got, []string{"r1:1", "r2:1", "r3:1"}) {
-			t.Fatalf("got %v", got)
+			t.Fatalf("got %v, want the live routers r1, r2 and r3", got)
 		}
 	}
 	if len(firsts) != 3 {
-		t.Fatalf("ten organisations begin at %v", firsts)
+		t.Fatalf("ten organisations start at %v, want all three routers", firsts)
 	}
 }
--- a/internal/router/entry.go
+++ b/internal/router/entry.go
@@ -9,25 +9,27 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// MaxEntryAddresses bounds the addresses of one entry answer.
+// MaxEntryAddresses bounds the number of addresses that Entry returns.
 const MaxEntryAddresses = 8
 
-// Entry lists the routers that a caller should use, in order, and how long
-// the answer may be kept. Each organisation starts at another router, and
-// keeps its order while routers come and go.
+// Entry returns the addresses of the routers that a caller should use, in order of
+// preference, and how long they may be cached. Organisations start at different
+// routers, and the order for one organisation stays stable while routers come and
+// go.
 func (r *Router) Entry(organisation string) (addresses []string, valid time.Duration) {
-	left := r.entryCandidates()
-	for len(left) > 0 && len(addresses) < MaxEntryAddresses {
-		// The library ranks only the first, so the rest is ranked again.
-		first := rendezvous.New(left, xxhash.Sum64String).Lookup(organisation)
+	remaining := r.entryCandidates()
+	for len(remaining) > 0 && len(addresses) < MaxEntryAddresses {
+		// The library returns only the top-ranked address, so the remaining ones are
+		// ranked again.
+		first := rendezvous.New(remaining, xxhash.Sum64String).Lookup(organisation)
 		addresses = append(addresses, first)
-		left = without(left, first)
+		remaining = without(remaining, first)
 	}
 	return addresses, r.o.EntryValidity
 }
 
-// entryCandidates are the addresses of live routers, this one by its own
-// knowledge.
+// entryCandidates returns the addresses of the live routers. This router decides by
+// its own state, not by the view, whether to include itself.
 func (r *Router) entryCandidates() []string {
 	var out []string
 	if !r.Leaving() {
--- a/internal/router/fake_test.go
+++ b/internal/router/fake_test.go
@@ -18,73 +18,75 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/testkit/fakes"
 )
 
-// patience bounds the wait for something that must happen.
-const patience = 20 * time.Second
-
-// reader is the caller's end of a stream.
-type reader struct {
-	mu      sync.Mutex
-	got     []port.Frame
-	flushed int
-	flushes int
-	token   string
-	once    bool
-	before  func(f *port.Frame) error
+// testTimeout bounds waits for events that must happen.
+const testTimeout = 20 * time.Second
+
+// fakeCaller is an Answer that records the frames it gets.
+type fakeCaller struct {
+	mu           sync.Mutex
+	frames       []port.Frame
+	flushed      int
+	flushes      int
+	resumeToken  string
+	notResumable bool
+	onFrame      func(f *port.Frame) error
 }
 
-func (r *reader) Resumable() bool { return !r.once }
+func (r *fakeCaller) Resumable() bool { return !r.notResumable }
 
-func (r *reader) Frame(token string, f *port.Frame) error {
-	if r.before != nil {
-		if err := r.before(f); err != nil {
+func (r *fakeCaller) Frame(token string, f *port.Frame) error {
+	if r.onFrame != nil {
+		if err := r.onFrame(f); err != nil {
 			return err
 		}
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.token = token
-	r.got = append(r.got, *f)
+	r.resumeToken = token
+	r.frames = append(r.frames, *f)
 	return nil
 }
 
-func (r *reader) Flush() error {
+func (r *fakeCaller) Flush() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.flushed = len(r.got)
+	r.flushed = len(r.frames)
 	r.flushes++
 	return nil
 }
 
-// shown counts the events that have reached the caller.
-func (r *reader) shown() int {
+// flushedCount returns the number of frames that have been flushed to the caller.
+func (r *fakeCaller) flushedCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.flushed
 }
 
-func (r *reader) count() int {
+func (r *fakeCaller) count() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return len(r.got)
+	return len(r.frames)
 }
 
-// check wants total tokens from first on, once and in order, then the end.
-func (r *reader) check(t *testing.T, first, total int) {
+// checkFrames fails the test unless the frames are the tokens from index first up
+// to total, each once and in order, followed by the end.
+func (r *fakeCaller) checkFrames(t *testing.T, first, total int) {
 	t.Helper()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if len(r.got) != total-first+1 {
-		t.Fatalf("got %d events, want %d tokens and the end", len(r.got), total-first)
+	if len(r.frames) != total-first+1 {
+		t.Fatalf("got %d frames, want %d tokens and the final frame", len(r.frames), total-first)
 	}
-	for i, f := range r.got {
-		if f.Index != first+i || f.Final() != (i == total-first) || f.Generation != r.got[0].Generation {
-			t.Fatalf("event %d is %+v", i, f)
+	for i, f := range r.frames {
+		if f.Index != first+i || f.Final() != (i == total-first) || f.Generation != r.frames[0].Generation {
+			t.Fatalf("unexpected frame at position %d: %+v", i, f)
 		}
 	}
 }
 
-// scheduler places at the endpoints in order, leaving out those excluded.
-type scheduler struct {
+// fakeScheduler places requests on the endpoints in order, skipping the excluded
+// ones.
+type fakeScheduler struct {
 	mu        sync.Mutex
 	endpoints []port.Endpoint
 	holds     int
@@ -92,16 +94,17 @@
 	withdrawn int
 	finished  []port.FinishKind
 	reports   int
-	// unserved: no endpoint serves the model.
-	unserved bool
-	// onSubmit runs before each answer.
+	// modelUnserved makes refusals state that no endpoint serves the model.
+	modelUnserved bool
+	// onSubmit runs at the start of each Submit.
 	onSubmit func()
 }
 
-// fakeVersion is the routing configuration behind every placement.
-const fakeVersion = 12
+// fakeConfigurationVersion is the version of the routing configuration in every
+// placement.
+const fakeConfigurationVersion = 12
 
-func (s *scheduler) Submit(_ time.Time, r *port.GenerationRequest) port.Decision {
+func (s *fakeScheduler) Submit(_ time.Time, r *port.GenerationRequest) port.Decision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.onSubmit != nil {
@@ -117,113 +120,113 @@
 			excluded = excluded || id == e.ID
 		}
 		if !excluded {
-			return port.Decision{Verdict: port.VerdictPlace, Endpoint: e, Reason: "first", ConfigurationVersion: fakeVersion}
+			return port.Decision{Verdict: port.VerdictPlace, Endpoint: e, Reason: "first", ConfigurationVersion: fakeConfigurationVersion}
 		}
 	}
 	reason := "none left"
-	if s.unserved {
+	if s.modelUnserved {
 		reason = routing.ReasonRefusedModel
 	}
 	return port.Decision{Verdict: port.VerdictRefuse, Reason: reason, RetryAfter: time.Second}
 }
 
-func (s *scheduler) Ready(string) <-chan struct{} { return s.ready }
+func (s *fakeScheduler) Ready(string) <-chan struct{} { return s.ready }
 
-func (s *scheduler) Withdraw(time.Time, string) {
+func (s *fakeScheduler) Withdraw(time.Time, string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.withdrawn++
 }
 
-func (s *scheduler) Finished(_ time.Time, _ string, _ int, k port.FinishKind) {
+func (s *fakeScheduler) Finished(_ time.Time, _ string, _ int, k port.FinishKind) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.finished = append(s.finished, k)
 }
 
-func (s *scheduler) SetEndpoints(_ time.Time, es []port.Endpoint) {
+func (s *fakeScheduler) SetEndpoints(_ time.Time, es []port.Endpoint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.endpoints = es
 }
 
-func (s *scheduler) Report(time.Time, *port.LoadReport) {
+func (s *fakeScheduler) Report(time.Time, *port.LoadReport) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.reports++
 }
-func (s *scheduler) Progress(time.Time, string, int) {}
-func (s *scheduler) SetPolicy(port.Policy)           {}
-func (s *scheduler) Tick(time.Time)                  {}
+func (s *fakeScheduler) Progress(time.Time, string, int) {}
+func (s *fakeScheduler) SetPolicy(port.Policy)           {}
+func (s *fakeScheduler) Tick(time.Time)                  {}
 
-// view is a settable state.
-type view struct {
+// fakeView is a view of the system's state that tests can set.
+type fakeView struct {
 	mu        sync.Mutex
 	endpoints []port.Endpoint
 	members   []port.Member
-	left      bool
-	// onLeave runs while the others are told.
+	leaving   bool
+	// onLeave runs when the router announces that it is leaving.
 	onLeave func()
 }
 
-func (v *view) Records() []port.Record { return nil }
-func (v *view) Endpoints() []port.Endpoint {
+func (v *fakeView) Records() []port.Record { return nil }
+func (v *fakeView) Endpoints() []port.Endpoint {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return append([]port.Endpoint(nil), v.endpoints...)
 }
 
-func (v *view) Members() []port.Member {
+func (v *fakeView) Members() []port.Member {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return append([]port.Member(nil), v.members...)
 }
-func (v *view) Changed() <-chan struct{} { return nil }
-func (v *view) Synced() bool             { return true }
-func (v *view) SetLeaving() {
+func (v *fakeView) Changed() <-chan struct{} { return nil }
+func (v *fakeView) Synced() bool             { return true }
+func (v *fakeView) SetLeaving() {
 	v.mu.Lock()
-	v.left = true
+	v.leaving = true
 	v.mu.Unlock()
 	if v.onLeave != nil {
 		v.onLeave()
 	}
 }
 
-func (v *view) hasLeft() bool {
+func (v *fakeView) isLeaving() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.left
+	return v.leaving
 }
 
-// services answers calls by a script per endpoint.
-type services struct {
-	mu    sync.Mutex
-	reply map[string]func() (*ServiceReply, error)
-	calls []string
-	gone  bool
+// fakeServices answers calls with a scripted function per endpoint.
+type fakeServices struct {
+	mu            sync.Mutex
+	reply         map[string]func() (*ServiceReply, error)
+	calls         []string
+	endpointsGone bool
 }
 
-func (s *services) Call(_ context.Context, e port.Endpoint, _ *ServiceRequest) (*ServiceReply, error) {
+func (s *fakeServices) Call(_ context.Context, e port.Endpoint, _ *ServiceRequest) (*ServiceReply, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls = append(s.calls, e.ID)
 	return s.reply[e.ID]()
 }
 
-func (s *services) Load(context.Context, port.Endpoint) (port.LoadReport, error) {
+func (s *fakeServices) Load(context.Context, port.Endpoint) (port.LoadReport, error) {
 	return port.LoadReport{}, port.ErrEndpointLost
 }
 
-func (s *services) Look(context.Context, port.Endpoint) port.Presence {
+func (s *fakeServices) Look(context.Context, port.Endpoint) port.Presence {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.gone {
+	if s.endpointsGone {
 		return port.PresenceGone
 	}
 	return port.PresenceServing
 }
 
-func (s *services) count() int {
+func (s *fakeServices) count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.calls)
@@ -235,20 +238,20 @@
 func (p peerRouters) LookupRequest(_ context.Context, address, id string) ([]byte, bool, error) {
 	r, ok := p[address]
 	if !ok {
-		return nil, false, errors.New("gone")
+		return nil, false, errors.New("no router has this address")
 	}
 	raw, found := r.LocalRequest(id)
 	return raw, found, nil
 }
 
-// bench is a router among fakes.
-type bench struct {
+// fixture is a router with fake ports.
+type fixture struct {
 	*Router
 	engine    *fakes.Engine
-	scheduler *scheduler
-	view      *view
+	scheduler *fakeScheduler
+	view      *fakeView
 	claimer   *fakes.Claims
-	services  *services
+	services  *fakeServices
 	sink      *fakes.Decisions
 
 	quarantine *quarantine.Register
@@ -275,18 +278,18 @@
 		ID: id, CallerAddress: id + ":1", Tokens: stream.NewTokens([]byte("0123456789abcdef")), Stream: limits,
 		Breaker:    breaker.Options{Failures: 3, OpenFor: time.Second, MaxOpenFor: time.Minute, MaxEndpoints: 16},
 		RetryShare: 0.1, RetryBurst: 10, MaxAttempts: 3, MaxOpen: 100,
-		HoldLimit: patience, StallTimeout: patience, CancelTimeout: patience, CancelLimit: time.Hour,
-		ServiceTimeout: patience, ClaimTimeout: patience, PeerTimeout: patience,
-		BufferFrames: 4, ReaderPatience: patience, LoadInterval: time.Hour, LoadStale: time.Hour, LoadSubset: 8,
-		EntryValidity: time.Millisecond, DrainTimeout: patience, RememberRequests: 1024, RememberReplies: 1 << 20,
+		HoldLimit: testTimeout, StallTimeout: testTimeout, CancelTimeout: testTimeout, CancelLimit: time.Hour,
+		ServiceTimeout: testTimeout, ClaimTimeout: testTimeout, PeerTimeout: testTimeout,
+		BufferFrames: 4, ReaderPatience: testTimeout, LoadInterval: time.Hour, LoadStale: time.Hour, LoadSubset: 8,
+		EntryValidity: time.Millisecond, DrainTimeout: testTimeout, RememberRequests: 1024, RememberReplies: 1 << 20,
 	}
 }
 
-func newBench(o Options, endpoints ...port.Endpoint) *bench {
-	b := &bench{
-		engine: &fakes.Engine{}, scheduler: &scheduler{}, view: &view{endpoints: endpoints},
+func newFixture(o Options, endpoints ...port.Endpoint) *fixture {
+	b := &fixture{
+		engine: &fakes.Engine{}, scheduler: &fakeScheduler{}, view: &fakeView{endpoints: endpoints},
 		claimer:  fakes.NewClaims(),
-		services: &services{reply: make(map[string]func() (*ServiceReply, error))}, sink: &fakes.Decisions{},
+		services: &fakeServices{reply: make(map[string]func() (*ServiceReply, error))}, sink: &fakes.Decisions{},
 	}
 	b.quarantine = quarantine.NewRegister(node.New(), func(quarantine.Change) {})
 	b.Router = New(o, Ports{
@@ -295,12 +298,12 @@
 		Peers: peerRouters{}, Announcer: b.view, Sink: b.sink,
 		Policy: func([]port.Record) port.Policy { return port.Policy{} },
 	})
-	b.apply()
+	b.applyView()
 	return b
 }
 
-// takes reports whether the scheduler may place at the endpoint.
-func (b *bench) takes(id string) bool {
+// schedulable reports whether the scheduler may place requests on the endpoint.
+func (b *fixture) schedulable(id string) bool {
 	b.scheduler.mu.Lock()
 	defer b.scheduler.mu.Unlock()
 	for _, e := range b.scheduler.endpoints {
@@ -311,8 +314,8 @@
 	return false
 }
 
-func (b *bench) generate(a Answer, nonIdempotent bool) *Refusal {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+func (b *fixture) generate(a Answer, nonIdempotent bool) *Refusal {
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	return b.Generate(ctx, &GenerationRequest{
 		RequestID: b.NewRequestID(), Organisation: "kegsetu", Model: "m", Prompt: "p", NonIdempotent: nonIdempotent,
--- a/internal/router/generate.go
+++ b/internal/router/generate.go
@@ -21,49 +21,53 @@
 	Prompt       string
 	MaxTokens    int
 	User         string
-	// IdempotencyKey is empty where the caller gave none.
+	// IdempotencyKey is empty if the caller sent none.
 	IdempotencyKey string
-	// NonIdempotent: it must run at most once.
+	// NonIdempotent is set if the request must run at most once.
 	NonIdempotent bool
 }
 
-// retrySoon is the promise of refusals that the scheduler doesn't make.
-const retrySoon = time.Second
+// defaultRetryAfter is the retry delay of refusals for which the scheduler gives
+// none.
+const defaultRetryAfter = time.Second
 
-// progressEvery is the number of tokens between reports to the scheduler.
+// progressEvery is the number of tokens between progress reports to the scheduler.
 const progressEvery = 16
 
-// generation is one request on its way.
+// generation is the state of one generation request while it is served.
 type generation struct {
-	r        *Router
-	req      *GenerationRequest
-	answer   Answer
-	ask      port.GenerationRequest
-	ledger   outcome.Ledger
-	status   RequestStatus
-	print    quarantine.Fingerprint
-	last     attemptResult
-	machine  *stream.Machine
-	token    string
-	decision string
-	// version is that of the routing configuration behind the last decision.
-	version uint64
+	r                *Router
+	req              *GenerationRequest
+	answer           Answer
+	schedulerRequest port.GenerationRequest
+	ledger           outcome.Ledger
+	status           RequestStatus
+	// print is the fingerprint that identifies the request in the crash watch and the
+	// quarantine.
+	print       quarantine.Fingerprint
+	lastResult  attemptResult
+	machine     *stream.Machine
+	resumeToken string
+	decisionID  string
+	// configurationVersion is the version of the routing configuration that the last
+	// placement decision used.
+	configurationVersion uint64
 }
 
-// Generate serves one request. It returns nil once the caller has its whole
-// answer, else the refusal; when a token was already delivered, the refusal
-// says so in LastIndex.
+// Generate serves one request. It returns nil once the caller has the complete
+// answer, otherwise a refusal. If tokens were already delivered, the refusal's
+// LastIndex is the index of the last one.
 func (r *Router) Generate(ctx context.Context, req *GenerationRequest, answer Answer) *Refusal {
-	if refusal := r.begin(req.RequestID); refusal != nil {
+	if refusal := r.admit(req.RequestID); refusal != nil {
 		return refusal
 	}
-	defer r.life.leave()
-	r.metrics.open.Inc(1)
-	defer r.metrics.open.Dec(1)
+	defer r.lifecycle.release()
+	r.metrics.openRequests.Inc(1)
+	defer r.metrics.openRequests.Dec(1)
 	g := r.newGeneration(req, answer)
 	claim, refusal := r.claim(ctx, req.claimKey(), req.RequestID)
 	if refusal != nil {
-		return g.refused(refusal)
+		return g.recordRefusal(refusal)
 	}
 	refusal = g.serve(ctx)
 	claim.settle(g.ledger.Outcome(), 0)
@@ -79,42 +83,43 @@
 
 func (r *Router) newGeneration(req *GenerationRequest, answer Answer) *generation {
 	now := r.Clock()
-	g := &generation{r: r, req: req, answer: answer, print: req.crashPrint()}
+	g := &generation{r: r, req: req, answer: answer, print: req.crashFingerprint()}
 	g.ledger.Idempotent = !req.NonIdempotent
 	g.status = RequestStatus{RequestID: req.RequestID, State: RequestHeld, Organisation: req.Organisation}
-	g.ask = port.GenerationRequest{
+	g.schedulerRequest = port.GenerationRequest{
 		RequestID: req.RequestID, Organisation: req.Organisation, Model: req.Model,
 		PromptTokens: PromptTokens(req.Prompt), MaxTokens: req.MaxTokens,
 		PrefixHashes: PrefixHashes(req.Prompt),
 		Attempt:      1, Arrived: now, Deadline: now.Add(r.o.HoldLimit),
 	}
-	r.requests.put(g.status)
+	r.statuses.put(g.status)
 	return g
 }
 
-// serve tries endpoints until the answer is whole or nothing more may be
-// tried.
+// serve tries endpoints until the answer is complete or no further attempt is
+// allowed.
 func (g *generation) serve(ctx context.Context) *Refusal {
 	for {
 		decision, refusal := g.placeUnlessQuarantined(ctx)
 		if refusal != nil {
-			return g.refused(refusal)
+			return g.recordRefusal(refusal)
 		}
-		g.attempt(ctx, &decision)
-		if g.last.fate == stream.FateDone {
+		g.runAttempt(ctx, &decision)
+		if g.lastResult.fate == stream.FateDone {
 			g.r.Quarantine.Completed(g.r.Clock(), g.print)
-			g.finish(outcome.Done, g.last.reason)
+			g.finish(outcome.Done, g.lastResult.reason)
 			return nil
 		}
-		if refusal := g.stop(ctx); refusal != nil {
-			return g.refused(refusal)
+		if refusal := g.finalRefusal(ctx); refusal != nil {
+			return g.recordRefusal(refusal)
 		}
 		g.move(&decision)
 	}
 }
 
-// placeUnlessQuarantined asks for a place. The request may have waited for it while
-// it was found out.
+// placeUnlessQuarantined places the request unless it is quarantined. It checks
+// again after the placement, because the request may have been quarantined while it
+// waited.
 func (g *generation) placeUnlessQuarantined(ctx context.Context) (port.Decision, *Refusal) {
 	if refusal := g.r.quarantineRefusal(g.print); refusal != nil {
 		return port.Decision{}, refusal
@@ -130,79 +135,80 @@
 	return d, nil
 }
 
-// place asks the scheduler until it places or refuses.
+// place submits the request until the scheduler places or refuses it.
 func (g *generation) place(ctx context.Context) (port.Decision, *Refusal) {
 	r := g.r
 	for {
 		now := r.Clock()
-		d := r.Scheduler.Submit(now, &g.ask)
-		g.record(&d)
+		d := r.Scheduler.Submit(now, &g.schedulerRequest)
+		g.recordPlacement(&d)
 		switch d.Verdict {
 		case port.VerdictPlace:
-			observe(r.metrics.hold, now.Sub(g.ask.Arrived))
+			observe(r.metrics.holdTime, now.Sub(g.schedulerRequest.Arrived))
 			return d, nil
 		case port.VerdictHold:
 			if refusal := g.hold(ctx, now, &d); refusal != nil {
 				return d, refusal
 			}
 		default:
-			return d, g.unplaced(&d)
+			return d, g.placementRefusal(&d)
 		}
 	}
 }
 
-// unplaced is the refusal of what the scheduler refused. A caller that names a
-// model which nobody serves must not look for a load that it could wait out.
-func (g *generation) unplaced(d *port.Decision) *Refusal {
+// placementRefusal converts a refusal by the scheduler. A model that no endpoint
+// serves has its own cause, because waiting for lower load wouldn't help its
+// caller.
+func (g *generation) placementRefusal(d *port.Decision) *Refusal {
 	refusal := &Refusal{
-		Cause: CauseOverloaded, Detail: d.Reason, DecisionID: g.decision,
+		Cause: CauseOverloaded, Detail: d.Reason, DecisionID: g.decisionID,
 		RetryAfter: d.RetryAfter, LastIndex: -1,
 	}
 	switch d.Reason {
 	case routing.ReasonRefusedModel:
 		refusal.Cause = CauseUnknownModel
-		refusal.Detail = "no known endpoint serves the model " + strconv.Quote(g.ask.Model)
+		refusal.Detail = "no known endpoint serves the model " + strconv.Quote(g.schedulerRequest.Model)
 	case routing.ReasonRefusedEvacuated:
 		refusal.Cause, refusal.RetryAfter = CauseEvacuated, evacuation.RetryAfter
-		refusal.Detail = "the endpoints that serve the model " + strconv.Quote(g.ask.Model) + " are in failure domains that are evacuated"
+		refusal.Detail = "the endpoints that serve the model " + strconv.Quote(g.schedulerRequest.Model) + " are in failure domains that are evacuated"
 	}
 	return refusal
 }
 
-// hold waits until the request should be submitted again. It never outlasts
-// the deadline: a caller that is given up hears it at once.
+// hold waits until the request should be submitted again. It never waits beyond the
+// deadline, so that the caller learns at once that its request was given up.
 func (g *generation) hold(ctx context.Context, now time.Time, d *port.Decision) *Refusal {
-	timer := time.NewTimer(g.ask.Deadline.Sub(now))
+	timer := time.NewTimer(g.schedulerRequest.Deadline.Sub(now))
 	defer timer.Stop()
-	refusal := &Refusal{DecisionID: g.decision, LastIndex: -1, RetryAfter: max(d.RetryAfter, retrySoon)}
+	refusal := &Refusal{DecisionID: g.decisionID, LastIndex: -1, RetryAfter: max(d.RetryAfter, defaultRetryAfter)}
 	select {
-	case <-g.r.Scheduler.Ready(g.ask.RequestID):
+	case <-g.r.Scheduler.Ready(g.schedulerRequest.RequestID):
 		return nil
 	case <-timer.C:
 		refusal.Cause, refusal.Detail = CauseHeldTooLong, "no place within the hold limit: "+d.Reason
 	case <-ctx.Done():
 		refusal.Cause, refusal.Detail = CauseCallerGone, "the caller has gone"
-	case <-g.r.life.handover:
+	case <-g.r.lifecycle.handover:
 		refusal.Cause, refusal.Detail = CauseStopping, "this router stops; ask /v1/entry for another"
 	}
-	g.r.Scheduler.Withdraw(g.r.Clock(), g.ask.RequestID)
+	g.r.Scheduler.Withdraw(g.r.Clock(), g.schedulerRequest.RequestID)
 	return refusal
 }
 
-func (g *generation) record(d *port.Decision) {
-	g.version = d.ConfigurationVersion
-	g.decision = g.r.decide(&port.DecisionRecord{
+func (g *generation) recordPlacement(d *port.Decision) {
+	g.configurationVersion = d.ConfigurationVersion
+	g.decisionID = g.r.recordDecision(&port.DecisionRecord{
 		Subject: subjectRequest, SubjectID: g.req.RequestID, Organisation: g.req.Organisation,
 		Model: g.req.Model, Verdict: d.Verdict.String(), Reason: d.Reason, Endpoint: d.Endpoint.ID,
-		Attempt: g.ask.Attempt, Candidates: d.Candidates, ConfigurationVersion: d.ConfigurationVersion,
+		Attempt: g.schedulerRequest.Attempt, Candidates: d.Candidates, ConfigurationVersion: d.ConfigurationVersion,
 	})
 }
 
-// attempt runs the request once at the endpoint of the decision.
-func (g *generation) attempt(ctx context.Context, d *port.Decision) {
+// runAttempt runs the request once on the endpoint of the decision.
+func (g *generation) runAttempt(ctx context.Context, d *port.Decision) {
 	r := g.r
-	id := g.req.RequestID + "." + strconv.Itoa(g.ask.Attempt)
-	g.token = r.o.Tokens.Encode(stream.Token{
+	id := g.req.RequestID + "." + strconv.Itoa(g.schedulerRequest.Attempt)
+	g.resumeToken = r.o.Tokens.Encode(stream.Token{
 		EndpointID: d.Endpoint.ID, Address: d.Endpoint.Address, Incarnation: d.Endpoint.Incarnation,
 		Generation: id, Organisation: g.req.Organisation,
 	})
@@ -210,24 +216,24 @@
 		Generation: id, Mode: stream.ModeOwned, Resumable: g.answer.Resumable(), Limits: r.o.Stream,
 	})
 	g.status.State, g.status.Endpoint, g.status.Generation = RequestRunning, d.Endpoint.ID, id
-	g.status.Attempts = g.ask.Attempt
-	r.requests.put(g.status)
+	g.status.Attempts = g.schedulerRequest.Attempt
+	r.statuses.put(g.status)
 	a := &attempt{
-		r: r, machine: g.machine, answer: g.answer, endpoint: d.Endpoint, token: g.token,
-		progress: g.progress,
+		r: r, machine: g.machine, answer: g.answer, endpoint: d.Endpoint, resumeToken: g.resumeToken,
+		onToken: g.reportProgress,
 		start: &port.GenerationStart{
 			Endpoint: d.Endpoint, Generation: id, Model: g.req.Model, Prompt: g.req.Prompt,
 			MaxTokens: g.req.MaxTokens, Priority: d.Priority, User: g.req.User,
 		},
 	}
-	watched := r.crashes.Begin(d.Endpoint, g.print)
-	g.last = a.run(ctx)
-	r.crashes.End(watched, ctx.Err() == nil && mayHaveCrashed(g.last.fate))
-	g.ledger.Add(g.last.fate, g.machine.Delivered())
-	if g.last.cancelPending {
-		r.cancels.add(d.Endpoint, id)
+	watched := r.crashWatch.Begin(d.Endpoint, g.print)
+	g.lastResult = a.run(ctx)
+	r.crashWatch.End(watched, ctx.Err() == nil && mayHaveCrashed(g.lastResult.fate))
+	g.ledger.Add(g.lastResult.fate, g.machine.Delivered())
+	if g.lastResult.cancelPending {
+		r.cancelQueue.add(d.Endpoint, id)
 	}
-	r.Scheduler.Finished(r.Clock(), g.req.RequestID, g.machine.Next(), finishKind(g.last.fate))
+	r.Scheduler.Finished(r.Clock(), g.req.RequestID, g.machine.Next(), finishKind(g.lastResult.fate))
 }
 
 func finishKind(f stream.Fate) port.FinishKind {
@@ -237,82 +243,83 @@
 	case stream.FateNotSent, stream.FateRefused, stream.FateBarred:
 		return port.FinishNotStarted
 	case stream.FateLeft, stream.FateRejected:
-		// Not the engine's failure: a caller that sends wrong requests must
-		// not open the breakers of a pool.
+		// The engine hasn't failed: a caller that sends invalid requests must not
+		// open the circuit breakers of a pool.
 		return port.FinishCancelled
 	default:
 		return port.FinishFailed
 	}
 }
 
-func (g *generation) progress(tokens int) {
+func (g *generation) reportProgress(tokens int) {
 	now := g.r.Clock()
 	if tokens == 1 {
-		observe(g.r.metrics.firstToken, now.Sub(g.ask.Arrived))
+		observe(g.r.metrics.firstToken, now.Sub(g.schedulerRequest.Arrived))
 	}
 	if tokens != 1 && tokens%progressEvery != 0 {
 		return
 	}
 	g.r.Scheduler.Progress(now, g.req.RequestID, tokens)
 	g.status.Tokens = tokens
-	g.r.requests.put(g.status)
+	g.r.statuses.put(g.status)
 }
 
-// stop returns the refusal where no other attempt may follow, else nil.
-func (g *generation) stop(ctx context.Context) *Refusal {
+// finalRefusal returns the refusal if no further attempt is allowed, otherwise nil.
+func (g *generation) finalRefusal(ctx context.Context) *Refusal {
 	refusal := &Refusal{
-		Cause: CauseEndpointFailed, Detail: g.last.reason, DecisionID: g.decision,
-		RetryAfter: retrySoon, LastIndex: g.machine.Next() - 1,
+		Cause: CauseEndpointFailed, Detail: g.lastResult.reason, DecisionID: g.decisionID,
+		RetryAfter: defaultRetryAfter, LastIndex: g.machine.Next() - 1,
 	}
-	if g.last.fate == stream.FateLeft {
-		refusal.ResumeToken = g.token
+	if g.lastResult.fate == stream.FateLeft {
+		refusal.ResumeToken = g.resumeToken
 	}
 	select {
-	case <-g.r.life.handover:
+	case <-g.r.lifecycle.handover:
 		refusal.Cause = CauseStopping
 		return refusal
 	default:
 	}
 	switch {
-	case ctx.Err() != nil || g.last.fate == stream.FateLeft:
+	case ctx.Err() != nil || g.lastResult.fate == stream.FateLeft:
 		refusal.Cause = CauseCallerGone
-	case g.last.fate == stream.FateRejected:
+	case g.lastResult.fate == stream.FateRejected:
 		refusal.Cause, refusal.RetryAfter = CauseRejected, 0
-	case !g.ledger.MayRetry() || g.ask.Attempt >= g.r.o.MaxAttempts:
+	case !g.ledger.MayRetry() || g.schedulerRequest.Attempt >= g.r.o.MaxAttempts:
 	default:
 		return nil
 	}
 	return refusal
 }
 
-// move prepares the next attempt, at another endpoint.
+// move records the failed attempt and prepares the next one on another endpoint.
 func (g *generation) move(d *port.Decision) {
 	g.r.metrics.moves.Inc(1)
-	g.r.decide(&port.DecisionRecord{
+	g.r.recordDecision(&port.DecisionRecord{
 		Subject: subjectRequest, SubjectID: g.req.RequestID, Organisation: g.req.Organisation,
-		Model: g.req.Model, Verdict: verdictMove, Reason: g.last.reason, Endpoint: d.Endpoint.ID,
-		Attempt: g.ask.Attempt, Outcome: g.last.fate.String(), ConfigurationVersion: g.version,
+		Model: g.req.Model, Verdict: verdictMove, Reason: g.lastResult.reason, Endpoint: d.Endpoint.ID,
+		Attempt: g.schedulerRequest.Attempt, Outcome: g.lastResult.fate.String(), ConfigurationVersion: g.configurationVersion,
 	})
-	g.ask.Excluded = append(g.ask.Excluded, d.Endpoint.ID)
-	g.ask.Attempt++
-	g.ask.Deadline = g.r.Clock().Add(g.r.o.HoldLimit)
+	g.schedulerRequest.Excluded = append(g.schedulerRequest.Excluded, d.Endpoint.ID)
+	g.schedulerRequest.Attempt++
+	g.schedulerRequest.Deadline = g.r.Clock().Add(g.r.o.HoldLimit)
 }
 
-// refused records a refusal with the truth about the attempts so far.
-func (g *generation) refused(refusal *Refusal) *Refusal {
+// recordRefusal adds the outcome of the attempts so far to a refusal and records
+// it.
+func (g *generation) recordRefusal(refusal *Refusal) *Refusal {
 	if refusal.Outcome == "" {
 		refusal.Outcome = g.ledger.Outcome()
 	}
 	if refusal.ResumeToken != "" {
-		// The engine goes on: the end of this run is not known here.
+		// The engine continues the generation, so its outcome is not known here.
 		refusal.Outcome = outcome.Unknown
 	}
 	if g.machine != nil {
 		refusal.LastIndex = g.machine.Next() - 1
 	}
-	own := refusal.own()
-	g.r.metrics.refused(own)
-	id := g.finish(own, refusal.Error())
+	requestOutcome := refusal.requestOutcome()
+	g.r.metrics.countRefusal(requestOutcome)
+	id := g.finish(requestOutcome, refusal.Error())
 	if refusal.DecisionID == "" {
 		refusal.DecisionID = id
 	}
@@ -320,15 +327,15 @@
 }
 
 func (g *generation) finish(o outcome.Outcome, reason string) string {
-	g.status.State, g.status.Outcome, g.status.Reason = RequestOver, o, reason
+	g.status.State, g.status.Outcome, g.status.Reason = RequestFinished, o, reason
 	if g.machine != nil {
 		g.status.Tokens = g.machine.Next()
 	}
-	g.r.requests.put(g.status)
-	return g.r.decide(&port.DecisionRecord{
+	g.r.statuses.put(g.status)
+	return g.r.recordDecision(&port.DecisionRecord{
 		Subject: subjectRequest, SubjectID: g.req.RequestID, Organisation: g.req.Organisation,
 		Model: g.req.Model, Verdict: verdictFinish, Reason: reason, Endpoint: g.status.Endpoint,
-		Attempt: g.status.Attempts, Outcome: string(o), ConfigurationVersion: g.version,
-		Fingerprint: nameUnlessDone(o, g.print),
+		Attempt: g.status.Attempts, Outcome: string(o), ConfigurationVersion: g.configurationVersion,
+		Fingerprint: fingerprintUnlessDone(o, g.print),
 	})
 }
--- a/internal/router/lifecycle.go
+++ b/internal/router/lifecycle.go
@@ -9,29 +9,30 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// lifecycle follows a router from serving to its end.
+// lifecycle tracks a router from serving to stopped and counts its open requests.
 type lifecycle struct {
 	mu      sync.Mutex
 	leaving bool
 	stopped bool
 	open    int
-	// idle is closed when the router has stopped and nothing is open.
+	// idle is closed once the router has stopped and no request is open.
 	idle chan struct{}
-	// handover is closed when the streams still open must go elsewhere.
-	handover chan struct{}
-	drained  chan struct{}
-	begun    chan struct{}
+	// handover is closed when the streams that are still open must be resumed at
+	// another router.
+	handover     chan struct{}
+	drained      chan struct{}
+	drainStarted chan struct{}
 }
 
 func (l *lifecycle) init() {
 	l.idle = make(chan struct{})
 	l.handover = make(chan struct{})
 	l.drained = make(chan struct{})
-	l.begun = make(chan struct{})
+	l.drainStarted = make(chan struct{})
 }
 
-// enter counts a request in, or returns why the router doesn't take it.
-func (l *lifecycle) enter(limit int) Cause {
+// admit counts a request as open, or returns the cause for refusing it.
+func (l *lifecycle) admit(limit int) Cause {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
@@ -44,34 +45,34 @@
 	return ""
 }
 
-// begin counts a request in or refuses it. A request that was let in must be
-// ended by life.leave.
-func (r *Router) begin(requestID string) *Refusal {
-	cause := r.life.enter(r.o.MaxOpen)
+// admit counts a request as open or returns its refusal. Every admitted request
+// must be ended with lifecycle.release.
+func (r *Router) admit(requestID string) *Refusal {
+	cause := r.lifecycle.admit(r.o.MaxOpen)
 	if cause == "" {
 		return nil
 	}
-	refusal := &Refusal{Cause: cause, Outcome: outcome.NotRun, RetryAfter: retrySoon, LastIndex: -1}
+	refusal := &Refusal{Cause: cause, Outcome: outcome.NotRun, RetryAfter: defaultRetryAfter, LastIndex: -1}
 	refusal.Detail = "this router stops; ask /v1/entry for another"
 	if cause == CauseTooManyOpen {
 		refusal.Detail = "this router has as many requests open as it may"
 	}
 	r.metrics.refusals.Inc(1)
-	refusal.DecisionID = r.decide(&port.DecisionRecord{
+	refusal.DecisionID = r.recordDecision(&port.DecisionRecord{
 		Subject: subjectRequest, SubjectID: requestID, Verdict: port.VerdictRefuse.String(),
 		Reason: refusal.Error(), Outcome: string(outcome.NotRun),
 	})
 	return refusal
 }
 
-func (l *lifecycle) leave() {
+func (l *lifecycle) release() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.open--
-	l.checkIdle()
+	l.signalIfIdle()
 }
 
-func (l *lifecycle) checkIdle() {
+func (l *lifecycle) signalIfIdle() {
 	if !l.stopped || l.open > 0 {
 		return
 	}
@@ -86,17 +87,18 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.stopped = true
-	l.checkIdle()
+	l.signalIfIdle()
 }
 
-// beginLeaving reports whether this is the first call.
+// beginLeaving marks the router as leaving and reports whether this is the first
+// call.
 func (l *lifecycle) beginLeaving() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	first := !l.leaving
 	l.leaving = true
 	if first {
-		close(l.begun)
+		close(l.drainStarted)
 	}
 	return first
 }
@@ -107,59 +109,62 @@
 	return l.leaving
 }
 
-// Leaving reports whether the router no longer wants new callers.
-func (r *Router) Leaving() bool { return r.life.isLeaving() }
+// Leaving reports whether the router is shutting down and should get no new
+// callers.
+func (r *Router) Leaving() bool { return r.lifecycle.isLeaving() }
 
-// Draining is closed when a graceful shutdown begins, whoever asked for it.
-func (r *Router) Draining() <-chan struct{} { return r.life.begun }
+// Draining returns a channel that is closed when a graceful shutdown begins,
+// whatever started it.
+func (r *Router) Draining() <-chan struct{} { return r.lifecycle.drainStarted }
 
-// Open counts the requests being served.
+// Open returns the number of open requests.
 func (r *Router) Open() int {
-	r.life.mu.Lock()
-	defer r.life.mu.Unlock()
-	return r.life.open
+	r.lifecycle.mu.Lock()
+	defer r.lifecycle.mu.Unlock()
+	return r.lifecycle.open
 }
 
-// handoverGrace is the time left after DrainTimeout for the streams to be
-// told where to go, and for the last replies to be written.
+// handoverGrace is the time after DrainTimeout for telling the callers of open
+// streams where to resume and for writing the last replies.
 const handoverGrace = 2 * time.Second
 
-// Drain is the graceful shutdown. It returns once nothing is open: at the
-// latest shortly after DrainTimeout for streams, and ServiceTimeout later for
-// calls of plain services. Each call waits for the same shutdown.
+// Drain shuts the router down gracefully. It returns once no request is open: at
+// the latest shortly after DrainTimeout for streams, and ServiceTimeout later for
+// calls of plain services. Further calls wait for the same shutdown.
 //
-// The order matters. First the others hear that this router leaves, so that
-// no entry answer names it; then it serves on for as long as callers may keep
-// an older answer, as a refusal there would be a cut by a planned stop; only
-// then it refuses new requests and waits for the streams.
+// The order matters. First the router announces that it is leaving, so that Entry
+// no longer lists it anywhere. Then it keeps serving for as long as callers may
+// cache older addresses, but at most half of DrainTimeout, because a refusal in
+// that time would be an outage caused by a planned shutdown. Only then does it
+// refuse new requests and wait for the open ones.
 func (r *Router) Drain(ctx context.Context) {
-	if !r.life.beginLeaving() {
-		<-r.life.drained
+	if !r.lifecycle.beginLeaving() {
+		<-r.lifecycle.drained
 		return
 	}
-	defer close(r.life.drained)
+	defer close(r.lifecycle.drained)
 	deadline := time.NewTimer(r.o.DrainTimeout)
 	defer deadline.Stop()
 	r.Announcer.SetLeaving()
 	sleep(ctx, min(r.o.EntryValidity, r.o.DrainTimeout/2))
-	r.life.stop()
+	r.lifecycle.stop()
 	select {
-	case <-r.life.idle:
+	case <-r.lifecycle.idle:
 		return
 	case <-deadline.C:
 	case <-ctx.Done():
 	}
-	close(r.life.handover)
+	close(r.lifecycle.handover)
 	grace := time.NewTimer(r.grace())
 	defer grace.Stop()
 	select {
-	case <-r.life.idle:
+	case <-r.lifecycle.idle:
 	case <-grace.C:
 	}
 }
 
-// grace is the time left after DrainTimeout. Calls of plain services can't be
-// handed over, and some run only once: they are finished, each within its own
+// grace is the time allowed after DrainTimeout. Calls of plain services can't be
+// handed over, and some must run only once, so each may finish within its own
 // timeout.
 func (r *Router) grace() time.Duration { return r.o.ServiceTimeout + handoverGrace }
 
--- a/internal/router/loads.go
+++ b/internal/router/loads.go
@@ -14,50 +14,54 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// Bounds of polling for load.
+// Limits of load polling.
 const (
-	loadsAtOnce = 16
-	// loadPollBurst lets a router that has just started ask a few at once.
+	maxConcurrentPolls = 16
+	// loadPollBurst lets a router that has just started poll several endpoints at
+	// once.
 	loadPollBurst = 16
 )
 
-// preferrer is a scheduler that says whose reports it wants.
-type preferrer interface {
+// preferredLister is implemented by schedulers that list the runners whose load
+// reports they need.
+type preferredLister interface {
 	Preferred() []string
 }
 
-// loads asks endpoints for their load where no frame has brought it lately.
-// Each poll is control traffic, so their rate is bounded: at the largest
-// planned size, polls of all stale endpoints would cost a hundred times what
-// a daemon may spend on control, while reports ride on frames anyway.
-type loads struct {
-	r     *Router
-	limit *rate.Limiter
-	mu    sync.Mutex
-	// heard is when a report of the endpoint last arrived.
-	heard map[string]time.Time
-	// looked is when an endpoint that refused was last asked for that.
-	looked map[string]look
+// loadPoller polls endpoints for their load if no frame has delivered a report
+// recently. Polls are control traffic, so their rate is limited: at the largest
+// planned size, polling all stale endpoints would cost a hundred times what a
+// daemon may spend on control traffic, while most reports arrive with frames
+// anyway.
+type loadPoller struct {
+	r       *Router
+	limiter *rate.Limiter
+	mu      sync.Mutex
+	// lastReport is when the last report of each endpoint arrived.
+	lastReport map[string]time.Time
+	// refusalPolls holds the last poll of each endpoint that was triggered by a
+	// refused dispatch.
+	refusalPolls map[string]refusalPoll
 }
 
-// look is one question to an endpoint that refused a dispatch.
-type look struct {
-	at   time.Time
-	over bool
+// refusalPoll is a poll of an endpoint that refused a dispatch.
+type refusalPoll struct {
+	startedAt time.Time
+	finished  bool
 }
 
-func newLoads(r *Router) *loads {
-	return &loads{
-		r: r, heard: make(map[string]time.Time), looked: make(map[string]look),
-		limit: rate.NewLimiter(rate.Limit(r.o.LoadPollsPerSecond), loadPollBurst),
+func newLoadPoller(r *Router) *loadPoller {
+	return &loadPoller{
+		r: r, lastReport: make(map[string]time.Time), refusalPolls: make(map[string]refusalPoll),
+		limiter: rate.NewLimiter(rate.Limit(r.o.LoadPollsPerSecond), loadPollBurst),
 	}
 }
 
-func (l *loads) run(ctx context.Context) {
+func (l *loadPoller) run(ctx context.Context) {
 	ticker := time.NewTicker(l.r.o.LoadInterval)
 	defer ticker.Stop()
 	for {
-		l.round(ctx)
+		l.pollDue(ctx)
 		select {
 		case <-ctx.Done():
 			return
@@ -66,10 +70,10 @@
 	}
 }
 
-// round polls the stale endpoints of this router's subset.
-func (l *loads) round(ctx context.Context) {
+// pollDue polls the endpoints that are due and waits for the answers.
+func (l *loadPoller) pollDue(ctx context.Context) {
 	var wg sync.WaitGroup
-	slots := make(chan struct{}, loadsAtOnce)
+	slots := make(chan struct{}, maxConcurrentPolls)
 	for _, e := range l.due(l.r.Clock()) {
 		slots <- struct{}{}
 		wg.Go(func() {
@@ -80,77 +84,79 @@
 	wg.Wait()
 }
 
-// due picks the endpoints to poll now: the stalest of those wanted, as many as
-// the rate allows.
-func (l *loads) due(now time.Time) []port.Endpoint {
-	wanted := l.wanted()
+// due returns the endpoints to poll now: the candidates with the oldest stale
+// reports, as many as the rate limit allows.
+func (l *loadPoller) due(now time.Time) []port.Endpoint {
+	candidates := l.candidates()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	stale := slices.DeleteFunc(wanted, func(e port.Endpoint) bool {
-		return now.Sub(l.heard[e.ID]) <= l.r.o.LoadStale
+	stale := slices.DeleteFunc(candidates, func(e port.Endpoint) bool {
+		return now.Sub(l.lastReport[e.ID]) <= l.r.o.LoadStale
 	})
 	slices.SortStableFunc(stale, func(a, b port.Endpoint) int {
-		return l.heard[a.ID].Compare(l.heard[b.ID])
+		return l.lastReport[a.ID].Compare(l.lastReport[b.ID])
 	})
 	allowed := 0
-	for allowed < len(stale) && l.limit.AllowN(now, 1) {
+	for allowed < len(stale) && l.limiter.AllowN(now, 1) {
 		allowed++
 	}
-	l.forget(now)
+	l.prune(now)
 	return stale[:allowed]
 }
 
-// forget drops what is held of endpoints that are gone.
-func (l *loads) forget(now time.Time) {
-	t := l.r.takers.Load()
+// prune bounds the stored state. It clears the times of reports once there are many
+// more of them than known endpoints, and deletes finished refusal polls after the
+// load interval.
+func (l *loadPoller) prune(now time.Time) {
+	t := l.r.eligible.Load()
 	known := len(t.runners) + len(t.services)
-	if len(l.heard) > 2*known+loadsAtOnce {
-		clear(l.heard)
+	if len(l.lastReport) > 2*known+maxConcurrentPolls {
+		clear(l.lastReport)
 	}
-	maps.DeleteFunc(l.looked, func(_ string, last look) bool {
-		return last.over && now.Sub(last.at) >= l.r.o.LoadInterval
+	maps.DeleteFunc(l.refusalPolls, func(_ string, last refusalPoll) bool {
+		return last.finished && now.Sub(last.startedAt) >= l.r.o.LoadInterval
 	})
 }
 
-// lookInto asks an endpoint that has refused a dispatch for its load at once.
-// A refusal alone doesn't tell an engine that leaves from a full one, but its
-// report does. Without the look each request until the next poll would be
-// dispatched there in vain. One look in a load interval is enough, as every
-// report brings the state.
-func (l *loads) lookInto(e port.Endpoint) {
-	if !l.beginLook(e.ID) {
+// pollAfterRefusal polls an endpoint that has refused a dispatch at once. The
+// refusal alone doesn't show whether the engine is leaving or full, but its report
+// does. Without this poll, each request until the next regular one would be
+// dispatched there in vain. One such poll per load interval is enough, as every
+// report contains the state.
+func (l *loadPoller) pollAfterRefusal(e port.Endpoint) {
+	if !l.beginRefusalPoll(e.ID) {
 		return
 	}
 	go func() {
-		defer l.endLook(e.ID)
+		defer l.endRefusalPoll(e.ID)
 		l.poll(context.Background(), e)
 	}()
 }
 
-func (l *loads) beginLook(id string) bool {
+func (l *loadPoller) beginRefusalPoll(id string) bool {
 	now := l.r.Clock()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	last, known := l.looked[id]
-	if known && (!last.over || now.Sub(last.at) < l.r.o.LoadInterval) || !l.limit.AllowN(now, 1) {
+	last, known := l.refusalPolls[id]
+	if known && (!last.finished || now.Sub(last.startedAt) < l.r.o.LoadInterval) || !l.limiter.AllowN(now, 1) {
 		return false
 	}
-	l.looked[id] = look{at: now}
+	l.refusalPolls[id] = refusalPoll{startedAt: now}
 	return true
 }
 
-func (l *loads) endLook(id string) {
+func (l *loadPoller) endRefusalPoll(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.looked[id] = look{at: l.looked[id].at, over: true}
+	l.refusalPolls[id] = refusalPoll{startedAt: l.refusalPolls[id].startedAt, finished: true}
 }
 
-// wanted lists the runners that the scheduler prefers and this router's
-// subset of the service endpoints.
-func (l *loads) wanted() []port.Endpoint {
-	t := l.r.takers.Load()
+// candidates returns this router's subsets of the runners that the scheduler
+// prefers and of the service endpoints.
+func (l *loadPoller) candidates() []port.Endpoint {
+	t := l.r.eligible.Load()
 	services := subset(l.r.o.ID, t.services, l.r.o.LoadSubset)
-	p, ok := l.r.Scheduler.(preferrer)
+	p, ok := l.r.Scheduler.(preferredLister)
 	if !ok {
 		return slices.Concat(subset(l.r.o.ID, t.runners, l.r.o.LoadSubset), services)
 	}
@@ -164,8 +170,8 @@
 	return slices.Concat(subset(l.r.o.ID, runners, l.r.o.LoadSubset), services)
 }
 
-func (l *loads) poll(ctx context.Context, e port.Endpoint) {
-	// An endpoint that is slow to answer must not hold up the round.
+func (l *loadPoller) poll(ctx context.Context, e port.Endpoint) {
+	// An endpoint that is slow to answer must not delay the round.
 	ctx, cancel := context.WithTimeout(ctx, l.r.o.LoadStale)
 	defer cancel()
 	var report port.LoadReport
@@ -178,15 +184,15 @@
 	if err != nil || report.EndpointID != e.ID {
 		return
 	}
-	l.r.tookReport(e, &report)
+	l.r.handleReport(e, &report)
 }
 
-// tookReport takes an endpoint's own word on its load and state.
-func (r *Router) tookReport(e port.Endpoint, report *port.LoadReport) {
+// handleReport processes an endpoint's report of its load and state.
+func (r *Router) handleReport(e port.Endpoint, report *port.LoadReport) {
 	now := r.Clock()
-	r.loads.mu.Lock()
-	r.loads.heard[e.ID] = now
-	r.loads.mu.Unlock()
+	r.loadPoller.mu.Lock()
+	r.loadPoller.lastReport[e.ID] = now
+	r.loadPoller.mu.Unlock()
 	if e.Kind == port.KindService {
 		r.balancer.Report(now, report)
 	} else {
@@ -198,12 +204,12 @@
 	leaving := report.State == port.EndpointLeaving || report.State == port.EndpointGone
 	if leaving && report.Incarnation >= e.Incarnation {
 		e.Incarnation = report.Incarnation
-		r.sawLeaving(e)
+		r.markLeaving(e)
 	}
 }
 
-// subset picks n endpoints for this router, those with the largest hash of
-// both ids, so that routers overlap evenly.
+// subset returns n endpoints for this router: those with the largest hash of both
+// ids, so that the subsets of different routers overlap evenly.
 func subset(id string, all []port.Endpoint, n int) []port.Endpoint {
 	if len(all) <= n {
 		return slices.Clone(all)
--- a/internal/router/loads_test.go
+++ b/internal/router/loads_test.go
@@ -8,35 +8,36 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// preferring prefers the endpoints of its list.
-type preferring struct {
+// fakePreferences is a scheduler that prefers the endpoints of its list.
+type fakePreferences struct {
 	port.Scheduler
 	ids []string
 }
 
-func (p preferring) Preferred() []string { return p.ids }
+func (p fakePreferences) Preferred() []string { return p.ids }
 
-func pollers(runners int, preferred ...string) *loads {
+func newTestPoller(runners int, preferred ...string) *loadPoller {
 	r := &Router{o: Options{ID: "router-1", LoadStale: time.Second, LoadSubset: 64, LoadPollsPerSecond: 3}}
-	r.Scheduler = preferring{ids: preferred}
-	t := &takers{}
+	r.Scheduler = fakePreferences{ids: preferred}
+	t := &eligibleEndpoints{}
 	for i := range runners {
 		t.runners = append(t.runners, port.Endpoint{ID: fmt.Sprint("runner-", i), Kind: port.KindRunner})
 	}
-	r.takers.Store(t)
-	return newLoads(r)
+	r.eligible.Store(t)
+	return newLoadPoller(r)
 }
 
-// No response brings a report for a minute. Polling every stale endpoint in
-// every round would spend a multiple of the control budget; the rate holds,
-// and the stalest endpoints come first, so that each gets its turn.
-func TestPollsKeepToTheirRateAndTakeTurns(t *testing.T) {
+// No frame delivers a report for a minute. Polling every stale endpoint in every
+// round would exceed the control budget several times over. The poll rate must stay
+// bounded, and the endpoints with the oldest reports must be polled first, so that
+// each is polled in turn.
+func TestPollsRespectRateLimitAndRotate(t *testing.T) {
 	const runners, seconds = 40, 60
 	ids := make([]string, runners)
 	for i := range ids {
 		ids[i] = fmt.Sprint("runner-", i)
 	}
-	l := pollers(runners, ids...)
+	l := newTestPoller(runners, ids...)
 	now := time.Unix(1000, 0)
 	polls := map[string]int{}
 	total := 0
@@ -44,12 +45,12 @@
 		for _, e := range l.due(now) {
 			polls[e.ID]++
 			total++
-			l.heard[e.ID] = now
+			l.lastReport[e.ID] = now
 		}
 		now = now.Add(250 * time.Millisecond)
 	}
-	if most := 3*seconds + loadPollBurst; total > most {
-		t.Fatalf("%d polls in %d s, at most %d are allowed", total, seconds, most)
+	if limit := 3*seconds + loadPollBurst; total > limit {
+		t.Fatalf("%d polls in %d s, want at most %d", total, seconds, limit)
 	}
 	for _, id := range ids {
 		if polls[id] < 2 {
@@ -59,10 +60,10 @@
 }
 
 func TestPollsGoToPreferredRunners(t *testing.T) {
-	l := pollers(100, "runner-7", "runner-93")
+	l := newTestPoller(100, "runner-7", "runner-93")
 	got := l.due(time.Unix(1000, 0))
 	if len(got) != 2 || got[0].ID != "runner-7" || got[1].ID != "runner-93" {
-		t.Fatalf("polls %v", got)
+		t.Fatalf("due endpoints are %v, want the two preferred ones", got)
 	}
 }
 
@@ -76,14 +77,15 @@
 	for r := range routers {
 		got := subset(fmt.Sprint("router-", r), all, size)
 		if len(got) != size {
-			t.Fatalf("subset of %d", len(got))
+			t.Fatalf("the subset has %d endpoints", len(got))
 		}
 		for _, e := range got {
 			chosen[e.ID]++
 		}
 	}
 	for _, e := range all {
-		// 12 are expected; the hash is fixed, so the verdict repeats.
+		// On average each endpoint is in 12 subsets. The hash is fixed, so the result
+		// is the same in every run.
 		if n := chosen[e.ID]; n < 3 || n > 24 {
 			t.Errorf("%s is in %d subsets of %d", e.ID, n, routers)
 		}
@@ -93,7 +95,7 @@
 func BenchmarkDue(b *testing.B) {
 	for _, runners := range []int{15, 100, 500, 1900} {
 		b.Run(fmt.Sprint(runners), func(b *testing.B) {
-			l := pollers(runners, "runner-1", "runner-2", "runner-3", "runner-4")
+			l := newTestPoller(runners, "runner-1", "runner-2", "runner-3", "runner-4")
 			now := time.Unix(1000, 0)
 			for range b.N {
 				now = now.Add(250 * time.Millisecond)
--- a/internal/router/lookup.go
+++ b/internal/router/lookup.go
@@ -9,27 +9,29 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// LookupRequest says what became of a request. The id names the router that
-// decided, so one question is enough; where that router is gone, nobody can
-// know, and the answer says so. A keyed call is answered from its claim.
+// LookupRequest returns the status of a request. The id names the router that
+// served it, so only that router is queried. If it has no answer and a key is
+// given, the status comes from the claim of the key; otherwise the status is
+// unknown, as no other router can know it.
 func (r *Router) LookupRequest(ctx context.Context, organisation, requestID, idempotencyKey string) RequestStatus {
-	if s, known := r.ask(ctx, requestID); known {
+	if s, known := r.lookupStatus(ctx, requestID); known {
 		if s.Organisation != organisation {
 			return unknownRequest(requestID, "no such request of this organisation")
 		}
 		return s
 	}
 	if idempotencyKey != "" {
-		if s, known := r.askClaim(ctx, organisation, requestID, idempotencyKey); known {
+		if s, known := r.lookupByClaim(ctx, organisation, requestID, idempotencyKey); known {
 			return s
 		}
 	}
 	return unknownRequest(requestID, "the router that decided is gone or no longer remembers it; it may or may not have run")
 }
 
-// LocalRequest is the answer to a peer, as JSON.
+// LocalRequest returns the status of a request that this router served as JSON, for
+// a peer, and false if it has no record of the request.
 func (r *Router) LocalRequest(requestID string) ([]byte, bool) {
-	s, known := r.requests.get(requestID)
+	s, known := r.statuses.get(requestID)
 	if !known {
 		return nil, false
 	}
@@ -43,25 +45,26 @@
 	}
 }
 
-// ask finds the status here or at the router that the id names.
-func (r *Router) ask(ctx context.Context, requestID string) (RequestStatus, bool) {
+// lookupStatus returns the status from this router or from the router that the id
+// names.
+func (r *Router) lookupStatus(ctx context.Context, requestID string) (RequestStatus, bool) {
 	dot := strings.LastIndexByte(requestID, '.')
 	if dot < 0 {
 		return RequestStatus{}, false
 	}
 	owner := requestID[:dot]
 	if owner == r.o.ID {
-		return r.requests.get(requestID)
+		return r.statuses.get(requestID)
 	}
 	for _, m := range r.View.Members() {
 		if m.ID == owner && m.Role == port.RoleRouter && m.State != port.MemberDead {
-			return r.askPeer(ctx, m.PeerAddress, requestID)
+			return r.lookupAtPeer(ctx, m.PeerAddress, requestID)
 		}
 	}
 	return RequestStatus{}, false
 }
 
-func (r *Router) askPeer(ctx context.Context, address, requestID string) (RequestStatus, bool) {
+func (r *Router) lookupAtPeer(ctx context.Context, address, requestID string) (RequestStatus, bool) {
 	ctx, cancel := context.WithTimeout(ctx, r.o.PeerTimeout)
 	defer cancel()
 	raw, found, err := r.Peers.LookupRequest(ctx, address, requestID)
@@ -75,7 +78,7 @@
 	return s, true
 }
 
-func (r *Router) askClaim(ctx context.Context, organisation, requestID, key string) (RequestStatus, bool) {
+func (r *Router) lookupByClaim(ctx context.Context, organisation, requestID, key string) (RequestStatus, bool) {
 	ctx, cancel := context.WithTimeout(ctx, r.o.ClaimTimeout)
 	defer cancel()
 	state, found, err := r.Claimer.Lookup(ctx, newClaimKey(organisation, key).hash)
@@ -83,7 +86,7 @@
 		return RequestStatus{}, false
 	}
 	s := RequestStatus{
-		RequestID: requestID, State: RequestOver, Outcome: claimedOutcome(state.Outcome),
+		RequestID: requestID, State: RequestFinished, Outcome: claimedOutcome(state.Outcome),
 		Organisation: organisation, Reason: "from the claim of its key", Attempts: 1,
 	}
 	if s.Outcome == outcome.Unknown {
--- a/internal/router/refusal.go
+++ b/internal/router/refusal.go
@@ -6,57 +6,59 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/core/outcome"
 )
 
-// Cause is why a request has no whole answer.
+// Cause is the reason why a request has no complete answer.
 type Cause string
 
-// The causes. They are the reasons that callers read.
+// The causes, as they are reported to callers.
 const (
 	CauseOverloaded  Cause = "overloaded"
 	CauseHeldTooLong Cause = "held_too_long"
 	CauseNoEndpoint  Cause = "no_endpoint"
-	// CauseUnknownModel: no endpoint that is known serves the model.
+	// CauseUnknownModel: no known endpoint serves the model.
 	CauseUnknownModel   Cause = "unknown_model"
 	CauseEndpointFailed Cause = "endpoint_failed"
 	// CauseQuarantined: endpoints crash whenever they run the request.
 	CauseQuarantined Cause = "crashes_endpoints"
-	// CauseEvacuated: all endpoints that could run the request are in failure
-	// domains that are evacuated.
-	CauseEvacuated      Cause = "evacuated"
-	CauseRejected       Cause = "rejected_by_engine"
-	CauseRetriesSpent   Cause = "retry_budget_spent"
-	CauseStopping       Cause = "router_stopping"
-	CauseTooManyOpen    Cause = "too_many_open_requests"
-	CauseCallerGone     Cause = "caller_gone"
-	CauseDuplicateKey   Cause = "duplicate_key"
-	CauseKeyReused      Cause = "key_used_for_another_request"
-	CauseKeyExpired     Cause = "key_expired"
-	CauseClaims         Cause = "claims_unavailable"
-	CauseBadToken       Cause = "invalid_resume_token"
-	CauseGenerationGone Cause = "generation_not_held"
-	CauseServiceTimeout Cause = "service_timeout"
+	// CauseEvacuated: all endpoints that could run the request are in evacuated
+	// failure domains.
+	CauseEvacuated         Cause = "evacuated"
+	CauseRejected          Cause = "rejected_by_engine"
+	CauseRetryBudgetSpent  Cause = "retry_budget_spent"
+	CauseStopping          Cause = "router_stopping"
+	CauseTooManyOpen       Cause = "too_many_open_requests"
+	CauseCallerGone        Cause = "caller_gone"
+	CauseDuplicateKey      Cause = "duplicate_key"
+	CauseKeyReused         Cause = "key_used_for_another_request"
+	CauseKeyExpired        Cause = "key_expired"
+	CauseClaimsUnavailable Cause = "claims_unavailable"
+	CauseBadToken          Cause = "invalid_resume_token"
+	CauseGenerationGone    Cause = "generation_not_held"
+	CauseServiceTimeout    Cause = "service_timeout"
 )
 
-// Refusal is an honest answer in place of a whole one.
+// Refusal is returned in place of a complete answer and states the outcome of the
+// request as far as it is known.
 type Refusal struct {
 	Cause   Cause
 	Outcome outcome.Outcome
-	// Detail is for people.
+	// Detail is an explanation for people.
 	Detail     string
 	DecisionID string
-	// RetryAfter is zero where a retry can't help.
+	// RetryAfter is zero if a retry can't help.
 	RetryAfter time.Duration
-	// ResumeToken and LastIndex tell where the rest of a stream can be had;
-	// LastIndex is -1 before the first token.
+	// ResumeToken and LastIndex show where a stream can be resumed. LastIndex is the
+	// index of the last delivered token, -1 before the first one.
 	ResumeToken string
 	LastIndex   int
 }
 
-// Error is the detail with its cause.
+// Error returns the cause and the detail.
 func (r *Refusal) Error() string { return string(r.Cause) + ": " + r.Detail }
 
-// own is the outcome of the refused request itself. A duplicate is told what
-// became of the request that holds its key, while it was itself not run.
-func (r *Refusal) own() outcome.Outcome {
+// requestOutcome is the outcome of the refused request itself. For a duplicate,
+// Outcome is that of the request that holds the key, while the duplicate itself was
+// not run.
+func (r *Refusal) requestOutcome() outcome.Outcome {
 	if r.Cause == CauseDuplicateKey {
 		return outcome.NotRun
 	}
--- a/internal/router/replies.go
+++ b/internal/router/replies.go
@@ -8,19 +8,20 @@
 // maxStoredReply bounds one stored reply, in bytes.
 const maxStoredReply = 32 << 10
 
-// storedReply is a finished small reply to a keyed call.
+// storedReply is a small, complete reply to a call with an idempotency key.
 type storedReply struct {
 	requestID   string
-	fingerprint uint64
+	requestHash uint64
 	status      int
 	header      http.Header
 	body        []byte
 }
 
-// replies remembers finished small replies by key, the oldest going first. A
-// caller whose connection broke after the call ran gets the same reply again
-// at the same router, where others can only tell that it ran.
-type replies struct {
+// replyCache stores small, complete replies by idempotency key and evicts the
+// oldest first. A caller whose connection broke after the call ran gets the same
+// reply again from the same router; other routers can only report that the call
+// ran.
+type replyCache struct {
 	mu    sync.Mutex
 	limit int
 	size  int
@@ -28,16 +29,16 @@
 	order [][16]byte
 }
 
-func newReplies(limit int) *replies {
-	return &replies{limit: limit, m: make(map[[16]byte]*storedReply)}
+func newReplyCache(limit int) *replyCache {
+	return &replyCache{limit: limit, m: make(map[[16]byte]*storedReply)}
 }
 
-// replyOverhead stands for a reply's header and bookkeeping, in bytes.
+// replyOverhead is the assumed size of a reply's header and bookkeeping, in bytes.
 const replyOverhead = 512
 
 func (s *storedReply) cost() int { return len(s.body) + replyOverhead }
 
-func (rs *replies) put(key [16]byte, reply *storedReply) {
+func (rs *replyCache) put(key [16]byte, reply *storedReply) {
 	if len(reply.body) > maxStoredReply {
 		return
 	}
@@ -57,7 +58,7 @@
 	}
 }
 
-func (rs *replies) get(key [16]byte) (*storedReply, bool) {
+func (rs *replyCache) get(key [16]byte) (*storedReply, bool) {
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
 	reply, ok := rs.m[key]
--- a/internal/router/requests.go
+++ b/internal/router/requests.go
@@ -8,19 +8,19 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/core/outcome"
 )
 
-// RequestState is how far a request has come.
+// RequestState is the stage of a request.
 type RequestState string
 
 // The states of a request.
 const (
-	RequestHeld    RequestState = "held"
-	RequestRunning RequestState = "running"
-	RequestOver    RequestState = "over"
-	// RequestUnknown: nobody that can be asked knows.
+	RequestHeld     RequestState = "held"
+	RequestRunning  RequestState = "running"
+	RequestFinished RequestState = "over"
+	// RequestUnknown: no available source knows the request's state.
 	RequestUnknown RequestState = "unknown"
 )
 
-// RequestStatus is what a router knows of a request, as callers see it.
+// RequestStatus is what a router knows about a request, as reported to callers.
 type RequestStatus struct {
 	RequestID    string          `json:"request_id"`
 	State        RequestState    `json:"state"`
@@ -33,35 +33,36 @@
 	Attempts     int             `json:"attempts"`
 }
 
-const requestShards = 16
+const statusShardCount = 16
 
-// requests remembers the latest requests, the oldest of a shard going first.
-type requests struct {
-	shards [requestShards]requestShard
+// statusStore keeps the statuses of the latest requests. Each shard evicts its
+// oldest first.
+type statusStore struct {
+	shards [statusShardCount]statusShard
 }
 
-type requestShard struct {
+type statusShard struct {
 	mu   sync.Mutex
 	m    map[string]RequestStatus
 	ring []string
 	next int
 }
 
-func newRequests(limit int) *requests {
-	rs := &requests{}
+func newStatusStore(limit int) *statusStore {
+	rs := &statusStore{}
 	for i := range rs.shards {
 		rs.shards[i].m = make(map[string]RequestStatus)
-		rs.shards[i].ring = make([]string, max(1, limit/requestShards))
+		rs.shards[i].ring = make([]string, max(1, limit/statusShardCount))
 	}
 	return rs
 }
 
-func (rs *requests) shard(id string) *requestShard {
-	return &rs.shards[xxhash.Sum64String(id)%requestShards]
+func (rs *statusStore) shard(id string) *statusShard {
+	return &rs.shards[xxhash.Sum64String(id)%statusShardCount]
 }
 
-// put stores the status as it is now.
-func (rs *requests) put(s RequestStatus) {
+// put stores a status and replaces an earlier one of the same request.
+func (rs *statusStore) put(s RequestStatus) {
 	sh := rs.shard(s.RequestID)
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
@@ -73,7 +74,7 @@
 	sh.m[s.RequestID] = s
 }
 
-func (rs *requests) get(id string) (RequestStatus, bool) {
+func (rs *statusStore) get(id string) (RequestStatus, bool) {
 	sh := rs.shard(id)
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
--- a/internal/router/resume.go
+++ b/internal/router/resume.go
@@ -9,24 +9,24 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// ResumeRequest asks for the rest of a run.
+// ResumeRequest requests the remaining tokens of a run.
 type ResumeRequest struct {
 	RequestID    string
 	Organisation string
 	Token        string
-	// From is the index of the first token the caller lacks.
+	// From is the index of the first token that the caller has not received.
 	From int
 }
 
-// Resume reads on a run that any router dispatched. It neither dispatches nor
-// cancels, so a resume can't make a second generation.
+// Resume continues the stream of a run that any router may have dispatched. It
+// neither dispatches nor cancels, so it can't start a second generation.
 func (r *Router) Resume(ctx context.Context, req *ResumeRequest, answer Answer) *Refusal {
-	if refusal := r.begin(req.RequestID); refusal != nil {
+	if refusal := r.admit(req.RequestID); refusal != nil {
 		return refusal
 	}
-	defer r.life.leave()
-	r.metrics.open.Inc(1)
-	defer r.metrics.open.Dec(1)
+	defer r.lifecycle.release()
+	r.metrics.openRequests.Inc(1)
+	defer r.metrics.openRequests.Dec(1)
 	tok, err := r.o.Tokens.Decode(req.Token, req.Organisation)
 	if err != nil {
 		return &Refusal{Cause: CauseBadToken, Outcome: outcome.NotRun, Detail: err.Error(), LastIndex: -1}
@@ -39,7 +39,7 @@
 		Generation: tok.Generation, Mode: stream.ModeAdopted, From: req.From, Resumable: true, Limits: r.o.Stream,
 	})
 	a := &attempt{
-		r: r, machine: machine, answer: answer, endpoint: endpoint, token: req.Token,
+		r: r, machine: machine, answer: answer, endpoint: endpoint, resumeToken: req.Token,
 		start: &port.GenerationStart{Endpoint: endpoint, Generation: tok.Generation},
 	}
 	result := a.run(ctx)
@@ -50,9 +50,9 @@
 	return r.refuseResume(req, &tok, machine, result)
 }
 
-// Cancel ends a run whose caller no longer wants it, so that the engine's
-// memory is free. It returns what the engine said of the run before; where the
-// engine doesn't answer, the cancel is repeated until it does.
+// Cancel ends a run whose caller no longer wants it, to free the engine's memory.
+// It returns the run's status from before the cancel. If the engine doesn't answer,
+// the cancel is queued and retried.
 func (r *Router) Cancel(ctx context.Context, organisation, token string) (port.GenerationStatus, *Refusal) {
 	tok, err := r.o.Tokens.Decode(token, organisation)
 	if err != nil {
@@ -61,23 +61,23 @@
 	endpoint := port.Endpoint{
 		ID: tok.EndpointID, Kind: port.KindRunner, Address: tok.Address, Incarnation: tok.Incarnation,
 	}
-	id := r.decide(&port.DecisionRecord{
-		Subject: subjectRequest, SubjectID: requestOf(tok.Generation), Organisation: organisation,
+	id := r.recordDecision(&port.DecisionRecord{
+		Subject: subjectRequest, SubjectID: requestIDOf(tok.Generation), Organisation: organisation,
 		Verdict: verdictCancel, Reason: "the caller no longer wants " + tok.Generation, Endpoint: tok.EndpointID,
 	})
 	status, err := r.cancelOnce(ctx, endpoint, tok.Generation)
 	if err == nil {
 		return status, nil
 	}
-	r.cancels.add(endpoint, tok.Generation)
+	r.cancelQueue.add(endpoint, tok.Generation)
 	return "", &Refusal{
 		Cause: CauseEndpointFailed, Outcome: outcome.Unknown, DecisionID: id, LastIndex: -1,
 		Detail: "the engine does not answer; the cancel is repeated until it does",
 	}
 }
 
-// requestOf is the request that a generation's id names.
-func requestOf(generation string) string {
+// requestIDOf returns the request id that a generation id contains.
+func requestIDOf(generation string) string {
 	if dot := strings.LastIndexByte(generation, '.'); dot > 0 {
 		return generation[:dot]
 	}
@@ -85,7 +85,7 @@
 }
 
 func (r *Router) recordResume(req *ResumeRequest, tok *stream.Token) string {
-	return r.decide(&port.DecisionRecord{
+	return r.recordDecision(&port.DecisionRecord{
 		Subject: subjectRequest, SubjectID: req.RequestID, Organisation: req.Organisation,
 		Verdict: verdictResume, Reason: "a caller resumes " + tok.Generation, Endpoint: tok.EndpointID,
 	})
@@ -99,13 +99,14 @@
 		refusal.Cause = CauseGenerationGone
 	}
 	if result.fate == stream.FateLeft {
-		// The engine may still hold it and another router may reach it.
+		// The engine may still hold the generation, and another router may reach the
+		// engine.
 		refusal.Outcome = outcome.Unknown
 		refusal.ResumeToken = req.Token
-		refusal.RetryAfter = retrySoon
+		refusal.RetryAfter = defaultRetryAfter
 	}
 	select {
-	case <-r.life.handover:
+	case <-r.lifecycle.handover:
 		refusal.Cause = CauseStopping
 	default:
 	}
@@ -114,11 +115,11 @@
 }
 
 func (r *Router) finishResume(req *ResumeRequest, tok *stream.Token, o outcome.Outcome, reason string) string {
-	r.requests.put(RequestStatus{
-		RequestID: req.RequestID, State: RequestOver, Outcome: o, Reason: reason,
+	r.statuses.put(RequestStatus{
+		RequestID: req.RequestID, State: RequestFinished, Outcome: o, Reason: reason,
 		Organisation: req.Organisation, Endpoint: tok.EndpointID, Generation: tok.Generation, Attempts: 1,
 	})
-	return r.decide(&port.DecisionRecord{
+	return r.recordDecision(&port.DecisionRecord{
 		Subject: subjectRequest, SubjectID: req.RequestID, Organisation: req.Organisation,
 		Verdict: verdictFinish, Reason: reason, Endpoint: tok.EndpointID, Outcome: string(o),
 	})
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -25,33 +25,34 @@
 	HeaderOrganisation   = "Organisation"
 )
 
-// Services calls plain services. Its errors are port.ErrNotSent and
-// port.ErrEndpointLost.
+// Services calls the endpoints of plain services. Its errors are port.ErrNotSent
+// and port.ErrEndpointLost.
 type Services interface {
 	Call(ctx context.Context, e port.Endpoint, r *ServiceRequest) (*ServiceReply, error)
 	Load(ctx context.Context, e port.Endpoint) (port.LoadReport, error)
-	// Look finds out whether an endpoint serves.
+	// Look probes whether an endpoint is serving.
 	Look(ctx context.Context, e port.Endpoint) port.Presence
 }
 
-// Peers asks other routers.
+// Peers queries other routers.
 type Peers interface {
-	// LookupRequest returns the JSON of the peer's RequestStatus, and false
-	// where the peer doesn't know the request.
+	// LookupRequest returns the JSON of the peer's RequestStatus, or false if the
+	// peer has no record of the request.
 	LookupRequest(ctx context.Context, peerAddress, requestID string) (json []byte, found bool, err error)
 }
 
-// Announcer tells the rest of the system that this router is leaving.
+// Announcer announces to the rest of the system that this router is leaving.
 type Announcer interface {
 	SetLeaving()
 }
 
-// Observer takes an endpoint's own word on itself, for the other routers.
+// Observer receives the load reports of endpoints, to share them with the other
+// routers.
 type Observer interface {
 	ObserveReport(r *port.LoadReport)
 }
 
-// Ports are what a router reaches the world through.
+// Ports holds the external dependencies of a Router.
 type Ports struct {
 	Engine    port.Engine
 	Services  Services
@@ -60,19 +61,21 @@
 	Claimer   port.Claimer
 	Peers     Peers
 	Announcer Announcer
-	// Quarantine keeps requests from endpoints that they would crash.
+	// Quarantine identifies the requests that crash endpoints, so that they aren't
+	// dispatched.
 	Quarantine crashwatch.Quarantine
 	// Observer may be nil.
 	Observer Observer
 	Sink     port.DecisionSink
-	// Policy turns the records in force into the scheduler's policy.
+	// Policy derives the scheduler's policy from the records in force.
 	Policy func([]port.Record) port.Policy
-	// Evacuations returns those in force by the records.
+	// Evacuations returns the evacuations in force according to the records; nil
+	// means none.
 	Evacuations func([]port.Record) evacuation.Set
-	// KeyRetention is how long claims of idempotency keys are remembered;
-	// zero or nil where no keeper has told it yet.
+	// KeyRetention returns how long claims of idempotency keys are kept. It returns
+	// zero until a keeper has reported the value; nil is treated like zero.
 	KeyRetention func() time.Duration
-	// Clock gives the time; nil is time.Now.
+	// Clock returns the current time; nil means time.Now.
 	Clock   func() time.Time
 	Metrics gometrics.Registry
 }
@@ -91,62 +94,66 @@
 	MaxAttempts int
 	// MaxOpen bounds the requests open at once.
 	MaxOpen int
-	// HoldLimit bounds how long a request waits for a place.
+	// HoldLimit bounds how long a request waits to be placed.
 	HoldLimit time.Duration
-	// StallTimeout is the silence after which an engine is probed.
+	// StallTimeout is how long an engine may send nothing before it is probed.
 	StallTimeout time.Duration
-	// CancelTimeout bounds one cancel.
+	// CancelTimeout bounds one cancel call.
 	CancelTimeout time.Duration
-	// CancelLimit bounds how long a cancel is repeated.
+	// CancelLimit bounds how long an unanswered cancel is retried.
 	CancelLimit time.Duration
 	// ServiceTimeout bounds one call of a plain service.
 	ServiceTimeout time.Duration
 	// ClaimTimeout bounds the wait for a claim.
 	ClaimTimeout time.Duration
-	// PeerTimeout bounds a question to another router.
+	// PeerTimeout bounds a lookup at another router.
 	PeerTimeout time.Duration
-	// BufferFrames bounds the frames read ahead of a caller.
+	// BufferFrames bounds the frames buffered for a caller.
 	BufferFrames int
-	// ReaderPatience is how long a full buffer may stay untouched.
+	// ReaderPatience is how long a full frame buffer may go unread before the
+	// connection to the engine is closed.
 	ReaderPatience time.Duration
-	// LoadInterval is the time between rounds of load polling; reports
-	// older than LoadStale are asked for.
+	// LoadInterval is the time between rounds of load polling. A round polls
+	// endpoints whose last report is older than LoadStale.
 	LoadInterval time.Duration
 	LoadStale    time.Duration
-	// LoadSubset bounds the endpoints polled by this router.
+	// LoadSubset bounds the number of runners, and likewise of service endpoints,
+	// that this router polls.
 	LoadSubset int
-	// LoadPollsPerSecond bounds the polls for load.
+	// LoadPollsPerSecond bounds the rate of load polls.
 	LoadPollsPerSecond float64
-	// EntryValidity is how long callers may keep an entry answer.
+	// EntryValidity is how long callers may cache the addresses that Entry returns.
 	EntryValidity time.Duration
-	// DrainTimeout bounds a graceful shutdown.
+	// DrainTimeout bounds a graceful shutdown; see Router.Drain for the grace period
+	// after it.
 	DrainTimeout time.Duration
-	// RememberRequests bounds the request states kept.
+	// RememberRequests bounds the number of request statuses kept.
 	RememberRequests int
 	// RememberReplies bounds the stored replies of keyed calls, in bytes.
 	RememberReplies int
 }
 
-// Router is the application. Create it with New, then call Run.
+// Router admits requests, places them on endpoints and tracks them to their end.
+// Create it with New, then call Run.
 type Router struct {
 	Ports
-	o        Options
-	requests *requests
-	replies  *replies
-	breakers *breaker.Set
-	budget   *breaker.Budget
-	balancer *balance.Balancer
-	cancels  *cancels
-	loads    *loads
-	metrics  *instruments
-	departed membership.Departures
-	// evacuated are the evacuations in force, guarded by applying.
-	evacuated evacuation.Set
-	takers    atomic.Pointer[takers]
-	crashes   *crashwatch.Watch
-	applying  sync.Mutex
+	o           Options
+	statuses    *statusStore
+	replyCache  *replyCache
+	breakers    *breaker.Set
+	budget      *breaker.Budget
+	balancer    *balance.Balancer
+	cancelQueue *cancelQueue
+	loadPoller  *loadPoller
+	metrics     *instruments
+	departures  membership.Departures
+	// activeEvacuations are the evacuations in force, guarded by applyMu.
+	activeEvacuations evacuation.Set
+	eligible          atomic.Pointer[eligibleEndpoints]
+	crashWatch        *crashwatch.Watch
+	applyMu           sync.Mutex
 
-	life lifecycle
+	lifecycle lifecycle
 }
 
 // New returns a router that serves once Run is called.
@@ -161,33 +168,35 @@
 		p.Metrics = gometrics.NewRegistry()
 	}
 	r := &Router{
-		Ports:    p,
-		o:        o,
-		requests: newRequests(o.RememberRequests),
-		replies:  newReplies(o.RememberReplies),
-		breakers: breaker.NewSet(o.Breaker),
-		budget:   breaker.NewBudget(o.RetryShare, float64(o.RetryBurst)),
-		balancer: balance.New(balance.Options{Draw: draw, ReportMaxAge: 10 * o.LoadStale}),
-		metrics:  newInstruments(p.Metrics),
+		Ports:      p,
+		o:          o,
+		statuses:   newStatusStore(o.RememberRequests),
+		replyCache: newReplyCache(o.RememberReplies),
+		breakers:   breaker.NewSet(o.Breaker),
+		budget:     breaker.NewBudget(o.RetryShare, float64(o.RetryBurst)),
+		balancer:   balance.New(balance.Options{Draw: randIntN, ReportMaxAge: 10 * o.LoadStale}),
+		metrics:    newInstruments(p.Metrics),
 	}
-	r.crashes = r.watchCrashes()
-	r.cancels = newCancels(r)
-	r.loads = newLoads(r)
-	r.takers.Store(&takers{})
-	r.life.init()
+	r.crashWatch = r.newCrashWatch()
+	r.cancelQueue = newCancelQueue(r)
+	r.loadPoller = newLoadPoller(r)
+	r.eligible.Store(&eligibleEndpoints{})
+	r.lifecycle.init()
 	return r
 }
 
 // tickInterval is the time between the scheduler's ticks.
 const tickInterval = 100 * time.Millisecond
 
-// Run keeps the scheduler's view current until the context ends.
+// Run does the router's background work until the context ends: it applies changes
+// of the view, retries cancels, polls endpoints for their load and ticks the
+// scheduler.
 func (r *Router) Run(ctx context.Context) {
 	var wg sync.WaitGroup
-	wg.Go(func() { r.cancels.run(ctx) })
-	wg.Go(func() { r.loads.run(ctx) })
+	wg.Go(func() { r.cancelQueue.run(ctx) })
+	wg.Go(func() { r.loadPoller.run(ctx) })
 	wg.Go(func() { r.tick(ctx) })
-	r.follow(ctx)
+	r.watchView(ctx)
 	wg.Wait()
 }
 
@@ -200,16 +209,16 @@
 			return
 		case <-ticker.C:
 			r.Scheduler.Tick(r.Clock())
-			r.crashes.Tick()
+			r.crashWatch.Tick()
 		}
 	}
 }
 
-// follow applies each change of the view.
-func (r *Router) follow(ctx context.Context) {
+// watchView applies the view at once and after each change until the context ends.
+func (r *Router) watchView(ctx context.Context) {
 	for {
 		changed := r.View.Changed()
-		r.apply()
+		r.applyView()
 		select {
 		case <-ctx.Done():
 			return
@@ -218,38 +227,39 @@
 	}
 }
 
-func (r *Router) apply() {
+func (r *Router) applyView() {
 	r.Scheduler.SetPolicy(r.Policy(r.View.Records()))
 	r.setEndpoints()
 }
 
-// takers are the endpoints that may take new work.
-type takers struct {
+// eligibleEndpoints are the endpoints that may receive new work.
+type eligibleEndpoints struct {
 	runners  []port.Endpoint
 	services []port.Endpoint
-	// byService lists the services' endpoints by pool.
+	// byService maps the pool of a service to its endpoints.
 	byService map[string][]port.Endpoint
-	// evacuated are the services that have endpoints in evacuated failure domains.
-	evacuated map[string]bool
+	// evacuatedServices are the services that have endpoints in evacuated failure
+	// domains.
+	evacuatedServices map[string]bool
 }
 
-// setEndpoints sorts the view's endpoints once per change, and not once per
-// request. Two changes at a time are taken in turn, so that the later view
-// stays.
+// setEndpoints recomputes the eligible endpoints from the view, once per change
+// instead of once per request. The lock serialises concurrent changes, so that an
+// older view can't overwrite a newer one.
 func (r *Router) setEndpoints() {
-	r.applying.Lock()
-	defer r.applying.Unlock()
-	t := &takers{byService: make(map[string][]port.Endpoint), evacuated: make(map[string]bool)}
+	r.applyMu.Lock()
+	defer r.applyMu.Unlock()
+	t := &eligibleEndpoints{byService: make(map[string][]port.Endpoint), evacuatedServices: make(map[string]bool)}
 	known := make(map[string]bool)
 	evacuations := r.applyEvacuations()
 	for _, e := range r.View.Endpoints() {
 		known[e.ID] = true
-		if e.State != port.EndpointLive || r.departed.Has(e) {
+		if e.State != port.EndpointLive || r.departures.Has(e) {
 			continue
 		}
 		e = evacuations.Mark(e)
 		if e.Kind == port.KindService && e.Evacuated {
-			t.evacuated[e.Pool] = true
+			t.evacuatedServices[e.Pool] = true
 			continue
 		}
 		if e.Kind == port.KindService {
@@ -260,47 +270,47 @@
 		t.runners = append(t.runners, e)
 	}
 	t.runners = reachable(t.runners)
-	r.takers.Store(t)
+	r.eligible.Store(t)
 	r.Scheduler.SetEndpoints(r.Clock(), t.runners)
 	r.balancer.Keep(known)
-	r.departed.Keep(known)
+	r.departures.Keep(known)
 }
 
-// applyEvacuations puts the evacuations of the records in force; r.applying is
-// held.
+// applyEvacuations updates the active evacuations from the records and records a
+// decision for each change. The caller must hold applyMu.
 func (r *Router) applyEvacuations() evacuation.Set {
 	next := r.Evacuations(r.View.Records())
-	changes := r.evacuated.ChangesTo(next)
-	r.evacuated = next
+	changes := r.activeEvacuations.ChangesTo(next)
+	r.activeEvacuations = next
 	for _, d := range changes.Decisions(next) {
-		r.decide(d)
+		r.recordDecision(d)
 	}
 	return next
 }
 
-// reachable leaves out the runners that the keepers' probes don't reach. Where
-// that would leave none of a pool, its runners stay: it may be the keepers
+// reachable removes the runners that the keepers' probes can't reach. If that would
+// remove every runner of a pool, they are kept, because the keepers may be the ones
 // that are cut off.
 func reachable(runners []port.Endpoint) []port.Endpoint {
-	well := make(map[string]bool)
+	hasReachable := make(map[string]bool)
 	for _, e := range runners {
-		well[e.Pool] = well[e.Pool] || !e.Unreachable
+		hasReachable[e.Pool] = hasReachable[e.Pool] || !e.Unreachable
 	}
 	out := make([]port.Endpoint, 0, len(runners))
 	for _, e := range runners {
-		if !e.Unreachable || !well[e.Pool] {
+		if !e.Unreachable || !hasReachable[e.Pool] {
 			out = append(out, e)
 		}
 	}
 	return out
 }
 
-// sawLeaving takes an endpoint's own word that it leaves.
-func (r *Router) sawLeaving(e port.Endpoint) {
-	if !r.departed.Add(e) {
+// markLeaving stops new work for an endpoint that has reported that it is leaving.
+func (r *Router) markLeaving(e port.Endpoint) {
+	if !r.departures.Add(e) {
 		return
 	}
-	r.decide(&port.DecisionRecord{
+	r.recordDecision(&port.DecisionRecord{
 		Subject: "endpoint", SubjectID: e.ID, Verdict: "leave", Endpoint: e.ID,
 		Reason: "the endpoint itself says that it leaves",
 	})
--- a/internal/router/service.go
+++ b/internal/router/service.go
@@ -16,8 +16,9 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// maxBufferedReply is read whole before the caller gets a byte, so that a
-// reply cut short can still be tried again; what is over it streams through.
+// maxBufferedReply is the number of bytes of a reply that are read before the
+// caller gets any, so that a reply cut short within them can still be retried. The
+// rest of a longer reply is streamed.
 const maxBufferedReply = 1 << 20
 
 // ServiceRequest is one call of a plain service.
@@ -30,14 +31,15 @@
 	Path   string
 	Header http.Header
 	Body   []byte
-	// IdempotencyKey is empty where the caller gave none.
+	// IdempotencyKey is empty if the caller sent none.
 	IdempotencyKey string
-	// NonIdempotent: the caller says that it must run at most once.
+	// NonIdempotent is set if the caller declares that the call must run at most
+	// once.
 	NonIdempotent bool
 }
 
-// idempotent reports whether a second run does no harm: by the method's
-// meaning, unless the caller says otherwise.
+// idempotent reports whether running the call twice does no harm: according to its
+// method, unless the caller declares otherwise.
 func (q *ServiceRequest) idempotent() bool {
 	if q.NonIdempotent {
 		return false
@@ -56,8 +58,9 @@
 	return newClaimKey(q.Organisation, q.IdempotencyKey)
 }
 
-// fingerprint tells two calls under one key apart.
-func (q *ServiceRequest) fingerprint() uint64 {
+// requestHash identifies the content of a call, to detect a key that is used for
+// two different calls.
+func (q *ServiceRequest) requestHash() uint64 {
 	d := xxhash.New()
 	for _, part := range []string{q.Service, q.Method, q.Path} {
 		// A digest's writes don't fail.
@@ -67,80 +70,85 @@
 	return d.Sum64()
 }
 
-// ServiceReply is an endpoint's reply. Body holds it whole, or its beginning
-// where Rest is not nil.
+// ServiceReply is an endpoint's reply. Body holds the whole body, or its beginning
+// if Rest is not nil.
 type ServiceReply struct {
 	Status int
 	Header http.Header
 	Body   []byte
-	// Length is the length of the whole body, -1 where it isn't known.
+	// Length is the length of the whole body, -1 if unknown.
 	Length int64
-	// Rest is closed by whoever gets the reply.
+	// Rest reads the part of the body that is not in Body. The receiver of the reply
+	// closes it.
 	Rest io.ReadCloser
-	// Replayed: it was stored when the same key was first used.
+	// Replayed is set if the reply was stored by an earlier call with the same key.
 	Replayed bool
 }
 
-// call is one service request on its way.
+// call is the state of one service request while it is served.
 type call struct {
-	r       *Router
-	req     *ServiceRequest
-	ledger  outcome.Ledger
-	status  RequestStatus
-	tried   map[string]bool
+	r      *Router
+	req    *ServiceRequest
+	ledger outcome.Ledger
+	status RequestStatus
+	tried  map[string]bool
+	// print is the fingerprint that identifies the call in the crash watch and the
+	// quarantine.
 	print   quarantine.Fingerprint
 	attempt int
 	reason  string
 	cause   Cause
-	// decision is the id of the last choice.
-	decision string
+	// decisionID is the id of the last placement decision.
+	decisionID string
 }
 
 // CallService serves one call of a plain service.
 func (r *Router) CallService(ctx context.Context, req *ServiceRequest) (*ServiceReply, *Refusal) {
-	if refusal := r.begin(req.RequestID); refusal != nil {
+	if refusal := r.admit(req.RequestID); refusal != nil {
 		return nil, refusal
 	}
-	defer r.life.leave()
-	r.metrics.open.Inc(1)
-	defer r.metrics.open.Dec(1)
-	c := &call{r: r, req: req, tried: make(map[string]bool), print: req.crashPrint()}
+	defer r.lifecycle.release()
+	r.metrics.openRequests.Inc(1)
+	defer r.metrics.openRequests.Dec(1)
+	c := &call{r: r, req: req, tried: make(map[string]bool), print: req.crashFingerprint()}
 	c.ledger.Idempotent = req.idempotent()
 	c.status = RequestStatus{RequestID: req.RequestID, State: RequestHeld, Organisation: req.Organisation}
-	r.requests.put(c.status)
+	r.statuses.put(c.status)
 	key := req.claimKey()
-	if reply, refusal, stored := r.repeated(req, key); stored {
+	if reply, refusal, stored := r.replayStored(req, key); stored {
 		if refusal != nil {
-			return nil, c.refused(refusal)
+			return nil, c.recordRefusal(refusal)
 		}
 		c.finish(outcome.Done, "the key's stored reply was given again")
 		return reply, nil
 	}
 	claim, refusal := r.claim(ctx, key, req.RequestID)
 	if refusal != nil {
-		return nil, c.refused(refusal)
+		return nil, c.recordRefusal(refusal)
 	}
 	r.budget.FirstTry()
 	reply, refusal := c.serve(ctx)
 	status := 0
 	if reply != nil {
 		status = reply.Status
-		r.remember(req, key, reply)
+		r.storeReply(req, key, reply)
 	}
 	claim.settle(c.ledger.Outcome(), status)
 	return reply, refusal
 }
 
-// repeated answers a key that finished at this router.
-func (r *Router) repeated(req *ServiceRequest, key claimKey) (*ServiceReply, *Refusal, bool) {
+// replayStored answers a call whose key has a stored reply at this router, or
+// refuses it if the key was used for a different call. It returns false if there is
+// no stored reply.
+func (r *Router) replayStored(req *ServiceRequest, key claimKey) (*ServiceReply, *Refusal, bool) {
 	if !key.set {
 		return nil, nil, false
 	}
-	stored, ok := r.replies.get(key.hash)
+	stored, ok := r.replyCache.get(key.hash)
 	if !ok {
 		return nil, nil, false
 	}
-	if stored.fingerprint != req.fingerprint() {
+	if stored.requestHash != req.requestHash() {
 		return nil, &Refusal{
 			Cause: CauseKeyReused, Outcome: outcome.NotRun, LastIndex: -1,
 			Detail: "the key was used for another call, request " + stored.requestID,
@@ -152,35 +160,35 @@
 	}, nil, true
 }
 
-func (r *Router) remember(req *ServiceRequest, key claimKey, reply *ServiceReply) {
+func (r *Router) storeReply(req *ServiceRequest, key claimKey, reply *ServiceReply) {
 	if !key.set || reply.Rest != nil {
 		return
 	}
-	r.replies.put(key.hash, &storedReply{
-		requestID: req.RequestID, fingerprint: req.fingerprint(),
+	r.replyCache.put(key.hash, &storedReply{
+		requestID: req.RequestID, requestHash: req.requestHash(),
 		status: reply.Status, header: reply.Header.Clone(), body: reply.Body,
 	})
 }
 
-// serve tries endpoints until one replies or nothing more may be tried.
+// serve tries endpoints until one replies or no further attempt is allowed.
 func (c *call) serve(ctx context.Context) (*ServiceReply, *Refusal) {
 	for {
 		if refusal := c.r.quarantineRefusal(c.print); refusal != nil {
-			return nil, c.refused(refusal)
+			return nil, c.recordRefusal(refusal)
 		}
 		endpoint, ok := c.choose()
 		if !ok {
-			return nil, c.refused(c.noEndpoint())
+			return nil, c.recordRefusal(c.noEndpointRefusal())
 		}
-		reply, fate := c.once(ctx, endpoint)
+		reply, fate := c.callEndpoint(ctx, endpoint)
 		c.ledger.Add(fate, false)
 		if fate == stream.FateDone {
-			c.completed(reply)
+			c.recordCompletion(reply)
 			c.finish(outcome.Done, http.StatusText(reply.Status))
 			return reply, nil
 		}
-		if refusal := c.stop(ctx); refusal != nil {
-			return c.lastWord(reply, refusal)
+		if refusal := c.finalRefusal(ctx); refusal != nil {
+			return c.finalReply(reply, refusal)
 		}
 		if reply != nil {
 			closeReply(reply)
@@ -189,17 +197,19 @@
 	}
 }
 
-// completed notes that the call outlived its run, and the endpoint with it.
-func (c *call) completed(reply *ServiceReply) {
+// recordCompletion reports to the quarantine that the call ran without crashing its
+// endpoint. A reply with a server error doesn't count.
+func (c *call) recordCompletion(reply *ServiceReply) {
 	if reply.Status < http.StatusInternalServerError {
 		c.r.Quarantine.Completed(c.r.Clock(), c.print)
 	}
 }
 
-// lastWord passes on an endpoint's own error where nothing better came.
-func (c *call) lastWord(reply *ServiceReply, refusal *Refusal) (*ServiceReply, *Refusal) {
+// finalReply returns the endpoint's own error reply if there is one, otherwise the
+// refusal.
+func (c *call) finalReply(reply *ServiceReply, refusal *Refusal) (*ServiceReply, *Refusal) {
 	if reply == nil {
-		return nil, c.refused(refusal)
+		return nil, c.recordRefusal(refusal)
 	}
 	c.finish(outcome.Failed, http.StatusText(reply.Status))
 	return reply, nil
@@ -215,20 +225,20 @@
 func (c *call) choose() (port.Endpoint, bool) {
 	r := c.r
 	now := r.Clock()
-	var candidates, spared []port.Endpoint
-	for _, e := range r.takers.Load().byService[c.req.Service] {
+	var candidates, fallbacks []port.Endpoint
+	for _, e := range r.eligible.Load().byService[c.req.Service] {
 		switch {
 		case c.tried[e.ID]:
 		case e.Unreachable || r.breakers.Open(now, e.ID):
-			spared = append(spared, e)
+			fallbacks = append(fallbacks, e)
 		default:
 			candidates = append(candidates, e)
 		}
 	}
 	if len(candidates) == 0 && c.attempt == 0 {
-		// None looks well, but the probes are the keepers' and the breakers
-		// may be late: a try is better than a refusal.
-		candidates = spared
+		// No endpoint appears healthy, but the keepers' probes and the breakers may
+		// be out of date: a try is better than a refusal.
+		candidates = fallbacks
 	}
 	endpoint, scores, ok := r.balancer.Choose(now, candidates)
 	if !ok {
@@ -236,48 +246,48 @@
 	}
 	c.attempt++
 	c.tried[endpoint.ID] = true
-	c.decision = r.decide(&port.DecisionRecord{
+	c.decisionID = r.recordDecision(&port.DecisionRecord{
 		Subject: subjectRequest, SubjectID: c.req.RequestID, Organisation: c.req.Organisation,
 		Verdict: port.VerdictPlace.String(), Reason: "least calls of two drawn in service " + c.req.Service,
 		Endpoint: endpoint.ID, Attempt: c.attempt, Candidates: scores,
 	})
 	c.status.State, c.status.Endpoint, c.status.Attempts = RequestRunning, endpoint.ID, c.attempt
-	r.requests.put(c.status)
+	r.statuses.put(c.status)
 	return endpoint, true
 }
 
-func (c *call) noEndpoint() *Refusal {
-	refusal := &Refusal{Cause: CauseNoEndpoint, RetryAfter: retrySoon, LastIndex: -1}
+func (c *call) noEndpointRefusal() *Refusal {
+	refusal := &Refusal{Cause: CauseNoEndpoint, RetryAfter: defaultRetryAfter, LastIndex: -1}
 	refusal.Detail = "no live endpoint of service " + c.req.Service
 	switch {
 	case c.attempt > 0:
 		refusal.Cause, refusal.Detail = CauseEndpointFailed, c.reason
-	case c.r.takers.Load().evacuated[c.req.Service]:
+	case c.r.eligible.Load().evacuatedServices[c.req.Service]:
 		refusal.Cause, refusal.RetryAfter = CauseEvacuated, evacuation.RetryAfter
 		refusal.Detail = "the endpoints of service " + c.req.Service + " are in failure domains that are evacuated"
 	}
 	return refusal
 }
 
-// once calls one endpoint. A reply comes back with FateDone, or with FateRan
-// where it asks for a try elsewhere.
-func (c *call) once(ctx context.Context, e port.Endpoint) (*ServiceReply, stream.Fate) {
+// callEndpoint calls one endpoint. It returns a reply with FateDone, or with
+// FateRan if the call should be retried at another endpoint.
+func (c *call) callEndpoint(ctx context.Context, e port.Endpoint) (*ServiceReply, stream.Fate) {
 	r := c.r
-	began := r.Clock()
-	r.breakers.Begin(began, e.ID)
+	start := r.Clock()
+	r.breakers.Begin(start, e.ID)
 	defer r.balancer.End(e.ID)
-	bounded, cancel := context.WithTimeout(ctx, r.o.ServiceTimeout)
-	watched := r.crashes.Begin(e, c.print)
-	reply, err := r.Services.Call(bounded, e, c.req)
+	callCtx, cancel := context.WithTimeout(ctx, r.o.ServiceTimeout)
+	watched := r.crashWatch.Begin(e, c.print)
+	reply, err := r.Services.Call(callCtx, e, c.req)
 	if err == nil {
-		err = reply.fill(cancel)
+		err = reply.readBody(cancel)
 	} else {
 		cancel()
 	}
-	observe(r.metrics.services, r.Clock().Sub(began))
-	r.crashes.End(watched, err != nil && ctx.Err() == nil && !errors.Is(err, port.ErrNotSent))
+	observe(r.metrics.serviceCall, r.Clock().Sub(start))
+	r.crashWatch.End(watched, err != nil && ctx.Err() == nil && !errors.Is(err, port.ErrNotSent))
 	if err != nil {
-		return nil, c.lost(ctx, bounded, e, err)
+		return nil, c.classifyFailure(ctx, callCtx, e, err)
 	}
 	r.breakers.Success(e.ID)
 	if c.ledger.Idempotent && retryElsewhere(reply.Status) {
@@ -287,12 +297,12 @@
 	return reply, stream.FateDone
 }
 
-// lost judges a call without a whole reply. The caller's context tells whether he
-// has gone; the call's own has ended by now, and tells only whether its time was
-// over.
-func (c *call) lost(caller, bounded context.Context, e port.Endpoint, err error) stream.Fate {
-	overdue := errors.Is(bounded.Err(), context.DeadlineExceeded)
-	if caller.Err() == nil && !overdue {
+// classifyFailure returns the fate of a call without a complete reply and stores
+// the reason. callerCtx shows whether the caller has disconnected. callCtx has
+// ended in any case by now, so it shows only whether the call timed out.
+func (c *call) classifyFailure(callerCtx, callCtx context.Context, e port.Endpoint, err error) stream.Fate {
+	timedOut := errors.Is(callCtx.Err(), context.DeadlineExceeded)
+	if callerCtx.Err() == nil && !timedOut {
 		c.r.breakers.Failure(c.r.Clock(), e.ID)
 	}
 	if errors.Is(err, port.ErrNotSent) {
@@ -300,7 +310,7 @@
 		return stream.FateNotSent
 	}
 	c.reason = "the endpoint gave no whole reply"
-	if overdue {
+	if timedOut {
 		c.cause = CauseServiceTimeout
 		c.reason = "the endpoint gave no whole reply in time"
 	}
@@ -311,14 +321,14 @@
 	return status == http.StatusBadGateway || status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout
 }
 
-// fill reads the body up to maxBufferedReply. The rest, where there is one,
-// keeps the call's context until it is closed.
-func (reply *ServiceReply) fill(cancel context.CancelFunc) error {
+// readBody reads the body up to maxBufferedReply. If more remains, the call's
+// context is kept until Rest is closed.
+func (reply *ServiceReply) readBody(cancel context.CancelFunc) error {
 	var buffer bytes.Buffer
 	_, err := io.CopyN(&buffer, reply.Rest, maxBufferedReply)
 	reply.Body = buffer.Bytes()
 	if err == nil {
-		reply.Rest = &restOfReply{ReadCloser: reply.Rest, cancel: cancel}
+		reply.Rest = &remainingBody{ReadCloser: reply.Rest, cancel: cancel}
 		return nil
 	}
 	_ = reply.Rest.Close()
@@ -331,27 +341,27 @@
 	return nil
 }
 
-type restOfReply struct {
+type remainingBody struct {
 	io.ReadCloser
 	cancel context.CancelFunc
 }
 
-func (r *restOfReply) Close() error {
+func (r *remainingBody) Close() error {
 	defer r.cancel()
 	return r.ReadCloser.Close()
 }
 
-// stop returns the refusal where no other attempt may follow, else nil.
-func (c *call) stop(ctx context.Context) *Refusal {
+// finalRefusal returns the refusal if no further attempt is allowed, otherwise nil.
+func (c *call) finalRefusal(ctx context.Context) *Refusal {
 	refusal := &Refusal{
-		Cause: CauseEndpointFailed, Detail: c.reason, DecisionID: c.decision,
-		RetryAfter: retrySoon, LastIndex: -1,
+		Cause: CauseEndpointFailed, Detail: c.reason, DecisionID: c.decisionID,
+		RetryAfter: defaultRetryAfter, LastIndex: -1,
 	}
 	if c.cause != "" {
 		refusal.Cause = c.cause
 	}
 	select {
-	case <-c.r.life.handover:
+	case <-c.r.lifecycle.handover:
 		refusal.Cause = CauseStopping
 		return refusal
 	default:
@@ -361,20 +371,20 @@
 		refusal.Cause = CauseCallerGone
 	case !c.ledger.MayRetry() || c.attempt >= c.r.o.MaxAttempts:
 	case !c.r.budget.Retry():
-		refusal.Cause = CauseRetriesSpent
+		refusal.Cause = CauseRetryBudgetSpent
 	default:
 		return nil
 	}
 	return refusal
 }
 
-func (c *call) refused(refusal *Refusal) *Refusal {
+func (c *call) recordRefusal(refusal *Refusal) *Refusal {
 	if refusal.Outcome == "" {
 		refusal.Outcome = c.ledger.Outcome()
 	}
-	own := refusal.own()
-	c.r.metrics.refused(own)
-	id := c.finish(own, refusal.Error())
+	requestOutcome := refusal.requestOutcome()
+	c.r.metrics.countRefusal(requestOutcome)
+	id := c.finish(requestOutcome, refusal.Error())
 	if refusal.DecisionID == "" {
 		refusal.DecisionID = id
 	}
@@ -382,11 +392,11 @@
 }
 
 func (c *call) finish(o outcome.Outcome, reason string) string {
-	c.status.State, c.status.Outcome, c.status.Reason = RequestOver, o, reason
-	c.r.requests.put(c.status)
-	return c.r.decide(&port.DecisionRecord{
+	c.status.State, c.status.Outcome, c.status.Reason = RequestFinished, o, reason
+	c.r.statuses.put(c.status)
+	return c.r.recordDecision(&port.DecisionRecord{
 		Subject: subjectRequest, SubjectID: c.req.RequestID, Organisation: c.req.Organisation,
 		Verdict: verdictFinish, Reason: reason, Endpoint: c.status.Endpoint,
-		Attempt: c.status.Attempts, Outcome: string(o), Fingerprint: nameUnlessDone(o, c.print),
+		Attempt: c.status.Attempts, Outcome: string(o), Fingerprint: fingerprintUnlessDone(o, c.print),
 	})
 }
