--- a/internal/claimstore/fake_test.go
+++ b/internal/claimstore/fake_test.go
@@ -9,45 +9,47 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/testkit/memplatform"
 )
 
-// fault is what the fake platform does with one call.
+// fault is a failure that the fake platform injects into one call.
 type fault int
 
 const (
 	faultNone fault = iota
-	// faultDown refuses the call.
-	faultDown
-	// faultLoseReply carries a write out and loses its reply.
+	// faultUnavailable refuses the call.
+	faultUnavailable
+	// faultLoseReply carries out a write and loses its reply.
 	faultLoseReply
-	// faultHang loses the call as well as the reply.
-	faultHang
-	// faultPark holds the call until it is released; it is carried out then.
-	faultPark
-	// faultLate loses the reply now and carries the write out later.
-	faultLate
+	// faultLoseCall loses the call, so that there is no reply either.
+	faultLoseCall
+	// faultBlock blocks the call until it is released, then carries it out.
+	faultBlock
+	// faultDelayWrite loses the reply and carries out the write when
+	// applyDelayed is called.
+	faultDelayWrite
 )
 
-// fakePlatform is an object store with compare-and-set and scripted faults.
+// fakePlatform is an object store with compare-and-set and fault injection.
 type fakePlatform struct {
 	*memplatform.Store
 	mu sync.Mutex
-	// script yields the fault of each call, per keeper.
-	script func(keeper int, write bool) fault
-	// parked tells the test that a call waits, release lets a keeper go on.
-	parked  chan struct{}
+	// faultFor returns the fault for a keeper's next call.
+	faultFor func(keeper int, write bool) fault
+	// blocked receives a value when a call blocks; a value sent to release
+	// unblocks that keeper's call.
+	blocked chan struct{}
 	release map[int]chan struct{}
-	late    []func()
+	delayed []func()
 }
 
 func newFakePlatform() *fakePlatform {
 	return &fakePlatform{
-		Store:   memplatform.New(),
-		script:  func(int, bool) fault { return faultNone },
-		parked:  make(chan struct{}),
-		release: map[int]chan struct{}{},
+		Store:    memplatform.New(),
+		faultFor: func(int, bool) fault { return faultNone },
+		blocked:  make(chan struct{}),
+		release:  map[int]chan struct{}{},
 	}
 }
 
-// fakeClient is the platform as one keeper reaches it.
+// fakeClient is one keeper's client of the fake platform.
 type fakeClient struct {
 	*fakePlatform
 	keeper int
@@ -62,30 +64,30 @@
 
 func (c *fakeClient) Get(ctx context.Context, kind, name string) (port.Object, error) {
 	switch c.fault(false) {
-	case faultDown, faultHang, faultLoseReply, faultLate:
+	case faultUnavailable, faultLoseCall, faultLoseReply, faultDelayWrite:
 		return port.Object{}, port.ErrPlatformUnavailable
-	case faultPark:
-		c.park()
+	case faultBlock:
+		c.block()
 	}
 	return c.Store.Get(ctx, kind, name)
 }
 
 func (c *fakeClient) Put(ctx context.Context, kind, name string, expect uint64, value json.RawMessage) (port.Object, error) {
 	switch c.fault(true) {
-	case faultDown:
+	case faultUnavailable:
 		return port.Object{}, port.ErrPlatformUnavailable
-	case faultHang:
+	case faultLoseCall:
 		return port.Object{}, port.ErrOutcomeUnknown
 	case faultLoseReply:
 		_, _ = c.Store.Put(ctx, kind, name, expect, value)
 		return port.Object{}, port.ErrOutcomeUnknown
-	case faultLate:
+	case faultDelayWrite:
 		c.mu.Lock()
-		c.late = append(c.late, func() { _, _ = c.Store.Put(ctx, kind, name, expect, value) })
+		c.delayed = append(c.delayed, func() { _, _ = c.Store.Put(ctx, kind, name, expect, value) })
 		c.mu.Unlock()
 		return port.Object{}, port.ErrOutcomeUnknown
-	case faultPark:
-		c.park()
+	case faultBlock:
+		c.block()
 	}
 	return c.Store.Put(ctx, kind, name, expect, value)
 }
@@ -93,21 +95,21 @@
 func (c *fakeClient) fault(write bool) fault {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.script(c.keeper, write)
+	return c.faultFor(c.keeper, write)
 }
 
-func (c *fakeClient) park() {
-	c.parked <- struct{}{}
+func (c *fakeClient) block() {
+	c.blocked <- struct{}{}
 	<-c.release[c.keeper]
 }
 
-// deliverLate carries out the writes whose replies were lost before.
-func (f *fakePlatform) deliverLate() {
+// applyDelayed carries out the writes that faultDelayWrite has delayed.
+func (f *fakePlatform) applyDelayed() {
 	f.mu.Lock()
-	late := f.late
-	f.late = nil
+	delayed := f.delayed
+	f.delayed = nil
 	f.mu.Unlock()
-	for _, write := range late {
+	for _, write := range delayed {
 		write()
 	}
 }
--- a/internal/claimstore/layout.go
+++ b/internal/claimstore/layout.go
@@ -13,17 +13,18 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// layoutName is the object that fixes how keys map to shards. Two keepers
-// with different numbers of shards would keep one key in two objects and
-// grant it twice; the first keeper's settings are stored and bind all others.
+// layoutName is the object that stores the number of shards and the retention.
+// The first keeper creates it and all keepers use it: two keepers with
+// different numbers of shards would store one key in two objects and grant it
+// twice.
 const layoutName = "layout"
 
 const layoutFormat = 1
 
-// maxShards bounds a stored layout.
+// maxShards is the largest number of shards that a stored layout may have.
 const maxShards = 4096
 
-// ErrLayout is a stored layout that this release can't use.
+// ErrLayout means that this release can't use the stored layout.
 var ErrLayout = merry.Sentinel("claims: the stored layout can't be used")
 
 type storedLayout struct {
@@ -33,20 +34,22 @@
 	TombstoneRetentionMillis int64 `json:"tombstone_retention_ms"`
 }
 
-// layout is the layout in use.
+// layout is the decoded layout. The stored retentions replace those of the
+// options' limits.
 type layout struct {
 	shards int
 	limits claim.Limits
 }
 
-// open returns the shards, reading or creating the layout on first use.
-func (s *Store) open(ctx context.Context) ([]*shard, error) {
-	if shards := s.opened(); shards != nil {
+// openShards returns the shards. The first call reads the layout from the
+// platform, or creates it.
+func (s *Store) openShards(ctx context.Context) ([]*shard, error) {
+	if shards := s.openedShards(); shards != nil {
 		return shards, nil
 	}
-	done := s.flight.DoChan(layoutName, func() (any, error) { return s.openLayout() })
+	opened := s.flight.DoChan(layoutName, func() (any, error) { return s.openLayout() })
 	select {
-	case r := <-done:
+	case r := <-opened:
 		if r.Err != nil {
 			return nil, r.Err
 		}
@@ -56,14 +59,14 @@
 	}
 }
 
-func (s *Store) opened() []*shard {
+func (s *Store) openedShards() []*shard {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.shards
 }
 
 func (s *Store) openLayout() ([]*shard, error) {
-	if shards := s.opened(); shards != nil {
+	if shards := s.openedShards(); shards != nil {
 		return shards, nil
 	}
 	l, err := s.readLayout()
@@ -108,8 +111,8 @@
 	if err == nil {
 		return object, nil
 	}
-	// Another keeper's layout, or our own whose reply was lost: what is
-	// stored counts.
+	// Use what is stored: another keeper may have created the layout, or this
+	// write took effect and only its reply was lost.
 	return s.opts.Platform.Get(ctx, port.ObjectClaims, layoutName)
 }
 
@@ -130,8 +133,9 @@
 	return &layout{shards: stored.Shards, limits: limits}, nil
 }
 
-// read returns a shard as the platform holds it; version zero where absent.
-func (s *Store) read(name string) (*claim.Shard, uint64, error) {
+// readShard reads a shard from the platform. A shard that doesn't exist is
+// returned empty, with version zero.
+func (s *Store) readShard(name string) (*claim.Shard, uint64, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), s.opts.CallTimeout)
 	defer cancel()
 	s.metrics.reads.Inc(1)
@@ -146,8 +150,8 @@
 	return stored, object.Version, err
 }
 
-// put is one conditional write.
-func (s *Store) put(name string, expect uint64, value json.RawMessage) (port.Object, error) {
+// putObject writes an object if its stored version is expect.
+func (s *Store) putObject(name string, expect uint64, value json.RawMessage) (port.Object, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), s.opts.CallTimeout)
 	defer cancel()
 	s.metrics.writes.Inc(1)
--- a/internal/claimstore/metrics.go
+++ b/internal/claimstore/metrics.go
@@ -7,7 +7,7 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// counters are the keeper's figures on claims.
+// counters holds a keeper's metrics of claims.
 type counters struct {
 	registry     gometrics.Registry
 	writes       gometrics.Counter
@@ -28,7 +28,7 @@
 	}
 }
 
-func (c *counters) verdict(r claim.Result) {
+func (c *counters) countVerdict(r claim.Result) {
 	name := "claims_" + string(r.Verdict)
 	if r.Verdict == port.ClaimUnavailable {
 		name += "_" + string(r.Reason)
--- a/internal/claimstore/operation.go
+++ b/internal/claimstore/operation.go
@@ -7,26 +7,28 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// answer ends an operation.
-type answer struct {
+// response is the outcome of an operation: result for a claim, settled for a
+// settlement.
+type response struct {
 	result  claim.Result
 	settled bool
 }
 
-// operation is one claim or one outcome on its way into a shard.
+// operation is a claim (entry is set) or a settlement (state is set) that is
+// to be written to a shard.
 type operation struct {
-	ctx    context.Context
-	entry  *port.ClaimEntry
-	state  *port.ClaimState
-	answer chan answer
+	ctx      context.Context
+	entry    *port.ClaimEntry
+	state    *port.ClaimState
+	response chan response
 }
 
 func newClaim(ctx context.Context, e port.ClaimEntry) *operation {
-	return &operation{ctx: ctx, entry: &e, answer: make(chan answer, 1)}
+	return &operation{ctx: ctx, entry: &e, response: make(chan response, 1)}
 }
 
 func newSettle(ctx context.Context, st port.ClaimState) *operation {
-	return &operation{ctx: ctx, state: &st, answer: make(chan answer, 1)}
+	return &operation{ctx: ctx, state: &st, response: make(chan response, 1)}
 }
 
 func (o *operation) key() claim.KeyHash {
@@ -36,25 +38,25 @@
 	return o.state.KeyHash
 }
 
-// urgent operations have somebody waiting: a claim, and a not_run, whose key
-// the caller will use again.
+// urgent reports whether the operation is written without delay: callers wait
+// for claims, and a caller will reuse a key that was settled as not_run.
 func (o *operation) urgent() bool {
 	return o.entry != nil || o.state.Outcome == port.ClaimNotRun
 }
 
-func (o *operation) finish(a answer) { o.answer <- a }
+func (o *operation) finish(a response) { o.response <- a }
 
 func (o *operation) refuse(r claim.Reason) {
-	o.finish(answer{result: claim.Result{Verdict: port.ClaimUnavailable, Reason: r}})
+	o.finish(response{result: claim.Result{Verdict: port.ClaimUnavailable, Reason: r}})
 }
 
-// wait returns the answer. Past the context's end the operation may still be
-// written, which the asker can't see any more: that is unsettled.
-func (o *operation) wait(ctx context.Context) answer {
+// wait returns the response. If ctx ends first, the operation may still be
+// written without the caller learning of it, so it is refused as unsettled.
+func (o *operation) wait(ctx context.Context) response {
 	select {
-	case a := <-o.answer:
+	case a := <-o.response:
 		return a
 	case <-ctx.Done():
-		return answer{result: claim.Result{Verdict: port.ClaimUnavailable, Reason: claim.ReasonUnsettled}}
+		return response{result: claim.Result{Verdict: port.ClaimUnavailable, Reason: claim.ReasonUnsettled}}
 	}
 }
--- a/internal/claimstore/seal.go
+++ b/internal/claimstore/seal.go
@@ -11,11 +11,12 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// errPartMoved: a slot holds another part than the head names, as a newer
-// head than the one read has the slot by now.
-var errPartMoved = merry.Sentinel("claims: a sealed part is not the one that its shard names")
+// errPartReplaced means that the object of a slot has another version than the
+// head lists. The head that was read is out of date: a newer one has reused
+// the slot.
+var errPartReplaced = merry.Sentinel("claims: the version of a sealed part is not the one that its shard lists")
 
-// sealedPart is the content of a slot's object at a version.
+// sealedPart is the content of a slot's object and the object's version.
 type sealedPart struct {
 	version uint64
 	content *claim.Sealed
@@ -23,79 +24,81 @@
 
 func (s *shard) partName(slot int) string { return fmt.Sprintf("%s-sealed-%02d", s.name, slot) }
 
-// seal moves the tombstones of a large shard to an object of their own: first
-// the part is written, then the head names it and drops them, in one
-// compare-and-set. A keeper that stops in between leaves a part that no head
-// names and a head that still has its tombstones.
+// seal moves the tombstones of a large shard to an object of their own, a
+// sealed part. It first writes the part. Then it lists the part in the head,
+// which is the shard's main object, and removes the tombstones from there, in
+// one compare-and-set. A keeper that stops in between leaves a part that no
+// head lists and a head that still has its tombstones.
 //
-// A part that a head names is never overwritten. A slot is written only over
-// the version that the writer's head gives for it, and a head gives a part's
-// version for a free slot only after the part has expired. So a frozen keeper
-// with an old head fails at the slot, or else at the head.
+// A part that a head lists is never overwritten. A slot is written only if its
+// object has the version that the writer's head records for it, and a head
+// records a part's version for a free slot only after the part has expired. So
+// a frozen keeper with an old head fails to write either the part or the head.
 func (s *shard) seal() {
 	if s.stored == nil || !s.stored.SealDue(s.limits) {
 		return
 	}
 	value, err := s.stored.EncodeTombstones()
 	if err != nil {
-		s.store.failed(s.name, merry.Wrap(errEncode, merry.WithCause(err)))
+		s.store.recordFailure(s.name, merry.Wrap(errEncode, merry.WithCause(err)))
 		return
 	}
-	if !s.sealingTurn() {
+	if !s.waitForSealWrites() {
 		return
 	}
 	slot, expect := s.stored.FreeSlot()
 	next := s.stored.Clone()
-	object, err := s.store.put(s.partName(slot), expect, value)
+	object, err := s.store.putObject(s.partName(slot), expect, value)
 	switch {
 	case err == nil:
-		s.remember(slot, sealedPart{version: object.Version, content: next.Seal(slot, object.Version)})
+		s.cachePart(slot, sealedPart{version: object.Version, content: next.Seal(slot, object.Version)})
 	case errors.Is(err, port.ErrConflict) && object.Version > 0:
 		next.MoveSlot(slot, object.Version)
 	default:
-		// If it was written all the same, the next try is a conflict.
-		s.store.failed(s.partName(slot), err)
+		// If the write took effect, the next try fails with a conflict.
+		s.store.recordFailure(s.partName(slot), err)
 		return
 	}
 	s.writeHead(next)
 }
 
-// sealingTurn waits for the turns of both writes.
-func (s *shard) sealingTurn() bool {
+// waitForSealWrites waits until the rate limit allows both writes of sealing.
+func (s *shard) waitForSealWrites() bool {
 	ctx, cancel := context.WithTimeout(context.Background(), maxQueueTime)
 	defer cancel()
-	if s.store.turn(ctx) != nil {
+	if s.store.waitForWrite(ctx) != nil {
 		return false
 	}
-	return s.store.turn(ctx) == nil
+	return s.store.waitForWrite(ctx) == nil
 }
 
-func (s *shard) remember(slot int, part sealedPart) {
-	if s.sealed == nil {
-		s.sealed = map[int]sealedPart{}
+func (s *shard) cachePart(slot int, part sealedPart) {
+	if s.partCache == nil {
+		s.partCache = map[int]sealedPart{}
 	}
-	s.sealed[slot] = part
+	s.partCache[slot] = part
 }
 
-// writeHead puts next in place; the shard is read again where that is not
-// known to have failed.
+// writeHead writes next to the platform. After an error that leaves the result
+// of the write unknown, the shard is read again before its next use.
 func (s *shard) writeHead(next *claim.Shard) {
 	err := s.write(next)
 	if err == nil || errors.Is(err, port.ErrConflict) {
 		return
 	}
-	s.store.failed(s.name, err)
+	s.store.recordFailure(s.name, err)
 	if !nothingWritten(err) {
 		s.stored = nil
 	}
 }
 
-// readParts gives a shard the contents of all its parts. Without one of them
-// nothing is granted, as the key may stand in it.
+// readParts attaches the contents of all sealed parts to a shard. If one of
+// them can't be read, no key is granted, as the key may have a tombstone in
+// that part.
 func (s *shard) readParts(stored *claim.Shard) error {
-	known := map[int]sealedPart{}
+	current := map[int]sealedPart{}
 	for _, p := range stored.Parts() {
-		part := s.sealed[p.Slot]
+		part := s.partCache[p.Slot]
 		if part.version != p.Version {
 			var err error
 			if part, err = s.readPart(p); err != nil {
@@ -105,11 +108,12 @@
 		if err := stored.Attach(p.Slot, part.content); err != nil {
 			return err
 		}
-		// Kept even if a later part can't be read: the next try goes on there.
-		s.remember(p.Slot, part)
-		known[p.Slot] = part
+		// Cached even if a later part can't be read: the next call continues
+		// from there.
+		s.cachePart(p.Slot, part)
+		current[p.Slot] = part
 	}
-	s.sealed = known
+	s.partCache = current
 	return nil
 }
 
@@ -122,16 +126,17 @@
 		return sealedPart{}, err
 	}
 	if object.Version != p.Version {
-		return sealedPart{}, errPartMoved
+		return sealedPart{}, errPartReplaced
 	}
 	content, err := claim.DecodeSealed(object.Value)
 	return sealedPart{version: p.Version, content: content}, err
 }
 
-// attachKnown is readParts without a read; it reports whether that was enough.
-func (s *shard) attachKnown(stored *claim.Shard) bool {
+// attachCached attaches the cached parts without reading any, and reports
+// whether the shard then has all of its parts.
+func (s *shard) attachCached(stored *claim.Shard) bool {
 	for _, p := range stored.Parts() {
-		part := s.sealed[p.Slot]
+		part := s.partCache[p.Slot]
 		if part.version != p.Version || stored.Attach(p.Slot, part.content) != nil {
 			return false
 		}
--- a/internal/claimstore/seal_test.go
+++ b/internal/claimstore/seal_test.go
@@ -20,7 +20,7 @@
 	sealTombstones = time.Hour
 )
 
-// testClock is a wall clock that tests move.
+// testClock is a wall clock that tests advance.
 type testClock struct{ millis atomic.Int64 }
 
 func newTestClock() *testClock {
@@ -32,7 +32,7 @@
 func (c *testClock) now() time.Time          { return time.UnixMilli(c.millis.Load()) }
 func (c *testClock) advance(d time.Duration) { c.millis.Add(d.Milliseconds()) }
 
-// sealStore seals whenever there is a tombstone.
+// sealStore returns a Store that seals as soon as a shard has a tombstone.
 func sealStore(p port.Platform, c *testClock) *Store {
 	return New(Options{
 		Platform: p, Shards: 1, WritesPerSecond: testRate, WriteBurst: testRate, SettleDelay: time.Millisecond,
@@ -41,15 +41,16 @@
 	})
 }
 
-// bury claims a key and lets it become a tombstone in the head.
-func bury(t *testing.T, s *Store, c *testClock, key byte) {
+// expireKey claims a key and lets it expire, so that the head has a tombstone
+// for it.
+func expireKey(t *testing.T, s *Store, c *testClock, key byte) {
 	t.Helper()
 	wantVerdict(t, claimOne(t, s, entry(key, "first")), port.ClaimGranted)
 	c.advance(2 * sealRetention)
 	wantVerdict(t, claimOne(t, s, entry(key+100, "prunes")), port.ClaimGranted)
 }
 
-func head(t *testing.T, p *fakePlatform) *claim.Shard {
+func readHead(t *testing.T, p *fakePlatform) *claim.Shard {
 	t.Helper()
 	object, err := p.Store.Get(context.Background(), port.ObjectClaims, "shard-0000")
 	if err != nil {
@@ -64,14 +65,14 @@
 
 func wantParts(t *testing.T, p *fakePlatform, want int) {
 	t.Helper()
-	if got := head(t, p).Parts(); len(got) != want {
+	if got := readHead(t, p).Parts(); len(got) != want {
 		t.Fatalf("parts %+v, want %d", got, want)
 	}
 }
 
-// nthWrite answers a keeper's n-th write from now on, counted from one, with a
-// fault.
-func nthWrite(keeper, n int, f fault) func(int, bool) fault {
+// faultOnNthWrite injects a fault into a keeper's n-th write from now on,
+// counted from one.
+func faultOnNthWrite(keeper, n int, f fault) func(int, bool) fault {
 	seen := 0
 	return func(k int, write bool) fault {
 		if k != keeper || !write {
@@ -85,35 +86,35 @@
 	}
 }
 
-// A key expires and its tombstone moves to an object of its own. A retry of
-// its caller is refused all the same, here and at a keeper that starts later.
+// Guards against granting an expired key again after its tombstone was moved
+// to a sealed part, by this keeper or one that starts later.
 func TestSealedKeyStaysExpired(t *testing.T) {
 	p, c := newFakePlatform(), newTestClock()
 	s := sealStore(p.client(1), c)
-	bury(t, s, c, 1)
+	expireKey(t, s, c, 1)
 	wantParts(t, p, 0)
 	wantVerdict(t, claimOne(t, s, entry(50, "seals")), port.ClaimGranted)
 	wantParts(t, p, 1)
-	if head(t, p).Tombstones() != 1 {
-		t.Fatal("the tombstone is lost")
+	if readHead(t, p).Tombstones() != 1 {
+		t.Fatal("the shard does not have exactly one tombstone")
 	}
 	wantVerdict(t, claimOne(t, s, entry(1, "again")), port.ClaimExpired)
 	wantVerdict(t, claimOne(t, sealStore(p.client(2), c), entry(1, "again")), port.ClaimExpired)
 }
 
-// The reply to a write is lost while tombstones are moved: to the part or to
-// the head, carried out, never carried out, or carried out later. The expired
-// key stays refused whatever came of it, and the move succeeds in the end.
+// During sealing, the write of the part or of the head fails or its reply is
+// lost, and the write takes effect at once, later or never. In each case the
+// expired key must stay refused, and sealing must succeed in the end.
 func TestLostReplyWhileSealing(t *testing.T) {
-	for _, f := range []fault{faultLoseReply, faultHang, faultLate, faultDown} {
+	for _, f := range []fault{faultLoseReply, faultLoseCall, faultDelayWrite, faultUnavailable} {
 		for write := 1; write <= 2; write++ {
 			p, c := newFakePlatform(), newTestClock()
 			s := sealStore(p.client(1), c)
-			bury(t, s, c, 1)
-			p.script = nthWrite(1, write, f)
+			expireKey(t, s, c, 1)
+			p.faultFor = faultOnNthWrite(1, write, f)
 			wantVerdict(t, claimOne(t, s, entry(50, "seals")), port.ClaimGranted)
 			wantVerdict(t, claimOne(t, s, entry(1, "again")), port.ClaimExpired)
-			p.deliverLate()
+			p.applyDelayed()
 			for key := byte(60); key < 64; key++ {
 				wantVerdict(t, claimOne(t, s, entry(key, "seals")), port.ClaimGranted)
 			}
@@ -124,19 +125,19 @@
 	}
 }
 
-// Two keepers move the same tombstones at once: one is frozen before the write
-// of the part, or between it and the write of the head, and the other does the
-// whole of it meanwhile. One list of parts wins, the part it names is intact,
-// and the expired key is refused by both keepers and a new one.
-func TestTwoKeepersSealAtOnce(t *testing.T) {
+// Two keepers seal the same tombstones: one is frozen before it writes the
+// part, or between its writes of the part and the head, and the other does all
+// of it meanwhile. Only one list of parts must remain, the part that it lists
+// must be intact, and both keepers and a new one must refuse the expired key.
+func TestTwoKeepersSealConcurrently(t *testing.T) {
 	for write := 1; write <= 2; write++ {
 		p, c := newFakePlatform(), newTestClock()
 		a, b := sealStore(p.client(1), c), sealStore(p.client(2), c)
-		bury(t, a, c, 1)
-		p.script = nthWrite(1, write, faultPark)
+		expireKey(t, a, c, 1)
+		p.faultFor = faultOnNthWrite(1, write, faultBlock)
 		frozen := make(chan claim.Result, 1)
 		go func() { frozen <- claimOne(t, a, entry(50, "seals")) }()
-		<-p.parked
+		<-p.blocked
 		for key := byte(60); key < 64; key++ {
 			wantVerdict(t, claimOne(t, b, entry(key, "seals")), port.ClaimGranted)
 		}
@@ -150,19 +151,19 @@
 	}
 }
 
-// A keeper is frozen in the write that grants a key, over a head from before
-// another attempt had it. That attempt ran, expired, and its tombstone was
-// moved to a part meanwhile. The frozen write fails, the part is read, and the
-// key is refused.
-func TestFrozenKeeperWithAnOldHead(t *testing.T) {
+// A keeper with an old head is frozen in the write that grants a key.
+// Meanwhile another attempt is granted the key and expires, and its tombstone
+// is moved to a part. The frozen write must fail, and the key must be refused
+// after the part was read.
+func TestStaleWriteFailsAfterSealing(t *testing.T) {
 	p, c := newFakePlatform(), newTestClock()
 	a, b := sealStore(p.client(1), c), sealStore(p.client(2), c)
 	wantVerdict(t, claimOne(t, a, entry(9, "warm")), port.ClaimGranted)
-	p.script = nthWrite(1, 1, faultPark)
+	p.faultFor = faultOnNthWrite(1, 1, faultBlock)
 	frozen := make(chan claim.Result, 1)
 	go func() { frozen <- claimOne(t, a, entry(1, "second")) }()
-	<-p.parked
-	bury(t, b, c, 1)
+	<-p.blocked
+	expireKey(t, b, c, 1)
 	wantVerdict(t, claimOne(t, b, entry(50, "seals")), port.ClaimGranted)
 	wantParts(t, p, 1)
 	p.release[1] <- struct{}{}
@@ -170,28 +171,28 @@
 }
 
 // A keeper is frozen in the write of a part while its slot is used, freed and
-// used again. The late write must not replace the part that the head names:
-// its keys would be forgotten.
-func TestFrozenSealerDoesNotOverwriteALaterPart(t *testing.T) {
+// used again. The delayed write must not replace the part that the head lists:
+// the tombstones of that part would be lost.
+func TestDelayedPartWriteDoesNotOverwriteNewerPart(t *testing.T) {
 	p, c := newFakePlatform(), newTestClock()
 	a, b := sealStore(p.client(1), c), sealStore(p.client(2), c)
-	bury(t, a, c, 1)
-	p.script = nthWrite(1, 1, faultPark)
+	expireKey(t, a, c, 1)
+	p.faultFor = faultOnNthWrite(1, 1, faultBlock)
 	frozen := make(chan claim.Result, 1)
 	go func() { frozen <- claimOne(t, a, entry(50, "seals")) }()
-	<-p.parked
+	<-p.blocked
 	wantVerdict(t, claimOne(t, b, entry(51, "reads")), port.ClaimGranted)
 	wantVerdict(t, claimOne(t, b, entry(52, "seals")), port.ClaimGranted)
 	wantParts(t, p, 1)
-	first := head(t, p).Parts()[0]
+	first := readHead(t, p).Parts()[0]
 	c.advance(2 * sealTombstones)
-	bury(t, b, c, 2)
+	expireKey(t, b, c, 2)
 	wantVerdict(t, claimOne(t, b, entry(53, "seals")), port.ClaimGranted)
-	reused := slices.ContainsFunc(head(t, p).Parts(), func(part claim.Part) bool {
+	reused := slices.ContainsFunc(readHead(t, p).Parts(), func(part claim.Part) bool {
 		return part.Slot == first.Slot && part.Version != first.Version
 	})
 	if !reused {
-		t.Fatalf("slot %d was not used again: %+v", first.Slot, head(t, p).Parts())
+		t.Fatalf("slot %d was not reused: %+v", first.Slot, readHead(t, p).Parts())
 	}
 	p.release[1] <- struct{}{}
 	wantVerdict(t, <-frozen, port.ClaimGranted)
@@ -200,32 +201,33 @@
 	}
 }
 
-// The writes of sealing count in the pace, or they would come on top of what
-// the platform grants to claims.
-func TestSealingTakesTurns(t *testing.T) {
+// The writes of sealing must count towards the write rate limit. Otherwise
+// they would be added to the rate that the platform allows for claims.
+func TestSealingIsRateLimited(t *testing.T) {
 	p, c := newFakePlatform(), newTestClock()
 	s := sealStore(p.client(1), c)
 	s.opts.WritesPerSecond = 1e-6
-	s.pace = rate.NewLimiter(1e-6, 100)
-	bury(t, s, c, 1)
-	shard := s.opened()[0]
-	eventually.True(t, "the condition", func() bool { return !running(shard) })
-	before := s.pace.Tokens()
+	s.writeLimiter = rate.NewLimiter(1e-6, 100)
+	expireKey(t, s, c, 1)
+	shard := s.openedShards()[0]
+	eventually.True(t, "the end of the running commit", func() bool { return !running(shard) })
+	before := s.writeLimiter.Tokens()
 	shard.seal()
 	wantParts(t, p, 1)
-	if took := before - s.pace.Tokens(); took < 1.9 || took > 2.1 {
-		t.Fatalf("took %f turns", took)
+	if used := before - s.writeLimiter.Tokens(); used < 1.9 || used > 2.1 {
+		t.Fatalf("sealing used %f writes of the rate limit, want 2", used)
 	}
 }
 
-// partReader is a platform whose reads are recorded and may be changed.
-type partReader struct {
+// recordingPlatform records the names of the objects that are read. If change
+// is set, it replaces the results of the reads.
+type recordingPlatform struct {
 	port.Platform
 	names  []string
 	change func(name string, o port.Object, err error) (port.Object, error)
 }
 
-func (r *partReader) Get(ctx context.Context, kind, name string) (port.Object, error) {
+func (r *recordingPlatform) Get(ctx context.Context, kind, name string) (port.Object, error) {
 	r.names = append(r.names, name)
 	o, err := r.Platform.Get(ctx, kind, name)
 	if r.change == nil {
@@ -234,22 +236,22 @@
 	return r.change(name, o, err)
 }
 
-// twoParts leaves keys 1 and 2 in two sealed parts.
-func twoParts(t *testing.T, p *fakePlatform, c *testClock) {
+// sealTwoParts expires keys 1 and 2 and seals their tombstones in two parts.
+func sealTwoParts(t *testing.T, p *fakePlatform, c *testClock) {
 	t.Helper()
 	s := sealStore(p.client(1), c)
-	bury(t, s, c, 1)
-	bury(t, s, c, 2)
+	expireKey(t, s, c, 1)
+	expireKey(t, s, c, 2)
 	wantVerdict(t, claimOne(t, s, entry(50, "seals")), port.ClaimGranted)
 	wantParts(t, p, 2)
 }
 
-// A keeper that has just started is asked for keys it has never seen. It reads
-// the head and every part before it grants the first one.
-func TestColdKeeperReadsAllParts(t *testing.T) {
+// A keeper that has just started has no keys in memory. It must read the head
+// and every part before it grants its first key.
+func TestNewKeeperReadsAllPartsBeforeGranting(t *testing.T) {
 	p, c := newFakePlatform(), newTestClock()
-	twoParts(t, p, c)
-	r := &partReader{Platform: p.client(2)}
+	sealTwoParts(t, p, c)
+	r := &recordingPlatform{Platform: p.client(2)}
 	s := sealStore(r, c)
 	wantVerdict(t, claimOne(t, s, entry(70, "new")), port.ClaimGranted)
 	want := []string{"layout", "shard-0000", "shard-0000-sealed-00", "shard-0000-sealed-01"}
@@ -260,9 +262,10 @@
 	wantVerdict(t, claimOne(t, s, entry(2, "again")), port.ClaimExpired)
 }
 
-// A sealed part can't be read, or is not the one that the head names. The
-// caller hears unavailable, which is not_run; nothing is granted or written,
-// and a platform that is well again makes the shard usable.
+// A sealed part can't be read, or is not the one that the head lists. Claims
+// must be refused as unavailable, which the caller gets as not_run, and
+// nothing may be granted or written. The shard must be usable again once the
+// part can be read.
 func TestUnreadablePartGrantsNothing(t *testing.T) {
 	const part = "shard-0000-sealed-01"
 	cases := []struct {
@@ -283,9 +286,9 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			p, c := newFakePlatform(), newTestClock()
-			twoParts(t, p, c)
+			sealTwoParts(t, p, c)
 			before := p.Writes()
-			r := &partReader{Platform: p.client(2)}
+			r := &recordingPlatform{Platform: p.client(2)}
 			r.change = func(name string, o port.Object, err error) (port.Object, error) {
 				if name != part || err != nil {
 					return o, err
@@ -301,7 +304,7 @@
 				}
 			}
 			if p.Writes() != before {
-				t.Fatal("something was written")
+				t.Fatal("the keeper wrote to the platform without a readable part")
 			}
 			r.change = nil
 			wantVerdict(t, claimOne(t, s, entry(2, "again")), port.ClaimExpired)
--- a/internal/claimstore/shard.go
+++ b/internal/claimstore/shard.go
@@ -13,68 +13,69 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// maxTries bounds how often one group is written again after another keeper
-// won the shard, or after a lost reply.
+// maxTries bounds how often the commit of one group is tried. It is tried
+// again after a conflict with another keeper, after a lost reply, and if
+// nothing changed in a cached shard.
 const maxTries = 5
 
 var errEncode = merry.Sentinel("claims: the shard can't be encoded")
 
-// maxQueueTime bounds how long a group waits for its turn to write.
+// maxQueueTime bounds how long a group waits for the write rate limit.
 const maxQueueTime = time.Second
 
-// shard commits the operations on one platform object, one group at a time.
+// shard commits operations to one platform object, one group at a time.
 type shard struct {
 	store  *Store
 	name   string
 	limits *claim.Limits
 
-	mu      sync.Mutex
-	waiting []*operation
-	running bool
-	timed   bool
+	mu             sync.Mutex
+	queue          []*operation
+	running        bool
+	startScheduled bool
 
-	// bytes is the size of the shard when it was last written.
+	// bytes is the size of the shard at its last write.
 	bytes atomic.Int64
 
-	// What follows belongs to the one running commit.
+	// The fields below are used only by the commit that is running.
 
-	// stored is the shard at version, as far as this keeper knows; nil
-	// before it was read.
+	// stored is the last known content of the shard, at version; nil if it has
+	// to be read.
 	stored  *claim.Shard
 	version uint64
-	// sealed holds the contents of the parts that were read or written, by
-	// slot.
-	sealed map[int]sealedPart
+	// partCache holds the parts that were read or written, by slot.
+	partCache map[int]sealedPart
 }
 
 func (s *shard) enqueue(op *operation) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.waiting) >= s.store.opts.QueueLimit {
+	if len(s.queue) >= s.store.opts.QueueLimit {
 		op.refuse(claim.ReasonBusy)
 		return
 	}
-	s.waiting = append(s.waiting, op)
+	s.queue = append(s.queue, op)
 	if op.urgent() {
 		s.start()
 		return
 	}
-	if !s.timed {
-		s.timed = true
-		time.AfterFunc(s.store.opts.SettleDelay, s.startLate)
+	if !s.startScheduled {
+		s.startScheduled = true
+		time.AfterFunc(s.store.opts.SettleDelay, s.startScheduledRun)
 	}
 }
 
-func (s *shard) startLate() {
+func (s *shard) startScheduledRun() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.timed = false
+	s.startScheduled = false
 	s.start()
 }
 
-// start is called with the lock held.
+// start starts a run unless one is running or the queue is empty. The caller
+// holds mu.
 func (s *shard) start() {
-	if s.running || len(s.waiting) == 0 {
+	if s.running || len(s.queue) == 0 {
 		return
 	}
 	s.running = true
@@ -84,13 +85,13 @@
 func (s *shard) run() {
 	for {
 		ctx, cancel := context.WithTimeout(context.Background(), maxQueueTime)
-		paced := s.store.turn(ctx)
+		waitErr := s.store.waitForWrite(ctx)
 		cancel()
-		group := s.take()
+		group := s.takeQueue()
 		if len(group) == 0 {
 			return
 		}
-		if paced != nil {
+		if waitErr != nil {
 			refuseAll(group, claim.ReasonBusy)
 			continue
 		}
@@ -99,38 +100,41 @@
 	}
 }
 
-// take returns what waits, or ends the run.
-func (s *shard) take() []*operation {
+// takeQueue empties the queue and returns its operations. If there are none,
+// it ends the run.
+func (s *shard) takeQueue() []*operation {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	group := s.waiting
-	s.waiting = nil
+	group := s.queue
+	s.queue = nil
 	if len(group) == 0 {
 		s.running = false
 	}
 	return group
 }
 
-// commit writes one group with a single compare-and-set and answers it.
+// commit writes one group with a single compare-and-set and responds to its
+// operations.
 func (s *shard) commit(group []*operation) {
-	// fresh: stored was read after the group was taken. unsettled: a write
-	// of this group may have taken effect unseen.
+	// fresh: stored was read after the group was taken from the queue.
+	// unsettled: a write of this group may have taken effect although its
+	// reply was lost.
 	fresh, unsettled := false, false
 	for range maxTries {
 		if s.stored == nil {
 			if err := s.load(); err != nil {
-				s.giveUp(group, unsettled, err)
+				s.failGroup(group, unsettled, err)
 				return
 			}
 			fresh = true
 		}
 		next := s.stored.Clone()
-		answers := s.apply(next, group)
+		responses := s.apply(next, group)
 		if !next.Changed() {
-			// A refusal never rests on a copy that may be old: a key that
-			// was freed meanwhile would be refused without need.
+			// Don't refuse claims based on a cached shard: another keeper may
+			// have freed the key since. Read the shard again.
 			if fresh {
-				answerAll(group, answers)
+				respondAll(group, responses)
 				return
 			}
 			s.stored = nil
@@ -139,47 +143,49 @@
 		err := s.write(next)
 		switch {
 		case err == nil:
-			answerAll(group, answers)
+			respondAll(group, responses)
 			return
 		case errors.Is(err, port.ErrConflict):
 			fresh = s.stored != nil
 			s.store.metrics.conflicts.Inc(1)
 		case nothingWritten(err):
-			s.giveUp(group, unsettled, err)
+			s.failGroup(group, unsettled, err)
 			return
 		default:
-			// The reply was lost: read again and look for our own attempts.
+			// The reply was lost: read the shard again and check whether it
+			// has the attempts of this group.
 			s.stored = nil
 			unsettled = true
 		}
 	}
-	s.giveUp(group, unsettled, port.ErrConflict)
+	s.failGroup(group, unsettled, port.ErrConflict)
 }
 
-func (s *shard) apply(next *claim.Shard, group []*operation) []answer {
+func (s *shard) apply(next *claim.Shard, group []*operation) []response {
 	now := s.store.opts.Now()
 	next.Prune(now, s.limits)
-	answers := make([]answer, len(group))
-	// Outcomes go first, as a not_run frees a key for a claim of this group.
+	responses := make([]response, len(group))
+	// Record outcomes first: a not_run frees its key for a claim of the same
+	// group.
 	for i, op := range group {
 		if op.state != nil {
-			answers[i].settled = next.Settle(now, *op.state, s.limits)
+			responses[i].settled = next.Settle(now, *op.state, s.limits)
 		}
 	}
 	for i, op := range group {
 		switch {
 		case op.entry == nil:
 		case op.ctx.Err() != nil:
-			answers[i].result = overdue
+			responses[i].result = overdue
 		default:
-			answers[i].result = next.Claim(now, *op.entry, s.limits)
+			responses[i].result = next.Claim(now, *op.entry, s.limits)
 		}
 	}
-	return answers
+	return responses
 }
 
 func (s *shard) load() error {
-	stored, version, err := s.store.read(s.name)
+	stored, version, err := s.store.readShard(s.name)
 	if err != nil {
 		return err
 	}
@@ -190,14 +196,14 @@
 	return nil
 }
 
-// write puts next in place of the stored shard. On a conflict the shard is
-// the winner's, or nil where it has to be read.
+// write replaces the stored shard with next. After a conflict, s.stored is the
+// shard that the platform returned, or nil if it has to be read.
 func (s *shard) write(next *claim.Shard) error {
 	value, err := next.EncodeValue()
 	if err != nil {
 		return merry.Wrap(errEncode, merry.WithCause(err))
 	}
-	object, err := s.store.put(s.name, s.version, value)
+	object, err := s.store.putObject(s.name, s.version, value)
 	if errors.Is(err, port.ErrConflict) {
 		s.adopt(&object)
 		return err
@@ -210,20 +216,20 @@
 	return nil
 }
 
-func (s *shard) adopt(winner *port.Object) {
+func (s *shard) adopt(current *port.Object) {
 	s.stored = nil
-	if winner.Version == 0 {
+	if current.Version == 0 {
 		return
 	}
-	stored, err := claim.DecodeValue(winner.Value)
-	if err != nil || !s.attachKnown(stored) {
+	stored, err := claim.DecodeValue(current.Value)
+	if err != nil || !s.attachCached(stored) {
 		return
 	}
-	s.stored, s.version = stored, winner.Version
+	s.stored, s.version = stored, current.Version
 }
 
-func (s *shard) giveUp(group []*operation, unsettled bool, err error) {
-	s.store.failed(s.name, err)
+func (s *shard) failGroup(group []*operation, unsettled bool, err error) {
+	s.store.recordFailure(s.name, err)
 	reason := reasonOf(err)
 	if unsettled {
 		reason = claim.ReasonUnsettled
@@ -251,13 +257,13 @@
 	}
 }
 
-// overdue refuses a claim whose asker has gone, so that a keeper that was
-// frozen does not take keys for attempts that are given up.
+// overdue is the result of a claim whose context has ended. It prevents a
+// keeper that was frozen from claiming keys for attempts that were abandoned.
 var overdue = claim.Result{Verdict: port.ClaimUnavailable, Reason: claim.ReasonOverdue}
 
-func answerAll(group []*operation, answers []answer) {
+func respondAll(group []*operation, responses []response) {
 	for i, op := range group {
-		op.finish(answers[i])
+		op.finish(responses[i])
 	}
 }
 
--- a/internal/claimstore/stateful_seal_test.go
+++ b/internal/claimstore/stateful_seal_test.go
@@ -14,31 +14,32 @@
 
 const sealingSteps = 300
 
-// sealingRuns let keys expire within a few steps and move each tombstone to a
-// sealed part, so that slots are filled, freed and used again under faults.
-var sealingRuns = setup{
-	keys: 10, actions: sealingActions, timeStep: 2 * time.Minute, expires: true,
+// expirySetup lets keys expire within a few steps and moves each tombstone to
+// a sealed part, so that slots are filled, freed and reused under faults.
+var expirySetup = setup{
+	keys: 10, actions: sealingActions, timeStep: 2 * time.Minute, keysExpire: true,
 	limits: claim.Limits{
 		Retention: 4 * time.Minute, TombstoneRetention: 8 * time.Minute, NotRunMemory: 24 * time.Hour, SealBytes: 1,
 	},
 }
 
-// sealingActions have more claims and time than the other runs, so that keys
+// sealingActions has more claims and time steps than actions, so that keys
 // expire often.
 var sealingActions = slices.Concat(actions, actions, []string{
 	"submit", "submit", "submit", "submit", "submit", "submit", "submit", "submit", "dispatch", "dispatch", "dispatch",
 	"wake", "wake", "time", "time", "time", "time", "time", "time",
 })
 
-// The same callers, routers and keepers, while keys expire and their
-// tombstones move between the head and sealed parts. Whatever the order, a
-// second attempt gets a key only if the first gave it back, or was dated
-// longer ago than retention and tombstones together. Nothing that was told
-// not_run runs, and when all is well again new keys are granted.
+// Checks sealing against an oracle: keys expire and their tombstones move from
+// the head to sealed parts, under the faults of TestClaimsAgainstOracle. In
+// any order of events, a second attempt may get a key only if the first was
+// settled as not_run, or was dated longer ago than the retentions of claims
+// and tombstones together. An attempt that was reported as not_run must not
+// run, and new keys must be granted once all faults have ended.
 func TestSealedClaimsAgainstOracle(t *testing.T) {
 	total := &sealTotals{}
 	rapid.Check(t, func(rt *rapid.T) {
-		m := newMachine(rt, &sealingRuns)
+		m := newMachine(rt, &expirySetup)
 		for range sealingSteps {
 			m.step()
 			total.count(m)
@@ -49,22 +50,23 @@
 	})
 	t.Logf("%d steps, %d parts sealed, %d of them in a slot used before", total.steps, total.sealed, total.reused)
 	if total.steps < 10_000 || total.sealed < 500 || total.reused < 100 {
-		t.Fatal("too little of it")
+		t.Fatal("fewer than 10000 steps, 500 sealed parts or 100 reused slots")
 	}
 }
 
-// sealTotals say how much sealing the runs saw.
+// sealTotals counts the sealed parts of all runs.
 type sealTotals struct {
 	steps, sealed, reused int
-	// seen holds the parts of the machine that runs.
-	of   *machine
-	seen map[claim.Part]bool
-	used map[int]bool
+	// machine is the one that is running; seen and used hold its parts and
+	// slots.
+	machine *machine
+	seen    map[claim.Part]bool
+	used    map[int]bool
 }
 
 func (n *sealTotals) count(m *machine) {
-	if n.of != m {
-		n.of, n.seen, n.used = m, map[claim.Part]bool{}, map[int]bool{}
+	if n.machine != m {
+		n.machine, n.seen, n.used = m, map[claim.Part]bool{}, map[int]bool{}
 	}
 	object, err := m.platform.Store.Get(context.Background(), port.ObjectClaims, "shard-0000")
 	if err != nil {
@@ -88,7 +90,8 @@
 	}
 }
 
-// checkPart: a part that the head names is the one in its slot.
+// checkPart checks that the object of a slot has the version that the head
+// lists.
 func (m *machine) checkPart(p claim.Part) {
 	name := (&shard{name: "shard-0000"}).partName(p.Slot)
 	object, err := m.platform.Store.Get(context.Background(), port.ObjectClaims, name)
@@ -97,27 +100,28 @@
 	}
 }
 
-// checkGrants: of two attempts that got the same key, neither of which gave it
-// back, the later was asked for after the earlier was forgotten. A claim is
-// dated between asking and answer, so that a pair this close breaks the rule
-// whichever came first.
+// checkGrants fails if two attempts that may both have run were granted the
+// same key before the earlier claim and its tombstone expired. The store dates
+// a claim between its request and its response, so the check takes the longest
+// time that can lie between the two claims: if that is too short, they break
+// the rule whichever came first.
 func (m *machine) checkGrants() {
-	kept := map[byte][]*attempt{}
-	for _, b := range m.all {
-		if !b.keeps() {
+	earlierByKey := map[byte][]*attempt{}
+	for _, b := range m.attempts {
+		if !b.mayHaveRun() {
 			continue
 		}
-		for _, a := range kept[b.key] {
-			if latest(a.taken, b.taken).Sub(earliest(a.asked, b.asked)) <= m.limits.Retention+m.limits.TombstoneRetention {
+		for _, a := range earlierByKey[b.key] {
+			if latest(a.answeredAt, b.answeredAt).Sub(earliest(a.requestedAt, b.requestedAt)) <= m.limits.Retention+m.limits.TombstoneRetention {
 				m.t.Fatalf("key %d was granted to %s and %s:\n%s", a.key, a.id, b.id, m.history(a.key))
 			}
 		}
-		kept[b.key] = append(kept[b.key], b)
+		earlierByKey[b.key] = append(earlierByKey[b.key], b)
 	}
 }
 
-// keeps reports whether the attempt was granted its key and may have run.
-func (a *attempt) keeps() bool { return a.granted && !a.toldNotRun }
+// mayHaveRun reports whether the attempt was granted its key and may have run.
+func (a *attempt) mayHaveRun() bool { return a.granted && !a.reportedNotRun }
 
 func latest(a, b time.Time) time.Time {
 	if a.After(b) {
@@ -133,7 +137,8 @@
 	return b
 }
 
-// checkUsable: once everything is forgotten, every key can be had again.
+// checkUsable checks that every key is granted again after all claims and
+// tombstones have expired.
 func (m *machine) checkUsable() {
 	m.now = m.now.Add(2 * (m.limits.Retention + m.limits.TombstoneRetention))
 	for _, key := range []byte{200, 201, 0, 1, 2, 3, 4, 5, 6, 7, 8, 9} {
--- a/internal/claimstore/stateful_test.go
+++ b/internal/claimstore/stateful_test.go
@@ -21,74 +21,79 @@
 	machineSteps   = 120
 )
 
-// setup is what a run of the machine varies.
+// setup holds the parameters of a run of the machine.
 type setup struct {
 	keys     int
 	actions  []string
 	timeStep time.Duration
 	limits   claim.Limits
-	// expires: keys are forgotten within a run, and may then run again.
-	expires bool
+	// keysExpire: claims and tombstones expire within a run, and their keys
+	// may then run again.
+	keysExpire bool
 }
 
-// settledRuns keep every claim: no key expires.
-var settledRuns = setup{
+// noExpirySetup keeps every claim: no key expires.
+var noExpirySetup = setup{
 	keys: machineKeys, actions: actions, timeStep: time.Minute,
-	// Longer than any freeze here: past it, a frozen keeper that never
-	// heard of the asker's deadline can leave a key claimed for good.
+	// Longer than any freeze in a run: after this time, a frozen keeper that
+	// doesn't know that the claim's context has ended can leave its key
+	// claimed forever.
 	limits: claim.Limits{NotRunMemory: time.Hour},
 }
 
-// attempt is one try of a caller's call at one router.
+// attempt is one try of a call at one router.
 type attempt struct {
 	id     string
 	key    byte
 	keeper int
-	// result arrives once the keeper has answered.
+	// result receives the keeper's result.
 	result chan claim.Result
 	cancel context.CancelFunc
-	// granted, dispatched and notRun are what the router has done.
-	granted    bool
-	dispatched bool
-	toldNotRun bool
-	// asked and taken are when the claim was asked for and answered.
-	asked, taken time.Time
-	// lost: the router died; nobody settles this attempt any more.
-	lost bool
-	last claim.Result
+	// granted, dispatched and reportedNotRun are what the router has done.
+	granted        bool
+	dispatched     bool
+	reportedNotRun bool
+	// requestedAt and answeredAt are the times of the claim's request and
+	// response.
+	requestedAt, answeredAt time.Time
+	// routerDied: the router died, so the attempt will not be settled.
+	routerDied bool
+	lastResult claim.Result
 }
 
 // machine drives several keepers and routers over one platform. The oracle is
-// the two maps: runs counts dispatches per key, and each attempt knows whether
-// its caller was told that it did not run.
+// dispatches, which counts the dispatches per key, and reportedNotRun of each
+// attempt, which holds whether the caller was told that it did not run.
 type machine struct {
 	setup
-	t        *rapid.T
-	platform *fakePlatform
-	now      time.Time
-	stores   []*Store
-	frozen   []bool
-	faults   [][]fault
-	waiting  []*attempt
-	held     []*attempt
-	unsent   []port.ClaimState
-	all      []*attempt
-	runs     map[byte]int
-	steps    int
-}
-
-// Callers retry at other routers, keepers freeze and wake up, replies are
-// lost, writes come in late, the platform goes down, routers die between grant
-// and dispatch. Whatever the order: no key runs twice, nothing that was told
-// not_run runs, and a key that nobody ran and nobody holds can be used.
+	t          *rapid.T
+	platform   *fakePlatform
+	now        time.Time
+	stores     []*Store
+	frozen     []bool
+	faults     [][]fault
+	pending    []*attempt
+	grants     []*attempt
+	unsettled  []port.ClaimState
+	attempts   []*attempt
+	dispatches map[byte]int
+	steps      int
+}
+
+// Checks claims against an oracle: callers retry at other routers, keepers
+// freeze and resume, replies are lost, writes are delayed, the platform is
+// unavailable, and routers die between grant and dispatch. In any order of
+// events, no key may run twice, an attempt that was reported as not_run must
+// not run, and a key that neither ran nor is held must be granted.
 //
-// Seed 8 found that giving up an attempt left the shard unchanged while
-// another not_run stood under the key, so a parked write still took it; it is
-// run by TestGivingUpAttemptParkedInAWrite.
+// TestBarringAttemptFailsItsPendingWrite covers one such order: an attempt is
+// settled as not_run while its key has the not_run of another attempt. If that
+// left the shard unchanged, a blocked write could still claim the key for the
+// settled attempt.
 func TestClaimsAgainstOracle(t *testing.T) {
 	total := 0
 	rapid.Check(t, func(rt *rapid.T) {
-		m := newMachine(rt, &settledRuns)
+		m := newMachine(rt, &noExpirySetup)
 		for range machineSteps {
 			m.step()
 		}
@@ -102,13 +107,13 @@
 	}
 }
 
-func newMachine(t *rapid.T, with *setup) *machine {
+func newMachine(t *rapid.T, options *setup) *machine {
 	m := &machine{
-		setup: *with, t: t, platform: newFakePlatform(), now: time.UnixMilli(1_800_000_000_000),
+		setup: *options, t: t, platform: newFakePlatform(), now: time.UnixMilli(1_800_000_000_000),
 		frozen: make([]bool, machineKeepers), faults: make([][]fault, machineKeepers),
-		runs: map[byte]int{},
+		dispatches: map[byte]int{},
 	}
-	m.platform.script = m.nextFault
+	m.platform.faultFor = m.nextFault
 	for i := range machineKeepers {
 		m.stores = append(m.stores, nil)
 		m.restartKeeper(i)
@@ -153,7 +158,7 @@
 	case "settle":
 		m.settle()
 	case "late":
-		m.platform.deliverLate()
+		m.platform.applyDelayed()
 	case "restart":
 		if i := m.drawKeeper(); !m.frozen[i] {
 			m.restartKeeper(i)
@@ -175,26 +180,26 @@
 
 func (m *machine) drawFaults(keeper int) {
 	m.faults[keeper] = rapid.SliceOfN(rapid.SampledFrom([]fault{
-		faultNone, faultNone, faultDown, faultLoseReply, faultHang, faultLate,
+		faultNone, faultNone, faultUnavailable, faultLoseReply, faultLoseCall, faultDelayWrite,
 	}), 0, 4).Draw(m.t, "faults")
 }
 
 func (m *machine) newAttempt() *attempt {
 	a := &attempt{
-		id:     fmt.Sprint("a", len(m.all)),
+		id:     fmt.Sprint("a", len(m.attempts)),
 		key:    byte(rapid.IntRange(0, m.keys-1).Draw(m.t, "key")),
 		result: make(chan claim.Result, 1),
 	}
-	m.all = append(m.all, a)
+	m.attempts = append(m.attempts, a)
 	return a
 }
 
-// ask starts a claim; its result arrives on the attempt.
-func (m *machine) ask(a *attempt, keeper int) {
+// startClaim sends a claim to a keeper; a.result receives the result.
+func (m *machine) startClaim(a *attempt, keeper int) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	a.cancel = cancel
 	a.keeper = keeper
-	a.asked = m.now
+	a.requestedAt = m.now
 	store := m.stores[keeper]
 	go func() { a.result <- store.Claim(ctx, []port.ClaimEntry{entry(a.key, a.id)})[0] }()
 }
@@ -203,52 +208,54 @@
 	keeper := m.drawKeeper()
 	a := m.newAttempt()
 	if m.frozen[keeper] {
-		m.askFrozen(a, keeper)
+		m.queueClaim(a, keeper)
 		return
 	}
 	m.drawFaults(keeper)
-	m.ask(a, keeper)
-	m.take(a, <-a.result)
+	m.startClaim(a, keeper)
+	m.handleResult(a, <-a.result)
 	m.faults[keeper] = nil
 }
 
-// askFrozen queues a claim behind the call that a frozen keeper hangs in.
-func (m *machine) askFrozen(a *attempt, keeper int) {
-	shards := m.stores[keeper].opened()
+// queueClaim queues a claim at a frozen keeper, behind the call that is
+// blocked.
+func (m *machine) queueClaim(a *attempt, keeper int) {
+	shards := m.stores[keeper].openedShards()
 	if shards == nil {
 		return
 	}
-	before := queued(shards[0])
-	m.ask(a, keeper)
-	eventually.True(m.t, "the claim in the queue", func() bool { return queued(shards[0]) != before })
-	m.waiting = append(m.waiting, a)
+	before := queueLength(shards[0])
+	m.startClaim(a, keeper)
+	eventually.True(m.t, "the claim in the queue", func() bool { return queueLength(shards[0]) != before })
+	m.pending = append(m.pending, a)
 }
 
-func queued(s *shard) int {
+func queueLength(s *shard) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.waiting)
+	return len(s.queue)
 }
 
-// freeze stops a keeper in its first call to the platform for a claim.
+// freeze blocks a keeper in its first or second call to the platform for a
+// claim.
 func (m *machine) freeze() {
 	keeper := m.drawKeeper()
-	if m.frozen[keeper] || m.stores[keeper].opened() == nil {
+	if m.frozen[keeper] || m.stores[keeper].openedShards() == nil {
 		return
 	}
-	m.faults[keeper] = []fault{faultPark}
+	m.faults[keeper] = []fault{faultBlock}
 	if rapid.Bool().Draw(m.t, "after a read") {
-		m.faults[keeper] = []fault{faultNone, faultPark}
+		m.faults[keeper] = []fault{faultNone, faultBlock}
 	}
 	a := m.newAttempt()
-	m.ask(a, keeper)
+	m.startClaim(a, keeper)
 	select {
-	case <-m.platform.parked:
+	case <-m.platform.blocked:
 		m.frozen[keeper] = true
-		m.waiting = append(m.waiting, a)
+		m.pending = append(m.pending, a)
 	case r := <-a.result:
 		m.faults[keeper] = nil
-		m.take(a, r)
+		m.handleResult(a, r)
 	}
 }
 
@@ -258,17 +265,17 @@
 	}
 	m.frozen[keeper] = false
 	m.platform.release[keeper] <- struct{}{}
-	shard := m.stores[keeper].opened()[0]
+	shard := m.stores[keeper].openedShards()[0]
 	eventually.True(m.t, "the end of the woken keeper's run", func() bool { return !running(shard) })
-	var left []*attempt
-	for _, a := range m.waiting {
+	var remaining []*attempt
+	for _, a := range m.pending {
 		if a.keeper == keeper {
-			m.take(a, <-a.result)
+			m.handleResult(a, <-a.result)
 			continue
 		}
-		left = append(left, a)
+		remaining = append(remaining, a)
 	}
-	m.waiting = left
+	m.pending = remaining
 }
 
 func running(s *shard) bool {
@@ -277,158 +284,163 @@
 	return s.running
 }
 
-// take is what a router does with a verdict, as grpcclaim.Client does.
-func (m *machine) take(a *attempt, r claim.Result) {
+// handleResult does what a router's grpcclaim.Client does with the result of a
+// claim.
+func (m *machine) handleResult(a *attempt, r claim.Result) {
 	a.cancel()
-	a.last = r
-	a.taken = m.now
+	a.lastResult = r
+	a.answeredAt = m.now
 	switch {
-	case r.Verdict == port.ClaimGranted && a.toldNotRun:
-		m.unsent = append(m.unsent, notRun(a.key, a.id))
-	case r.Verdict == port.ClaimGranted && !a.lost:
+	case r.Verdict == port.ClaimGranted && a.reportedNotRun:
+		m.unsettled = append(m.unsettled, notRun(a.key, a.id))
+	case r.Verdict == port.ClaimGranted && !a.routerDied:
 		a.granted = true
-		m.held = append(m.held, a)
+		m.grants = append(m.grants, a)
 	case r.Verdict == port.ClaimUnavailable:
-		a.toldNotRun = true
+		a.reportedNotRun = true
 		if r.Reason == claim.ReasonUnsettled {
-			m.unsent = append(m.unsent, notRun(a.key, a.id))
+			m.unsettled = append(m.unsettled, notRun(a.key, a.id))
 		}
 	case r.Verdict == port.ClaimHeld:
-		if r.Holder.Outcome == port.ClaimDone && m.runs[a.key] == 0 {
-			m.t.Fatalf("key %d is said to have run, and did not", a.key)
+		if r.Holder.Outcome == port.ClaimDone && m.dispatches[a.key] == 0 {
+			m.t.Fatalf("key %d is reported as done but did not run", a.key)
 		}
 	}
 }
 
-// giveUp: the caller's deadline passes while the keeper is silent.
+// giveUp abandons an attempt: the caller's deadline passes before the keeper
+// has responded.
 func (m *machine) giveUp() {
-	if len(m.waiting) == 0 {
+	if len(m.pending) == 0 {
 		return
 	}
-	a := rapid.SampledFrom(m.waiting).Draw(m.t, "attempt")
-	if a.toldNotRun {
+	a := rapid.SampledFrom(m.pending).Draw(m.t, "attempt")
+	if a.reportedNotRun {
 		return
 	}
-	a.toldNotRun = true
-	m.unsent = append(m.unsent, notRun(a.key, a.id))
-	if rapid.Bool().Draw(m.t, "keeper hears") {
+	a.reportedNotRun = true
+	m.unsettled = append(m.unsettled, notRun(a.key, a.id))
+	if rapid.Bool().Draw(m.t, "keeper gets the cancellation") {
 		a.cancel()
 		a.result <- <-a.result
 	}
 }
 
-func (m *machine) takeHeld() *attempt {
-	if len(m.held) == 0 {
+func (m *machine) drawGrant() *attempt {
+	if len(m.grants) == 0 {
 		return nil
 	}
-	i := rapid.IntRange(0, len(m.held)-1).Draw(m.t, "grant")
-	a := m.held[i]
-	m.held = append(m.held[:i:i], m.held[i+1:]...)
+	i := rapid.IntRange(0, len(m.grants)-1).Draw(m.t, "grant")
+	a := m.grants[i]
+	m.grants = append(m.grants[:i:i], m.grants[i+1:]...)
 	return a
 }
 
-// dispatch may come long after the grant: the router was frozen.
+// dispatch dispatches a granted call. This may come long after the grant if
+// the router was frozen.
 func (m *machine) dispatch() {
-	a := m.takeHeld()
+	a := m.drawGrant()
 	if a == nil {
 		return
 	}
 	a.dispatched = true
-	m.runs[a.key]++
+	m.dispatches[a.key]++
 	done := notRun(a.key, a.id)
 	done.Outcome = port.ClaimDone
 	if rapid.Bool().Draw(m.t, "settled") {
-		m.unsent = append(m.unsent, done)
+		m.unsettled = append(m.unsettled, done)
 	}
 }
 
-// handBack: the endpoint refused the call, so it did not run.
+// handBack reports a granted call as not_run: the endpoint refused it.
 func (m *machine) handBack() {
-	if a := m.takeHeld(); a != nil {
-		a.toldNotRun = true
-		m.unsent = append(m.unsent, notRun(a.key, a.id))
+	if a := m.drawGrant(); a != nil {
+		a.reportedNotRun = true
+		m.unsettled = append(m.unsettled, notRun(a.key, a.id))
 	}
 }
 
 func (m *machine) routerDies() {
-	if a := m.takeHeld(); a != nil {
-		a.lost = true
+	if a := m.drawGrant(); a != nil {
+		a.routerDied = true
 	}
 }
 
 func (m *machine) settle() {
 	keeper := m.drawKeeper()
-	if len(m.unsent) == 0 || m.frozen[keeper] {
+	if len(m.unsettled) == 0 || m.frozen[keeper] {
 		return
 	}
 	m.drawFaults(keeper)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	st := m.unsent[0]
+	st := m.unsettled[0]
 	if m.stores[keeper].Settle(ctx, []port.ClaimState{st}) == 1 || st.Outcome != port.ClaimNotRun {
-		m.unsent = m.unsent[1:]
+		m.unsettled = m.unsettled[1:]
 	}
 	m.faults[keeper] = nil
 }
 
 func (m *machine) check() {
-	if m.expires {
+	if m.keysExpire {
 		m.checkGrants()
 	} else {
 		m.checkRuns()
 	}
-	for _, a := range m.all {
-		if a.toldNotRun && a.dispatched {
-			m.t.Fatalf("attempt %s of key %d was told not_run and ran", a.id, a.key)
+	for _, a := range m.attempts {
+		if a.reportedNotRun && a.dispatched {
+			m.t.Fatalf("attempt %s of key %d was reported as not_run but ran", a.id, a.key)
 		}
 	}
 }
 
 func (m *machine) checkRuns() {
-	for key, n := range m.runs {
+	for key, n := range m.dispatches {
 		if n > 1 {
 			m.t.Fatalf("key %d ran %d times", key, n)
 		}
 	}
 }
 
-// heal ends every fault and lets the routers settle what they hold.
+// heal ends all faults and records the outcomes that the routers have not
+// settled yet.
 func (m *machine) heal() {
 	for i := range machineKeepers {
 		m.faults[i] = nil
 		m.wake(i)
 	}
-	m.platform.deliverLate()
-	for _, st := range m.unsent {
+	m.platform.applyDelayed()
+	for _, st := range m.unsettled {
 		m.stores[0].Settle(context.Background(), []port.ClaimState{st})
 	}
-	m.unsent = nil
+	m.unsettled = nil
 	m.check()
 }
 
-// checkKeysAreFree: a key that did not run, with no grant out, is granted.
+// checkKeysAreFree checks that a key that did not run and that no attempt
+// holds is granted, and that a key that ran is not.
 func (m *machine) checkKeysAreFree() {
 	for key := range byte(m.keys) {
-		out := m.runs[key] > 0
-		for _, a := range m.all {
-			out = out || (a.key == key && (a.lost || (a.granted && !a.toldNotRun)))
+		inUse := m.dispatches[key] > 0
+		for _, a := range m.attempts {
+			inUse = inUse || (a.key == key && (a.routerDied || (a.granted && !a.reportedNotRun)))
 		}
 		r := m.stores[0].Claim(context.Background(), []port.ClaimEntry{entry(key, "last")})[0]
-		if m.runs[key] > 0 && r.Verdict == port.ClaimGranted {
+		if m.dispatches[key] > 0 && r.Verdict == port.ClaimGranted {
 			m.t.Fatalf("key %d ran and was granted again", key)
 		}
-		if !out && r.Verdict != port.ClaimGranted {
-			m.t.Fatalf("key %d never ran and nobody holds it, but: %+v\n%s", key, r, m.history(key))
+		if !inUse && r.Verdict != port.ClaimGranted {
+			m.t.Fatalf("key %d never ran and no attempt holds it, but its claim got %+v\n%s", key, r, m.history(key))
 		}
 	}
 }
 
 func (m *machine) history(key byte) string {
 	var b strings.Builder
-	for _, a := range m.all {
+	for _, a := range m.attempts {
 		if a.key == key {
-			fmt.Fprintf(&b, "%s at keeper %d: granted %v, dispatched %v, told not_run %v, lost %v, %+v\n",
-				a.id, a.keeper, a.granted, a.dispatched, a.toldNotRun, a.lost, a.last)
+			fmt.Fprintf(&b, "%s at keeper %d: granted %v, dispatched %v, reported not_run %v, router died %v, last result %+v\n",
+				a.id, a.keeper, a.granted, a.dispatched, a.reportedNotRun, a.routerDied, a.lastResult)
 		}
 	}
 	return b.String()
--- a/internal/claimstore/store.go
+++ b/internal/claimstore/store.go
@@ -1,8 +1,8 @@
-// Package claimstore keeps at-most-once claims in the platform's objects for
-// a keeper. Claims of one shard are committed in groups: while one write is
-// under way, the next group gathers. Any keeper may serve any shard at any
-// time, as only the platform's compare-and-set decides; a preferred keeper
-// per shard merely makes the groups larger.
+// Package claimstore stores at-most-once claims in objects of the platform for
+// a keeper. It commits the claims of a shard in groups: those that arrive
+// during one write are committed together by the next. Any keeper may serve
+// any shard at any time, as only the platform's compare-and-set decides which
+// write succeeds; a preferred keeper per shard merely makes the groups larger.
 package claimstore
 
 import (
@@ -34,31 +34,35 @@
 	DefaultSealBytes          = 128 << 10
 )
 
-// Options of a Store. Only Platform is required.
+// Options configures a Store. Only Platform is required.
 type Options struct {
 	Platform port.Platform
-	// Now is the wall clock; claims are dated by it.
+	// Now returns the wall-clock time by which claims are dated.
 	Now func() time.Time
-	// Shards and Limits apply where the platform holds no layout yet; the
-	// stored layout goes first, so that two keepers never map a key apart.
+	// Shards and the retentions in Limits apply if the platform has no layout
+	// yet. A stored layout overrides them, so that all keepers map a key to
+	// the same shard.
 	Shards int
 	Limits claim.Limits
 	// CallTimeout bounds each call to the platform.
 	CallTimeout time.Duration
-	// WritesPerSecond paces the writes of claims of all keepers together;
-	// each takes its part. Claims gather while they wait. WriteBurst is per
-	// keeper.
+	// WritesPerSecond limits the rate of claim writes by all keepers together;
+	// each keeper gets an equal share. Claims that wait for it are written as
+	// one group. WriteBurst applies to each keeper.
 	WritesPerSecond float64
 	WriteBurst      int
-	// Keepers counts the live keepers, this one included; nil counts one.
+	// Keepers returns the number of live keepers, including this one; nil
+	// means one.
 	Keepers func() int
-	// SettleDelay is how long outcomes wait for a claim's write to ride on.
+	// SettleDelay is how long outcomes other than not_run wait to be written
+	// together with a claim.
 	SettleDelay time.Duration
-	// QueueLimit bounds the claims and outcomes that wait at one shard.
+	// QueueLimit bounds the queued claims and outcomes of one shard.
 	QueueLimit int
-	// Logger gets a line for each failed commit; nil logs nothing.
+	// Logger gets a line for each failed commit, seal and opening of the
+	// layout; nil disables logging.
 	Logger *log.Logger
-	// Metrics gets the counters; nil keeps them private.
+	// Metrics is the registry of the counters; with nil they are not exported.
 	Metrics gometrics.Registry
 }
 
@@ -92,12 +96,13 @@
 	}
 }
 
-// Store serves claims over the platform. It is safe for concurrent use.
+// Store decides on claims and stores them on the platform. It is safe for
+// concurrent use.
 type Store struct {
-	opts    Options
-	pace    *rate.Limiter
-	flight  singleflight.Group
-	metrics *counters
+	opts         Options
+	writeLimiter *rate.Limiter
+	flight       singleflight.Group
+	metrics      *counters
 
 	mu     sync.Mutex
 	layout *layout
@@ -108,37 +113,38 @@
 func New(o Options) *Store {
 	o.setDefaults()
 	s := &Store{
-		opts:    o,
-		pace:    rate.NewLimiter(rate.Limit(o.WritesPerSecond), o.WriteBurst),
-		metrics: newCounters(o.Metrics),
+		opts:         o,
+		writeLimiter: rate.NewLimiter(rate.Limit(o.WritesPerSecond), o.WriteBurst),
+		metrics:      newCounters(o.Metrics),
 	}
 	fullest := gometrics.NewFunctionalGauge(s.fullestShard)
 	_ = o.Metrics.Register("claims_fullest_shard_bytes", fullest)
 	return s
 }
 
-// fullestShard is the size of the largest shard that this keeper has written,
-// before base64, against Limits.MaxBytes.
+// fullestShard returns the size of the largest shard that this keeper has
+// written, before base64. Limits.MaxBytes bounds that size.
 func (s *Store) fullestShard() int64 {
 	fullest := int64(0)
-	for _, shard := range s.opened() {
+	for _, shard := range s.openedShards() {
 		fullest = max(fullest, shard.bytes.Load())
 	}
 	return fullest
 }
 
-// turn waits until this keeper may write. With more keepers each gets less, so
-// that the platform's part for claims stays the same.
-func (s *Store) turn(ctx context.Context) error {
-	part := rate.Limit(s.opts.WritesPerSecond / float64(max(s.opts.Keepers(), 1)))
-	if s.pace.Limit() != part {
-		s.pace.SetLimit(part)
+// waitForWrite waits until the rate limit allows a write. The limit is divided
+// by the number of keepers, so that the platform's total rate of claim writes
+// stays the same.
+func (s *Store) waitForWrite(ctx context.Context) error {
+	share := rate.Limit(s.opts.WritesPerSecond / float64(max(s.opts.Keepers(), 1)))
+	if s.writeLimiter.Limit() != share {
+		s.writeLimiter.SetLimit(share)
 	}
-	return s.pace.Wait(ctx)
+	return s.writeLimiter.Wait(ctx)
 }
 
-// Retention is how long a claim's outcome is remembered: the stored layout's
-// once it is known.
+// Retention returns how long a claim's outcome is remembered. The stored
+// layout's value applies once it has been read.
 func (s *Store) Retention() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -148,8 +154,8 @@
 	return s.opts.Limits.Retention
 }
 
-// Claim decides on the entries, in their order. It waits until the platform
-// has answered or the context is done.
+// Claim decides on the entries in order. It waits until the platform has
+// answered or the context is done.
 func (s *Store) Claim(ctx context.Context, entries []port.ClaimEntry) []claim.Result {
 	ops := make([]*operation, len(entries))
 	for i := range entries {
@@ -159,12 +165,13 @@
 	results := make([]claim.Result, len(ops))
 	for i, op := range ops {
 		results[i] = op.wait(ctx).result
-		s.metrics.verdict(results[i])
+		s.metrics.countVerdict(results[i])
 	}
 	return results
 }
 
-// Settle records outcomes and counts those that the platform holds now.
+// Settle records outcomes and returns how many of them the platform has
+// stored.
 func (s *Store) Settle(ctx context.Context, states []port.ClaimState) int {
 	ops := make([]*operation, len(states))
 	for i := range states {
@@ -182,26 +189,26 @@
 
 // Lookup reads a key's state from the platform, never from a cache.
 func (s *Store) Lookup(ctx context.Context, key claim.KeyHash) (port.ClaimState, bool, error) {
-	shards, err := s.open(ctx)
+	shards, err := s.openShards(ctx)
 	if err != nil {
 		return port.ClaimState{}, false, err
 	}
 	name := shards[claim.ShardOf(key, len(shards))].name
-	read, err, _ := s.flight.Do(name, func() (any, error) {
-		stored, _, err := s.read(name)
+	value, err, _ := s.flight.Do(name, func() (any, error) {
+		stored, _, err := s.readShard(name)
 		return stored, err
 	})
 	if err != nil {
 		return port.ClaimState{}, false, err
 	}
-	st, found := read.(*claim.Shard).Lookup(key)
+	st, found := value.(*claim.Shard).Lookup(key)
 	return st, found, nil
 }
 
 func (s *Store) submit(ctx context.Context, ops []*operation) {
-	shards, err := s.open(ctx)
+	shards, err := s.openShards(ctx)
 	if err != nil {
-		s.failed("layout", err)
+		s.recordFailure("layout", err)
 		for _, op := range ops {
 			op.refuse(reasonOf(err))
 		}
@@ -212,9 +219,9 @@
 	}
 }
 
-// failed counts and logs a platform failure. Names of objects go to the log,
-// keys never do.
-func (s *Store) failed(name string, err error) {
+// recordFailure counts and logs a platform failure. The log line has the name
+// of the object, but never a key.
+func (s *Store) recordFailure(name string, err error) {
 	s.metrics.failures.Inc(1)
 	if s.opts.Logger == nil {
 		return
--- a/internal/claimstore/store_test.go
+++ b/internal/claimstore/store_test.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// A caller retries at another router, which asks another keeper. The second
-// keeper has never seen the key: only the platform's copy tells it.
+// A caller retries at another router, which uses another keeper. That keeper
+// has not seen the key and must read from the platform that it is held.
 func TestSecondKeeperRefusesAHeldKey(t *testing.T) {
 	p := newFakePlatform()
 	a, b := testStore(p.client(1)), testStore(p.client(2))
@@ -74,68 +74,69 @@
 	}
 }
 
-// The reply to the write is lost after it took effect. The caller must not
-// hear not_run for a key that stays claimed: the keeper reads again, finds
-// the attempt's own id and grants.
-func TestLostReplyIsSettledByReadingAgain(t *testing.T) {
+// The reply to a write is lost after the write took effect. The caller must
+// not get not_run for a key that stays claimed: the keeper must read the shard
+// again, find the attempt's own id and grant the key.
+func TestLostReplyIsResolvedByReread(t *testing.T) {
 	p := newFakePlatform()
 	s := testStore(p.client(1))
 	wantVerdict(t, claimOne(t, s, entry(9, "warm")), port.ClaimGranted)
-	p.script = once(faultLoseReply)
+	p.faultFor = faultNextWrite(faultLoseReply)
 	wantVerdict(t, claimOne(t, s, entry(1, "first")), port.ClaimGranted)
 }
 
-// The write hangs on its way while the reply is given up. The keeper reads
-// again, finds nothing and writes again; the first write comes in afterwards
-// and must fail, as it names an older version.
-func TestLateWriteIsHarmless(t *testing.T) {
+// A write is delayed and its reply counts as lost. The keeper reads the shard
+// again, finds nothing and writes again. The delayed write then arrives and
+// must fail, as it expects an older version.
+func TestDelayedWriteFailsAfterRetry(t *testing.T) {
 	p := newFakePlatform()
 	s := testStore(p.client(1))
 	wantVerdict(t, claimOne(t, s, entry(9, "warm")), port.ClaimGranted)
-	p.script = once(faultLate)
+	p.faultFor = faultNextWrite(faultDelayWrite)
 	wantVerdict(t, claimOne(t, s, entry(1, "first")), port.ClaimGranted)
 	before := p.Writes()
-	p.deliverLate()
+	p.applyDelayed()
 	if p.Writes() != before {
-		t.Fatal("the late write took effect")
+		t.Fatal("the delayed write took effect")
 	}
 }
 
-// The platform is down. The caller hears at once that nothing ran, and the
-// keeper knows that the key is not claimed.
-func TestPlatformDownRefusesAtOnce(t *testing.T) {
+// The platform is unavailable. The claim must be refused at once because of
+// the platform, and the key must not be claimed.
+func TestUnavailablePlatformRefusesImmediately(t *testing.T) {
 	p := newFakePlatform()
 	s := testStore(p.client(1))
-	p.script = func(int, bool) fault { return faultDown }
+	p.faultFor = func(int, bool) fault { return faultUnavailable }
 	got := claimOne(t, s, entry(1, "first"))
 	wantVerdict(t, got, port.ClaimUnavailable)
 	if got.Reason != claim.ReasonPlatform {
 		t.Fatalf("reason %q", got.Reason)
 	}
-	p.script = func(int, bool) fault { return faultNone }
+	p.faultFor = func(int, bool) fault { return faultNone }
 	wantVerdict(t, claimOne(t, s, entry(1, "second")), port.ClaimGranted)
 }
 
-// The write takes effect, its reply is lost, and the platform goes down
-// before it can be read again. The claim is not granted, though the key
-// stands as claimed. The router settles the attempt as not_run later, and
-// the caller's retry then runs: it is never told that the first one ran.
-func TestUnsettledClaimIsGivenBack(t *testing.T) {
+// A write takes effect, its reply is lost, and the platform becomes
+// unavailable before the shard can be read again. The claim is not granted,
+// although the key is stored as claimed. After the router has settled the
+// attempt as not_run, the caller's retry must be granted, not refused as if
+// the first attempt had run.
+func TestUnsettledClaimCanBeSettledAsNotRun(t *testing.T) {
 	p := newFakePlatform()
 	s := testStore(p.client(1))
 	wantVerdict(t, claimOne(t, s, entry(9, "warm")), port.ClaimGranted)
-	p.script = func(_ int, write bool) fault {
+	p.faultFor = func(_ int, write bool) fault {
 		if write {
 			return faultLoseReply
 		}
-		return faultDown
+		return faultUnavailable
 	}
 	got := claimOne(t, s, entry(1, "first"))
 	wantVerdict(t, got, port.ClaimUnavailable)
 	if got.Reason != claim.ReasonUnsettled {
 		t.Fatalf("reason %q, want unsettled", got.Reason)
 	}
-	p.script = func(int, bool) fault { return faultNone }
+	p.faultFor = func(int, bool) fault { return faultNone }
 	wantVerdict(t, claimOne(t, s, entry(1, "second")), port.ClaimHeld)
 	if settleOne(t, s, notRun(1, "first")) != 1 {
 		t.Fatal("not settled")
@@ -143,32 +144,34 @@
 	wantVerdict(t, claimOne(t, s, entry(1, "third")), port.ClaimGranted)
 }
 
-// A keeper is frozen between reading and writing. Another keeper grants the
-// key meanwhile; the frozen one wakes up, writes, and must not grant it too.
+// A keeper is frozen between its read and its write, and another keeper grants
+// the key meanwhile. The frozen keeper must not grant the key too when it
+// resumes.
 func TestFrozenKeeperDoesNotGrantTwice(t *testing.T) {
 	p := newFakePlatform()
 	a, b := testStore(p.client(1)), testStore(p.client(2))
 	wantVerdict(t, claimOne(t, a, entry(9, "warm")), port.ClaimGranted)
-	parked := false
-	p.script = func(keeper int, write bool) fault {
-		if keeper == 1 && write && !parked {
-			parked = true
-			return faultPark
+	blocked := false
+	p.faultFor = func(keeper int, write bool) fault {
+		if keeper == 1 && write && !blocked {
+			blocked = true
+			return faultBlock
 		}
 		return faultNone
 	}
 	frozen := make(chan claim.Result, 1)
 	go func() { frozen <- claimOne(t, a, entry(1, "first")) }()
-	<-p.parked
+	<-p.blocked
 	wantVerdict(t, claimOne(t, b, entry(1, "second")), port.ClaimGranted)
 	p.release[1] <- struct{}{}
 	wantVerdict(t, <-frozen, port.ClaimHeld)
 }
 
-// A router gave its attempt up and said so. A keeper that was frozen with the
-// claim still queued wakes up afterwards: the attempt is barred, so the key
-// is not left claimed by a call that will never be dispatched.
-func TestGivenUpAttemptIsBarred(t *testing.T) {
+// A router abandons an attempt and settles it as not_run while a frozen keeper
+// still has the claim in its queue. The attempt must be barred when the keeper
+// resumes. Otherwise the key would stay claimed by a call that will never be
+// dispatched.
+func TestAbandonedAttemptIsBarred(t *testing.T) {
 	p := newFakePlatform()
 	a, b := testStore(p.client(1)), testStore(p.client(2))
 	if settleOne(t, a, notRun(1, "first")) != 1 {
@@ -183,10 +186,11 @@
 }
 
 // Attempt "first" did not run, so its key is free. A keeper is frozen in the
-// write that gives the key to "second"; the router of "second" gives up and
-// says so to another keeper. The frozen write must fail when it goes on, or
-// the key would stay claimed by a call that nobody dispatches.
-func TestGivingUpAttemptParkedInAWrite(t *testing.T) {
+// write that grants the key to "second"; the router abandons "second" and
+// settles it as not_run at another keeper. The frozen write must fail.
+// Otherwise the key would stay claimed by a call that will never be
+// dispatched.
+func TestBarringAttemptFailsItsPendingWrite(t *testing.T) {
 	p := newFakePlatform()
 	a, b := testStore(p.client(1)), testStore(p.client(2))
 	wantVerdict(t, claimOne(t, b, entry(1, "first")), port.ClaimGranted)
@@ -194,17 +198,17 @@
 		t.Fatal("not settled")
 	}
 	wantVerdict(t, claimOne(t, a, entry(9, "warm")), port.ClaimGranted)
-	parked := false
-	p.script = func(keeper int, write bool) fault {
-		if keeper == 1 && write && !parked {
-			parked = true
-			return faultPark
+	blocked := false
+	p.faultFor = func(keeper int, write bool) fault {
+		if keeper == 1 && write && !blocked {
+			blocked = true
+			return faultBlock
 		}
 		return faultNone
 	}
 	frozen := make(chan claim.Result, 1)
 	go func() { frozen <- claimOne(t, a, entry(1, "second")) }()
-	<-p.parked
+	<-p.blocked
 	if settleOne(t, b, notRun(1, "second")) != 1 {
 		t.Fatal("not settled")
 	}
@@ -213,7 +217,8 @@
 	wantVerdict(t, claimOne(t, b, entry(1, "third")), port.ClaimGranted)
 }
 
-// An asker that has gone is not granted a key by a keeper that was frozen.
+// A keeper that was frozen must not grant a key to a claim whose context has
+// ended.
 func TestOverdueClaimIsNotWritten(t *testing.T) {
 	p := newFakePlatform()
 	s := testStore(p.client(1))
@@ -223,15 +228,15 @@
 	cancel()
 	op := newClaim(ctx, entry(1, "first"))
 	s.shards[0].commit([]*operation{op})
-	a := <-op.answer
+	a := <-op.response
 	if a.result.Reason != claim.ReasonOverdue || p.Writes() != writes {
 		t.Fatalf("got %+v after %d writes", a.result, p.Writes()-writes)
 	}
 }
 
-// Two keepers with different settings must map a key to the same object: the
-// layout that is stored first binds both, or one key could be granted twice.
-func TestStoredLayoutBindsEveryKeeper(t *testing.T) {
+// Two keepers with different settings must map a key to the same object, or it
+// could be granted twice. Both must use the layout that was stored first.
+func TestStoredLayoutAppliesToEveryKeeper(t *testing.T) {
 	p := newFakePlatform()
 	a := New(Options{Platform: p.client(1), Shards: 7})
 	b := New(Options{Platform: p.client(2), Shards: 5, Limits: claim.Limits{Retention: time.Minute}})
@@ -247,8 +252,9 @@
 	}
 }
 
-// A shard written by a newer release is neither read nor rewritten.
-func TestNewerFormatIsLeftAlone(t *testing.T) {
+// A shard written by a newer release must be neither interpreted nor
+// rewritten.
+func TestNewerFormatIsNotModified(t *testing.T) {
 	p := newFakePlatform()
 	s := testStore(p.client(1))
 	wantVerdict(t, claimOne(t, s, entry(9, "warm")), port.ClaimGranted)
@@ -267,34 +273,34 @@
 	}
 }
 
-// While a write is under way the claims that come in wait, and one write
-// carries them all: the platform sees far fewer writes than claims.
-func TestClaimsGatherWhileAWriteIsUnderWay(t *testing.T) {
+// Claims that arrive during a write must be written together by the next one,
+// so that the platform gets far fewer writes than claims.
+func TestClaimsAreGroupedDuringAWrite(t *testing.T) {
 	p := newFakePlatform()
 	s := testStore(p.client(1))
 	wantVerdict(t, claimOne(t, s, entry(200, "warm")), port.ClaimGranted)
-	parked := false
-	p.script = func(_ int, write bool) fault {
-		if write && !parked {
-			parked = true
-			return faultPark
+	blocked := false
+	p.faultFor = func(_ int, write bool) fault {
+		if write && !blocked {
+			blocked = true
+			return faultBlock
 		}
 		return faultNone
 	}
 	before := p.Writes()
 	var wait sync.WaitGroup
 	wait.Go(func() { wantVerdict(t, claimOne(t, s, entry(0, "a")), port.ClaimGranted) })
-	<-p.parked
+	<-p.blocked
 	const more = 50
 	for key := range byte(more) {
 		wait.Go(func() {
 			wantVerdict(t, claimOne(t, s, entry(key+1, fmt.Sprint("b", key))), port.ClaimGranted)
 		})
 	}
-	eventually.True(t, "the condition", func() bool {
+	eventually.True(t, "all further claims in the queue", func() bool {
 		s.shards[0].mu.Lock()
 		defer s.shards[0].mu.Unlock()
-		return len(s.shards[0].waiting) == more
+		return len(s.shards[0].queue) == more
 	})
 	p.release[1] <- struct{}{}
 	wait.Wait()
@@ -303,21 +309,22 @@
 	}
 }
 
-// More keepers must not mean more writes at the platform: each one's part of
-// the pace shrinks, also while the keeper runs.
-func TestPaceIsSharedAmongKeepers(t *testing.T) {
+// More keepers must not cause more writes on the platform: each keeper's share
+// of the rate must follow the number of keepers while it runs.
+func TestWriteRateIsSharedAmongKeepers(t *testing.T) {
 	keepers := 4
 	s := New(Options{Platform: newFakePlatform().client(1), WritesPerSecond: 100, Keepers: func() int { return keepers }})
 	for _, want := range []rate.Limit{25, 50, 100} {
-		if err := s.turn(context.Background()); err != nil || s.pace.Limit() != want {
-			t.Fatalf("pace %v with %d keepers, %v", s.pace.Limit(), keepers, err)
+		if err := s.waitForWrite(context.Background()); err != nil || s.writeLimiter.Limit() != want {
+			t.Fatalf("write rate %v with %d keepers, %v", s.writeLimiter.Limit(), keepers, err)
 		}
 		keepers /= 2
 	}
 }
 
-// Operators see a shard fill up before it refuses.
-func TestFullestShardIsMeasured(t *testing.T) {
+// Operators must be able to see that a shard is filling up before it refuses
+// claims.
+func TestFullestShardGauge(t *testing.T) {
 	r := gometrics.NewRegistry()
 	s := New(Options{Platform: newFakePlatform().client(1), Shards: 2, Metrics: r})
 	wantVerdict(t, claimOne(t, s, entry(1, "first")), port.ClaimGranted)
@@ -327,7 +334,7 @@
 	}
 }
 
-// Lookup reads the platform, and says so when it can't.
+// Lookup must read the platform, and return an error if it can't.
 func TestLookup(t *testing.T) {
 	p := newFakePlatform()
 	a, b := testStore(p.client(1)), testStore(p.client(2))
@@ -341,15 +348,15 @@
 	if err != nil || !found || st.Outcome != port.ClaimDone || st.StatusCode != 201 {
 		t.Fatalf("got %+v %v %v", st, found, err)
 	}
-	p.script = func(int, bool) fault { return faultDown }
+	p.faultFor = func(int, bool) fault { return faultUnavailable }
 	if _, _, err := b.Lookup(context.Background(), claim.KeyHash{1}); !errors.Is(err, port.ErrPlatformUnavailable) {
 		t.Fatalf("got %v", err)
 	}
 }
 
-// Whatever fails, log lines name objects and never keys: a key's hash would
-// let a reader of the logs test guesses of the key.
-func TestNoKeyReachesTheLog(t *testing.T) {
+// Log lines must name objects but never keys, whatever fails: with the hash of
+// a key, a reader of the logs could test guesses of the key.
+func TestLogsContainNoKeys(t *testing.T) {
 	p := newFakePlatform()
 	var lines bytes.Buffer
 	s := New(Options{
@@ -358,13 +365,13 @@
 	})
 	sum := sha256.Sum256([]byte("invoice-4711"))
 	e := port.ClaimEntry{KeyHash: claim.KeyHash(sum[:16]), RequestID: "r1.request-77", AttemptID: "attempt-88"}
-	for _, f := range []fault{faultNone, faultDown, faultHang, faultLoseReply} {
-		p.script = func(int, bool) fault { return f }
+	for _, f := range []fault{faultNone, faultUnavailable, faultLoseCall, faultLoseReply} {
+		p.faultFor = func(int, bool) fault { return f }
 		claimOne(t, s, e)
 		settleOne(t, s, port.ClaimState{KeyHash: e.KeyHash, RequestID: e.RequestID, AttemptID: e.AttemptID, Outcome: port.ClaimNotRun})
 	}
 	if lines.Len() == 0 {
-		t.Fatal("nothing was logged; the test proves nothing")
+		t.Fatal("nothing was logged, so the test checks nothing")
 	}
 	hash := hex.EncodeToString(e.KeyHash[:])
 	encoded := base64.StdEncoding.EncodeToString(e.KeyHash[:])
@@ -375,8 +382,8 @@
 	}
 }
 
-// once faults the next write only.
-func once(f fault) func(int, bool) fault {
+// faultNextWrite injects a fault into the next write only.
+func faultNextWrite(f fault) func(int, bool) fault {
 	used := false
 	return func(_ int, write bool) fault {
 		if !write || used {
