--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -1,6 +1,6 @@
-// Package caller is a caller of the system: it asks for entry addresses,
-// reads streams, resumes a broken one at another router, and checks that the
-// answer is whole, in order and of one generation.
+// Package caller is a client of the callers' API. It looks up entry addresses,
+// reads streams, resumes a broken stream at another router, and checks that
+// the tokens of an answer are complete and in order.
 package caller
 
 import (
@@ -28,93 +28,97 @@
 // Errors of this package.
 var (
 	ErrNoEntry = merry.Sentinel("caller: no router gave an entry address")
-	// ErrBroken is an answer with a lost, doubled or foreign token.
+	// ErrBroken means that an event of an answer is invalid, or that indexes
+	// or the token count show a lost, repeated or foreign token.
 	ErrBroken = merry.Sentinel("caller: the answer is broken")
-	// ErrCut is a stream that ended early and could not be resumed.
+	// ErrCut means that a stream ended early and could not be resumed.
 	ErrCut = merry.Sentinel("caller: the stream was cut")
 )
 
 const (
-	// maxReplyBytes bounds an answer that is read whole.
+	// maxReplyBytes bounds a reply that is read whole.
 	maxReplyBytes = 8 << 20
-	// DefaultResumes is how often a stream is resumed.
-	DefaultResumes = 10
-	// DefaultResumePause is the pause between two tries to resume.
+	// DefaultMaxResumes is the default of Client.MaxResumes.
+	DefaultMaxResumes = 10
+	// DefaultResumePause is the default of Client.ResumePause.
 	DefaultResumePause = 100 * time.Millisecond
 )
 
-// Entry is the answer to GET /v1/entry.
+// Entry is the body of a reply to GET /v1/entry.
 type Entry struct {
 	Addresses      []string `json:"addresses"`
 	ValidForMillis int64    `json:"valid_for_ms"`
 }
 
-// Client calls on behalf of one organisation.
+// Client calls the API on behalf of one organisation.
 type Client struct {
 	// Key is the organisation's bearer key.
 	Key string
-	// Organisation is named to /v1/entry.
+	// Organisation is sent to /v1/entry.
 	Organisation string
 	HTTP         *http.Client
-	// Seeds are router addresses that are asked for an entry, in order.
+	// Seeds are the addresses of the routers at which entry addresses are
+	// looked up, in order.
 	Seeds []string
-	// Resumes bounds how often one stream is resumed, with a pause between.
-	Resumes     int
+	// MaxResumes bounds how often one stream is resumed. ResumePause is the
+	// pause before each resume but the first.
+	MaxResumes  int
 	ResumePause time.Duration
 }
 
-// New returns a client with its own connections.
+// New returns a client with its own connection pool.
 func New(key, organisation string, seeds []string) *Client {
 	transport := http.DefaultTransport.(*http.Transport).Clone()
 	transport.Proxy = nil
 	transport.MaxIdleConnsPerHost = 256
 	return &Client{
 		Key: key, Organisation: organisation, Seeds: seeds,
-		HTTP:    &http.Client{Transport: transport},
-		Resumes: DefaultResumes, ResumePause: DefaultResumePause,
+		HTTP:       &http.Client{Transport: transport},
+		MaxResumes: DefaultMaxResumes, ResumePause: DefaultResumePause,
 	}
 }
 
-// Entry asks the seeds in order for addresses to use.
+// Entry returns entry addresses from the first seed that provides them.
 func (c *Client) Entry(ctx context.Context, model string) (Entry, error) {
 	query := url.Values{"organisation": {c.Organisation}, "model": {model}}
-	var last error
+	var lastErr error
 	for _, seed := range c.Seeds {
 		reply, err := c.do(ctx, http.MethodGet, seed, "/v1/entry?"+query.Encode(), nil, nil)
 		if err != nil {
-			last = err
+			lastErr = err
 			continue
 		}
 		if reply.Status != http.StatusOK {
-			last = merry.Errorf("%s: status %d", seed, reply.Status)
+			lastErr = merry.Errorf("%s: status %d", seed, reply.Status)
 			continue
 		}
 		var entry Entry
 		if err := json.Unmarshal(reply.Body, &entry); err != nil {
-			last = err
+			lastErr = err
 			continue
 		}
 		return entry, nil
 	}
-	return Entry{}, merry.Wrap(ErrNoEntry, merry.WithCause(last))
+	return Entry{}, merry.Wrap(ErrNoEntry, merry.WithCause(lastErr))
 }
 
-// Reply is an answer that was read whole.
+// Reply is a response whose body was read whole.
 type Reply struct {
 	Status int
 	Header http.Header
 	Body   []byte
-	// Problem is set where the body is a problem document.
+	// Problem is set if the body is a problem document.
 	Problem *problem.Problem
 }
 
-// ServiceCall is one call of a plain service.
+// ServiceCall is a call of a plain service.
 type ServiceCall struct {
 	Service string
 	Path    string
 	Method  string
 	Body    []byte
-	// Key is the idempotency key; NonIdempotent forbids a second run.
+	// Key is the idempotency key. NonIdempotent forbids running the call
+	// twice.
 	Key           string
 	NonIdempotent bool
 }
@@ -132,13 +136,13 @@
 	return c.do(ctx, call.Method, address, path, header, call.Body)
 }
 
-// RequestState reads what became of a request.
+// RequestState reads the state of a request from the router at address.
 func (c *Client) RequestState(ctx context.Context, address, requestID string) (*Reply, error) {
 	return c.do(ctx, http.MethodGet, address, "/v1/requests/"+url.PathEscape(requestID), nil, nil)
 }
 
 func (c *Client) do(ctx context.Context, method, address, path string, header http.Header, body []byte) (*Reply, error) {
-	res, err := c.open(ctx, method, address, path, header, body)
+	res, err := c.send(ctx, method, address, path, header, body)
 	if err != nil {
 		return nil, err
 	}
@@ -146,7 +150,7 @@
 	return readReply(res)
 }
 
-func (c *Client) open(ctx context.Context, method, address, path string, header http.Header, body []byte) (*http.Response, error) {
+func (c *Client) send(ctx context.Context, method, address, path string, header http.Header, body []byte) (*http.Response, error) {
 	r, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
--- a/internal/caller/caller_test.go
+++ b/internal/caller/caller_test.go
@@ -13,11 +13,12 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/adapter/problem"
 )
 
-// script is what a fake router writes on one connection.
+// script handles one connection to a fake router.
 type script func(w http.ResponseWriter, r *http.Request)
 
-// fake serves one script per connection, the last one again and again.
-func fake(t *testing.T, scripts ...script) string {
+// fakeRouter starts a router that runs one script per connection and repeats
+// the last one. It returns the router's address.
+func fakeRouter(t *testing.T, scripts ...script) string {
 	t.Helper()
 	var n atomic.Int32
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -28,7 +29,7 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-func tokens(from, to int, last bool) script {
+func sendTokens(from, to int, last bool) script {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(HeaderRequestID, "router-1.x")
 		w.Header().Set("Content-Type", "text/event-stream")
@@ -41,110 +42,114 @@
 	}
 }
 
-func cut(w http.ResponseWriter, _ *http.Request) {
+func abortConnection(w http.ResponseWriter, _ *http.Request) {
 	w.(http.Flusher).Flush()
 	panic(http.ErrAbortHandler)
 }
 
-func stream(t *testing.T, addresses ...string) (*Answer, error) {
+func readStream(t *testing.T, addresses ...string) (*Answer, error) {
 	t.Helper()
 	c := New("key", "kegsetu", addresses)
-	c.Resumes = 3
+	c.MaxResumes = 3
 	c.ResumePause = 0
 	return c.Stream(context.Background(), addresses, Completion{Model: "m", Prompt: "p"})
 }
 
 func TestWholeAnswer(t *testing.T) {
-	a, err := stream(t, fake(t, tokens(0, 3, true)))
+	a, err := readStream(t, fakeRouter(t, sendTokens(0, 3, true)))
 	if err != nil || a.Text != "t0 t1 t2 " || a.FinishReason != "stop" || len(a.Gaps) != 2 || a.RequestID != "router-1.x" {
 		t.Fatalf("%+v %v", a, err)
 	}
 }
 
 func TestResumesAtTheNextAddress(t *testing.T) {
-	first := fake(t, func(w http.ResponseWriter, r *http.Request) {
-		tokens(0, 2, false)(w, r)
-		cut(w, r)
+	first := fakeRouter(t, func(w http.ResponseWriter, r *http.Request) {
+		sendTokens(0, 2, false)(w, r)
+		abortConnection(w, r)
 	})
-	second := fake(t, func(w http.ResponseWriter, r *http.Request) {
+	second := fakeRouter(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get(HeaderLastEventID) != "tok:1" || r.URL.Path != "/v1/generations/tok" {
 			t.Errorf("resumed with %q at %s", r.Header.Get(HeaderLastEventID), r.URL.Path)
 		}
-		tokens(2, 5, true)(w, r)
+		sendTokens(2, 5, true)(w, r)
 	})
-	a, err := stream(t, first, second)
+	a, err := readStream(t, first, second)
 	if err != nil || a.Tokens != 5 || a.Resumes != 1 || a.FinishReason != "stop" {
 		t.Fatalf("%+v %v", a, err)
 	}
 }
 
-// A router that must end before the stream does says so; the caller reads the
-// rest at another one, whether it had seen a token or none.
-func TestResumesWhereARouterSaysSo(t *testing.T) {
-	for seen := range 2 {
-		first := fake(t, func(w http.ResponseWriter, r *http.Request) {
-			if seen == 0 {
+// A router that must stop before the stream ends reports so with a resume
+// token. The caller must read the rest at another router, whether it has
+// received a token or none.
+func TestResumesOnResumeToken(t *testing.T) {
+	for received := range 2 {
+		first := fakeRouter(t, func(w http.ResponseWriter, r *http.Request) {
+			if received == 0 {
 				w.Header().Set("Content-Type", problem.ContentType)
 				w.WriteHeader(http.StatusServiceUnavailable)
 				fmt.Fprint(w, `{"outcome":"unknown","resume_token":"tok"}`)
 				return
 			}
-			tokens(0, seen, false)(w, r)
+			sendTokens(0, received, false)(w, r)
 			fmt.Fprint(w, "event: error\ndata: {\"outcome\":\"unknown\",\"resume_token\":\"tok\"}\n\n")
 		})
-		a, err := stream(t, first, fake(t, tokens(seen, 4, true)))
+		a, err := readStream(t, first, fakeRouter(t, sendTokens(received, 4, true)))
 		if err != nil || a.Tokens != 4 || a.Problem != nil {
-			t.Fatalf("after %d tokens: %+v %v", seen, a, err)
+			t.Fatalf("after %d tokens: %+v %v", received, a, err)
 		}
 	}
 }
 
-func TestEarlyEndIsNoEnd(t *testing.T) {
-	a, err := stream(t, fake(t, tokens(0, 2, false), cut))
+func TestEarlyEndReturnsErrCut(t *testing.T) {
+	a, err := readStream(t, fakeRouter(t, sendTokens(0, 2, false), abortConnection))
 	if !errors.Is(err, ErrCut) || a.Resumes != 3 || a.FinishReason != "" {
 		t.Fatalf("%+v %v", a, err)
 	}
 }
 
-func TestBrokenAnswersAreSeen(t *testing.T) {
+func TestBrokenAnswersReturnErrBroken(t *testing.T) {
 	cases := map[string]script{
-		"lost token": func(w http.ResponseWriter, r *http.Request) { tokens(0, 1, false)(w, r); tokens(2, 4, true)(w, r) },
+		"lost token": func(w http.ResponseWriter, r *http.Request) {
+			sendTokens(0, 1, false)(w, r)
+			sendTokens(2, 4, true)(w, r)
+		},
 		"doubled token": func(w http.ResponseWriter, r *http.Request) {
-			tokens(0, 2, false)(w, r)
-			tokens(1, 4, true)(w, r)
+			sendTokens(0, 2, false)(w, r)
+			sendTokens(1, 4, true)(w, r)
 		},
 		"wrong count": func(w http.ResponseWriter, r *http.Request) {
-			tokens(0, 2, false)(w, r)
+			sendTokens(0, 2, false)(w, r)
 			fmt.Fprint(w, "id: tok:2\ndata: {\"index\":2,\"finish_reason\":\"stop\",\"token_count\":3}\n\n")
 		},
 	}
 	for name, s := range cases {
-		if a, err := stream(t, fake(t, s)); !errors.Is(err, ErrBroken) {
+		if a, err := readStream(t, fakeRouter(t, s)); !errors.Is(err, ErrBroken) {
 			t.Errorf("%s: %+v %v", name, a, err)
 		}
 	}
 }
 
 func TestProblems(t *testing.T) {
-	refused := fake(t, func(w http.ResponseWriter, _ *http.Request) {
+	refused := fakeRouter(t, func(w http.ResponseWriter, _ *http.Request) {
 		problem.Write(w, &problem.Problem{Status: http.StatusTooManyRequests, Outcome: problem.OutcomeNotRun})
 	})
-	a, err := stream(t, refused)
+	a, err := readStream(t, refused)
 	if err != nil || a.Problem == nil || a.Problem.Outcome != problem.OutcomeNotRun || a.Tokens != 0 {
 		t.Fatalf("%+v %v", a, err)
 	}
-	failed := fake(t, func(w http.ResponseWriter, r *http.Request) {
-		tokens(0, 2, false)(w, r)
+	failed := fakeRouter(t, func(w http.ResponseWriter, r *http.Request) {
+		sendTokens(0, 2, false)(w, r)
 		fmt.Fprint(w, "event: error\ndata: {\"outcome\":\"failed\"}\n\n")
 	})
-	a, err = stream(t, failed)
+	a, err = readStream(t, failed)
 	if err != nil || a.Problem == nil || a.Problem.Outcome != problem.OutcomeFailed || a.Tokens != 2 {
 		t.Fatalf("%+v %v", a, err)
 	}
 }
 
 func TestEntryTriesTheSeedsInOrder(t *testing.T) {
-	good := fake(t, func(w http.ResponseWriter, _ *http.Request) {
+	good := fakeRouter(t, func(w http.ResponseWriter, _ *http.Request) {
 		fmt.Fprint(w, `{"addresses":["127.0.0.1:1"],"valid_for_ms":5}`)
 	})
 	c := New("key", "kegsetu", []string{"127.0.0.1:1", good})
--- a/internal/caller/stream.go
+++ b/internal/caller/stream.go
@@ -18,7 +18,7 @@
 // errorEvent is the type of the event that ends a failed stream.
 const errorEvent = "error"
 
-// Completion is one request to a model.
+// Completion is a completion request to a model.
 type Completion struct {
 	Model     string `json:"model"`
 	Prompt    string `json:"prompt"`
@@ -27,11 +27,11 @@
 	User      string `json:"user,omitempty"`
 	// Key is the idempotency key.
 	Key string `json:"-"`
-	// OnToken, where set, is called for each token.
+	// OnToken, if set, is called for each token.
 	OnToken func(index int, text string) `json:"-"`
 }
 
-// Answer is what the caller saw of a stream.
+// Answer is the result of reading a stream.
 type Answer struct {
 	RequestID    string
 	Text         string
@@ -39,16 +39,18 @@
 	FinishReason string
 	// FirstToken is the time from the request to the first token.
 	FirstToken time.Duration
-	// Gaps are the times between tokens, those of a resume included.
+	// Gaps are the times between consecutive tokens, including those across a
+	// resume.
 	Gaps []time.Duration
-	// Resumes counts the connections after the first one.
+	// Resumes counts the attempts to resume the stream.
 	Resumes int
-	// Problem is the refusal, or the failure that ended the stream.
+	// Problem is the refusal of the request or the failure that ended the
+	// stream.
 	Problem *problem.Problem
 	Status  int
 }
 
-// event is the data of one event.
+// event is the data of one server-sent event.
 type event struct {
 	ID           string `json:"id"`
 	Index        int    `json:"index"`
@@ -57,31 +59,32 @@
 	TokenCount   int    `json:"token_count"`
 }
 
-// resumable is a problem that names the generation, so that any router can
-// give the rest.
+// resumable is a problem with a resume token, with which any router can
+// continue the generation.
 type resumable struct {
 	problem.Problem
 	ResumeToken string `json:"resume_token"`
 }
 
-// reader gathers one answer over its connections.
+// reader reads one answer over one or more connections.
 type reader struct {
 	client     *Client
 	completion *Completion
 	answer     Answer
 	text       strings.Builder
-	// token names the generation to any router; lastID is the last event's
-	// id, empty before the first.
-	token    string
-	lastID   string
-	started  time.Time
-	lastSeen time.Time
-	done     bool
+	// resumeToken identifies the generation at any router. lastID is the id of
+	// the last event, empty before the first.
+	resumeToken string
+	lastID      string
+	started     time.Time
+	lastTokenAt time.Time
+	done        bool
 }
 
-// Stream asks the first address and reads the answer; where the connection
-// breaks after a token, it resumes at the next addresses in turn. The error is
-// nil where the answer is whole or the system said why it isn't.
+// Stream sends the request to the first address and reads the answer. If the
+// connection breaks after a resume token was received, it resumes at the next
+// addresses in turn. The error is nil if the answer is complete, or if the
+// system refused the request or reported its failure.
 func (c *Client) Stream(ctx context.Context, addresses []string, request Completion) (*Answer, error) {
 	request.Stream = true
 	r := &reader{client: c, completion: &request, started: time.Now()}
@@ -93,28 +96,29 @@
 	if request.Key != "" {
 		header.Set(HeaderIdempotencyKey, request.Key)
 	}
-	res, err := c.open(ctx, http.MethodPost, addresses[0], "/v1/completions", header, raw)
+	res, err := c.send(ctx, http.MethodPost, addresses[0], "/v1/completions", header, raw)
 	if err != nil {
 		return &r.answer, merry.Prepend(err, "caller")
 	}
 	r.answer.RequestID = res.Header.Get(HeaderRequestID)
-	cut := r.read(res)
-	for next := 1; r.goesOn(ctx, cut); next++ {
-		cut = r.resume(ctx, addresses[next%len(addresses)])
+	readErr := r.read(res)
+	for next := 1; r.shouldResume(ctx, readErr); next++ {
+		readErr = r.resume(ctx, addresses[next%len(addresses)])
 	}
 	r.answer.Text = r.text.String()
 	if !r.done {
-		return &r.answer, cut
+		return &r.answer, readErr
 	}
 	return &r.answer, nil
 }
 
-// goesOn reports whether a cut stream is to be resumed.
-func (r *reader) goesOn(ctx context.Context, cut error) bool {
-	if r.done || ctx.Err() != nil || r.token == "" || errors.Is(cut, ErrBroken) {
+// shouldResume reports whether a stream that ended with readErr is to be
+// resumed.
+func (r *reader) shouldResume(ctx context.Context, readErr error) bool {
+	if r.done || ctx.Err() != nil || r.resumeToken == "" || errors.Is(readErr, ErrBroken) {
 		return false
 	}
-	return r.answer.Resumes < r.client.Resumes
+	return r.answer.Resumes < r.client.MaxResumes
 }
 
 func (r *reader) resume(ctx context.Context, address string) error {
@@ -130,28 +134,29 @@
 	if r.lastID != "" {
 		header.Set(HeaderLastEventID, r.lastID)
 	}
-	res, err := r.client.open(ctx, http.MethodGet, address, "/v1/generations/"+url.PathEscape(r.token), header, nil)
+	res, err := r.client.send(ctx, http.MethodGet, address, "/v1/generations/"+url.PathEscape(r.resumeToken), header, nil)
 	if err != nil {
 		return merry.Prepend(err, "caller")
 	}
 	return r.read(res)
 }
 
-// read takes one connection's events. It returns nil once the answer is done.
+// read reads the events of one connection. It returns nil once the answer is
+// complete or has failed.
 func (r *reader) read(res *http.Response) error {
 	defer res.Body.Close()
 	r.answer.Status = res.StatusCode
 	if res.StatusCode != http.StatusOK {
-		return r.refused(res)
+		return r.handleRefusal(res)
 	}
 	for e, err := range sse.Read(res.Body, nil) {
 		if err != nil {
 			return merry.Wrap(ErrCut, merry.WithCause(err))
 		}
 		if e.Type == errorEvent {
-			return r.failed(e.Data)
+			return r.handleErrorEvent(e.Data)
 		}
-		if err := r.take(&e); err != nil {
+		if err := r.handleEvent(&e); err != nil {
 			return err
 		}
 		if r.done {
@@ -161,8 +166,10 @@
 	return merry.Wrap(ErrCut)
 }
 
-// refused reads a refusal; one of a resume may be followed by another try.
-func (r *reader) refused(res *http.Response) error {
+// handleRefusal reads a response whose status is not 200. It returns ErrCut,
+// so that the stream is resumed, if the problem has a resume token or if a
+// resume was refused with a status other than 404 and 410.
+func (r *reader) handleRefusal(res *http.Response) error {
 	reply, err := readReply(res)
 	if err != nil {
 		return merry.Prepend(err, "caller")
@@ -170,7 +177,7 @@
 	r.answer.Problem = reply.Problem
 	var p resumable
 	if reply.Problem != nil && json.Unmarshal(reply.Body, &p) == nil && p.ResumeToken != "" {
-		r.token = p.ResumeToken
+		r.resumeToken = p.ResumeToken
 		return merry.Prepend(ErrCut, "told to resume elsewhere")
 	}
 	if r.answer.Resumes == 0 || res.StatusCode == http.StatusNotFound || res.StatusCode == http.StatusGone {
@@ -180,21 +187,21 @@
 	return merry.Prependf(ErrCut, "resume refused with %d", res.StatusCode)
 }
 
-func (r *reader) failed(data string) error {
+func (r *reader) handleErrorEvent(data string) error {
 	var p resumable
 	if err := json.Unmarshal([]byte(data), &p); err != nil {
 		return merry.Prependf(ErrBroken, "error event: %v", err)
 	}
 	r.answer.Problem = &p.Problem
 	if p.ResumeToken != "" {
-		r.token = p.ResumeToken
+		r.resumeToken = p.ResumeToken
 		return merry.Prepend(ErrCut, "told to resume elsewhere")
 	}
 	r.done = true
 	return nil
 }
 
-func (r *reader) take(e *sse.Event) error {
+func (r *reader) handleEvent(e *sse.Event) error {
 	var got event
 	if err := json.Unmarshal([]byte(e.Data), &got); err != nil {
 		return merry.Prependf(ErrBroken, "event: %v", err)
@@ -203,7 +210,7 @@
 		return merry.Prependf(ErrBroken, "index %d after %d tokens", got.Index, r.answer.Tokens)
 	}
 	r.lastID = e.LastEventID
-	r.token, _, _ = strings.Cut(e.LastEventID, ":")
+	r.resumeToken, _, _ = strings.Cut(e.LastEventID, ":")
 	if got.FinishReason != "" {
 		if got.TokenCount != r.answer.Tokens {
 			return merry.Prependf(ErrBroken, "%d tokens, told %d", r.answer.Tokens, got.TokenCount)
@@ -222,9 +229,9 @@
 	if r.answer.Tokens == 0 {
 		r.answer.FirstToken = now.Sub(r.started)
 	} else {
-		r.answer.Gaps = append(r.answer.Gaps, now.Sub(r.lastSeen))
+		r.answer.Gaps = append(r.answer.Gaps, now.Sub(r.lastTokenAt))
 	}
-	r.lastSeen = now
+	r.lastTokenAt = now
 	r.answer.Tokens++
 	r.text.WriteString(got.Text)
 	if r.completion.OnToken != nil {
