--- a/internal/crashwatch/crashwatch.go
+++ b/internal/crashwatch/crashwatch.go
@@ -1,6 +1,7 @@
-// Package crashwatch finds out which endpoints have ended with the requests that
-// they ran, and tells the quarantine of it. Gateways and routers use it; it must
-// not know how requests are placed, nor what their callers are told.
+// Package crashwatch detects endpoints that ended while they ran requests, and
+// reports these requests to the quarantine. Gateways and routers use it; it
+// must not depend on how requests are placed, nor on the responses that their
+// callers get.
 package crashwatch
 
 import (
@@ -11,53 +12,56 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// Quarantine knows the requests that crash the endpoints that run them, from
-// what all daemons saw.
+// Quarantine tracks the requests that crash the endpoints that run them, as
+// observed by all daemons.
 type Quarantine interface {
-	// Quarantined reports whether a request is not to be sent, and for how long.
-	Quarantined(now time.Time, f quarantine.Fingerprint) (left time.Duration, quarantined bool)
-	// Completed takes a request that ran to its end.
+	// Quarantined reports whether a request must not be sent, and for how
+	// long.
+	Quarantined(now time.Time, f quarantine.Fingerprint) (remaining time.Duration, quarantined bool)
+	// Completed records a request that ran to its end.
 	Completed(now time.Time, f quarantine.Fingerprint)
-	// Crashed takes the requests that ran at an endpoint when it ended.
+	// Crashed records the requests that ran at an endpoint when it ended.
 	Crashed(now time.Time, crash quarantine.CrashID, ran []quarantine.Fingerprint)
 }
 
-// Times of looking at an endpoint at which connections broke.
+// Durations of the checks of an endpoint at which connections broke.
 const (
-	// settle lets the connections of all attempts at an endpoint break before it
-	// is judged by them.
-	settle = 50 * time.Millisecond
-	// lookTimeout bounds one look.
-	lookTimeout = time.Second
+	// lossDelay is the time between a probe that finds an endpoint gone and
+	// the decision that it has ended. It gives the connections of all attempts
+	// at the endpoint time to break.
+	lossDelay = 50 * time.Millisecond
+	// probeTimeout bounds one probe.
+	probeTimeout = time.Second
 )
 
-// lookPauses are the pauses before each look: an endpoint that has ended is most
-// often back after some seconds.
-var lookPauses = [...]time.Duration{0, 100 * time.Millisecond, 300 * time.Millisecond, 600 * time.Millisecond}
+// probeDelays are the delays before each probe. An endpoint that has ended is
+// most often back after some seconds, so the probes come earlier.
+var probeDelays = [...]time.Duration{0, 100 * time.Millisecond, 300 * time.Millisecond, 600 * time.Millisecond}
 
-// Options of a Watch.
+// Options configures a Watch.
 type Options struct {
 	Quarantine Quarantine
-	// Look finds out over a new connection whether an endpoint serves.
+	// Look probes over a new connection whether an endpoint serves.
 	Look func(ctx context.Context, e port.Endpoint) port.Presence
-	// Leaving reports whether an endpoint was known to leave: it ends as planned.
+	// Leaving reports whether an endpoint was known to be leaving, so that its
+	// end is no crash.
 	Leaving func(e port.Endpoint) bool
-	// Crashed is told of an endpoint that has ended with so many requests of this
-	// daemon.
+	// Crashed is called for an endpoint that has crashed; lost is the number
+	// of requests of this daemon that ran there.
 	Crashed func(e port.Endpoint, reason string, lost int)
 	Clock   func() time.Time
 }
 
-// Watch follows the attempts of one daemon. It is safe for concurrent use.
+// Watch tracks the attempts of one daemon. It is safe for concurrent use.
 type Watch struct {
 	o       Options
 	flights *quarantine.Flights
 }
 
-// New returns a watch over no attempts.
+// New returns a Watch that tracks no attempts yet.
 func New(o Options) *Watch { return &Watch{o: o, flights: quarantine.NewFlights()} }
 
-// Attempt is one attempt under way.
+// Attempt is one tracked attempt.
 type Attempt struct {
 	endpoint    port.Endpoint
 	fingerprint quarantine.Fingerprint
@@ -68,70 +72,74 @@
 	return quarantine.EndpointKey{ID: e.ID, Incarnation: e.Incarnation}
 }
 
-// Begin notes that an attempt is sent.
+// Begin starts tracking an attempt when it is sent.
 func (w *Watch) Begin(e port.Endpoint, f quarantine.Fingerprint) *Attempt {
 	return &Attempt{endpoint: e, fingerprint: f, flight: w.flights.Begin(w.o.Clock(), keyOf(e), f)}
 }
 
-// End notes that an attempt is over. Where its connection broke, somebody finds
-// out whether its endpoint has ended.
+// End stops tracking an attempt; lost means that its connection broke. The
+// endpoint of a lost attempt is then checked in the background, unless a check
+// is running or it is known to have ended.
 func (w *Watch) End(a *Attempt, lost bool) {
 	if !lost {
 		w.flights.End(a.flight)
 		return
 	}
-	look, gone := w.flights.Lost(w.o.Clock(), a.flight)
+	probe, ended := w.flights.Lost(w.o.Clock(), a.flight)
 	switch {
-	case gone:
+	case ended:
 		w.o.Quarantine.Crashed(w.o.Clock(), crashOf(a.endpoint), []quarantine.Fingerprint{a.fingerprint})
-	case look:
-		go w.lookAt(a.endpoint)
+	case probe:
+		go w.checkEndpoint(a.endpoint)
 	}
 }
 
-// Tick forgets endpoints that ended some time ago.
+// Tick drops endpoints that ended some time ago.
 func (w *Watch) Tick() { w.flights.Tick(w.o.Clock()) }
 
-// Looking counts the endpoints that are being looked at.
+// Looking returns the number of endpoints that are being checked.
 func (w *Watch) Looking() int { return w.flights.Looking() }
 
 func crashOf(e port.Endpoint) quarantine.CrashID { return quarantine.CrashOf(e.ID, e.Incarnation) }
 
-// lookAt finds out whether an endpoint at which a connection broke has ended.
-func (w *Watch) lookAt(e port.Endpoint) {
+// checkEndpoint determines whether an endpoint at which a connection broke has
+// ended.
+func (w *Watch) checkEndpoint(e port.Endpoint) {
 	silent := 0
-	for _, pause := range lookPauses {
-		time.Sleep(pause)
-		switch w.look(e) {
+	for _, delay := range probeDelays {
+		time.Sleep(delay)
+		switch w.probe(e) {
 		case port.PresenceServing:
 			w.flights.Alive(keyOf(e))
 			return
 		case port.PresenceGone:
-			time.Sleep(settle)
-			if w.ended(e, "nothing listens there, or another one") {
+			time.Sleep(lossDelay)
+			if w.reportEnd(e, "nothing listens there, or another one") {
 				return
 			}
 		case port.PresenceSilent:
 			silent++
 		}
 	}
-	if silent == len(lookPauses) && w.ended(e, "connections end without an answer") {
+	if silent == len(probeDelays) && w.reportEnd(e, "connections end without an answer") {
 		return
 	}
 	w.flights.Alive(keyOf(e))
 }
 
-func (w *Watch) look(e port.Endpoint) port.Presence {
-	ctx, cancel := context.WithTimeout(context.Background(), lookTimeout)
+func (w *Watch) probe(e port.Endpoint) port.Presence {
+	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
 	return w.o.Look(ctx, e)
 }
 
-// ended takes the end of an endpoint, unless that is in doubt.
-func (w *Watch) ended(e port.Endpoint, reason string) bool {
+// reportEnd reports the end of an endpoint, as a crash unless it was leaving.
+// It returns false, without reporting, if an older attempt at the endpoint is
+// still open, as the endpoint may then still run.
+func (w *Watch) reportEnd(e port.Endpoint, reason string) bool {
 	now := w.o.Clock()
-	lost, doubt := w.flights.Gone(now, keyOf(e))
-	if doubt {
+	lost, uncertain := w.flights.Gone(now, keyOf(e))
+	if uncertain {
 		return false
 	}
 	if !w.o.Leaving(e) {
