--- a/internal/keeper/audit.go
+++ b/internal/keeper/audit.go
@@ -11,15 +11,16 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// Audit is the trail of accepted changes of one record.
+// Audit is the audit trail of one record: its accepted changes.
 type Audit struct {
 	Version uint64              `json:"version"`
 	Deleted bool                `json:"deleted"`
 	Changes []record.AuditEntry `json:"accepted"`
 }
 
-// Audit reads the trail from the platform, which alone keeps it. Refused
-// changes are in the decisions of the keeper that refused them.
+// Audit reads the audit trail from the platform, the only place where it is
+// stored. Refused changes are in the decision log of the keeper that refused
+// them.
 func (k *Keeper) Audit(ctx context.Context, kind, name string) (Audit, error) {
 	object, err := k.options.Platform.Get(ctx, kind, name)
 	switch {
@@ -28,7 +29,7 @@
 	case err != nil:
 		return Audit{}, merry.Prepend(ErrUnknown, err.Error())
 	}
-	k.called(time.Now(), true)
+	k.recordPlatformCall(time.Now(), true)
 	envelope, err := record.DecodeEnvelope(object.Value)
 	if err != nil {
 		return Audit{}, err
--- a/internal/keeper/cluster_test.go
+++ b/internal/keeper/cluster_test.go
@@ -23,24 +23,25 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/testkit/fakes"
 )
 
-// cluster is a few keepers over loopback before one platform stand-in.
+// cluster is a group of keepers that connect over loopback and share one
+// platform stand-in.
 type cluster struct {
 	t        *testing.T
 	platform *platform.Platform
 	server   *httptest.Server
-	keepers  []*running
+	keepers  []*runningKeeper
 }
 
-type running struct {
+type runningKeeper struct {
 	*Keeper
 	server *grpc.Server
 	stop   func()
 	prober *fakeProber
-	// cut makes this keeper's platform unreachable.
+	// cut makes the platform unreachable for this keeper.
 	cut *atomic.Bool
 }
 
-// cutTransport fails every call while cut.
+// cutTransport fails every call while cut is set.
 type cutTransport struct {
 	cut  *atomic.Bool
 	next http.Handler
@@ -54,7 +55,7 @@
 	c.next.ServeHTTP(w, r)
 }
 
-// fakeProber answers for endpoints.
+// fakeProber returns preset load reports for endpoints.
 type fakeProber struct {
 	mu      sync.Mutex
 	reports map[string]port.LoadReport
@@ -78,7 +79,7 @@
 	f.reports[r.EndpointID] = r
 }
 
-func (f *fakeProber) silence(id string) {
+func (f *fakeProber) unset(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.reports, id)
@@ -106,10 +107,10 @@
 	return c
 }
 
-const testBeat = 20 * time.Millisecond
+const testHeartbeat = 20 * time.Millisecond
 
-func (c *cluster) start(i int, l net.Listener, addresses []string) *running {
-	r := &running{prober: &fakeProber{reports: map[string]port.LoadReport{}}, cut: &atomic.Bool{}}
+func (c *cluster) start(i int, l net.Listener, addresses []string) *runningKeeper {
+	r := &runningKeeper{prober: &fakeProber{reports: map[string]port.LoadReport{}}, cut: &atomic.Bool{}}
 	gate := httptest.NewServer(cutTransport{cut: r.cut, next: c.platform})
 	c.t.Cleanup(gate.Close)
 	r.Keeper = New(Options{
@@ -118,11 +119,11 @@
 			PeerAddress: l.Addr().String(),
 		},
 		Keepers: addresses, Platform: httpplatform.New(httpplatform.Options{BaseURL: gate.URL}),
-		Prober: r.prober, Decisions: &fakes.Decisions{}, Logger: quiet(),
+		Prober: r.prober, Decisions: &fakes.Decisions{}, Logger: discardLogger(),
 		WatchWait: 200 * time.Millisecond, FallbackAfter: 2 * time.Second,
-		HostsEvery: testBeat, ProbeEvery: testBeat,
-		HeartbeatEvery: testBeat, SilenceAfter: 500 * time.Millisecond,
-		SettleWithin: 2 * time.Second, SettlePause: 10 * time.Millisecond,
+		HostsEvery: testHeartbeat, ProbeEvery: testHeartbeat,
+		HeartbeatEvery: testHeartbeat, SilenceAfter: 500 * time.Millisecond,
+		OutcomeTimeout: 2 * time.Second, OutcomeRetryPause: 10 * time.Millisecond,
 	})
 	r.server = grpc.NewServer(grpcpeer.ServerOptions()...)
 	r.Service(nil).Register(r.server)
@@ -136,9 +137,9 @@
 	return r
 }
 
-func (c *cluster) ready() {
+func (c *cluster) waitUntilReady() {
 	c.t.Helper()
-	eventually.True(c.t, "all keepers to be complete and to know each other", func() bool {
+	eventually.True(c.t, "all keepers are ready and know each other", func() bool {
 		for _, k := range c.keepers {
 			if !k.Ready() || len(k.liveKeepers()) != len(c.keepers) {
 				return false
@@ -148,25 +149,25 @@
 	})
 }
 
-func (c *cluster) faults(body string) {
+func (c *cluster) setFaults(body string) {
 	c.t.Helper()
 	r, err := http.NewRequest(http.MethodPut, c.server.URL+"/standin/faults", strings.NewReader(body))
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	c.request(r)
+	c.do(r)
 }
 
-func (c *cluster) hosts(list string) {
+func (c *cluster) setHosts(list string) {
 	c.t.Helper()
 	r, err := http.NewRequest(http.MethodPut, c.server.URL+"/standin/hosts", strings.NewReader(`{"endpoints":[`+list+`]}`))
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	c.request(r)
+	c.do(r)
 }
 
-func (c *cluster) request(r *http.Request) {
+func (c *cluster) do(r *http.Request) {
 	c.t.Helper()
 	res, err := http.DefaultClient.Do(r)
 	if err != nil {
@@ -178,7 +179,7 @@
 	}
 }
 
-func (c *cluster) holdEverywhere(version uint64, except ...*running) func() bool {
+func (c *cluster) heldEverywhere(version uint64, except ...*runningKeeper) func() bool {
 	return func() bool {
 		for _, k := range c.keepers {
 			skip := false
@@ -193,14 +194,15 @@
 	}
 }
 
-// An operator writes at one of five keepers, of which three watch. All hold
-// the record, the two that don't watch through the relay alone.
+// An operator writes to one of five keepers, three of which watch the platform.
+// All five hold the record; the two that don't watch get it through the relay
+// alone.
 func TestAcceptedWriteReachesAllKeepers(t *testing.T) {
 	c := newCluster(t, 5)
-	c.ready()
+	c.waitUntilReady()
 	r := mustChange(t, c.keepers[4].Keeper, create(1))
-	eventually.True(t, "the record everywhere", c.holdEverywhere(r.Record.Version))
-	eventually.True(t, "every line of in-force to be current", func() bool {
+	eventually.True(t, "all keepers hold the record", c.heldEverywhere(r.Record.Version))
+	eventually.True(t, "every in-force entry is current", func() bool {
 		status := c.keepers[0].InForce(context.Background())
 		for _, h := range status.Hosts {
 			if !h.Current || h.State != port.MemberLive {
@@ -211,58 +213,60 @@
 	})
 }
 
-// The write goes past all keepers, as from an operator at a keeper that died
-// right after: only watches bring it, to few, and the relay to the others.
+// A write bypasses all keepers, as if the keeper that made it died right after.
+// The few keepers that watch the platform read it, and relay it to the others.
 func TestWatchedChangeReachesAllKeepers(t *testing.T) {
 	c := newCluster(t, 5)
-	c.ready()
+	c.waitUntilReady()
 	client := httpplatform.New(httpplatform.Options{BaseURL: c.server.URL})
-	lone, _ := newTestKeeper(client)
-	r := mustChange(t, lone, create(1))
-	eventually.True(t, "the record everywhere", c.holdEverywhere(r.Record.Version))
+	writer, _ := newTestKeeper(client)
+	r := mustChange(t, writer, create(1))
+	eventually.True(t, "all keepers hold the record", c.heldEverywhere(r.Record.Version))
 }
 
 // One keeper loses the platform but not the other keepers. Its records stay
-// current through the relay, and an operator's write at it is refused as not
-// written, not as failed.
-func TestKeeperCutFromThePlatformStaysCurrent(t *testing.T) {
+// current through the relay. An operator's write to it is refused as not
+// written.
+func TestKeeperWithoutPlatformStaysCurrent(t *testing.T) {
 	c := newCluster(t, 3)
-	c.ready()
+	c.waitUntilReady()
 	c.keepers[1].cut.Store(true)
 	r := mustChange(t, c.keepers[0].Keeper, create(1))
-	eventually.True(t, "the record everywhere", c.holdEverywhere(r.Record.Version))
+	eventually.True(t, "all keepers hold the record", c.heldEverywhere(r.Record.Version))
 	if _, err := c.keepers[1].Change(context.Background(), revise(2, 1)); err == nil {
 		t.Fatal("accepted a write without the platform")
 	}
 }
 
-// All watchers lose the platform while the others could reach it. The age of
-// the last answer grows everywhere, and then the others watch.
-func TestOthersWatchWhenTheWatchersCannot(t *testing.T) {
+// All watchers lose the platform while the other keepers could reach it. The
+// age of the last answer grows on every keeper, until other keepers start to
+// watch.
+func TestOtherKeepersWatchWhenWatchersLosePlatform(t *testing.T) {
 	c := newCluster(t, 5)
-	c.ready()
-	chosen := membership.Watchers(c.keepers[0].liveKeepers(), DefaultWatchers)
+	c.waitUntilReady()
+	watchers := membership.Watchers(c.keepers[0].liveKeepers(), DefaultWatchers)
 	for _, k := range c.keepers {
-		for _, id := range chosen {
+		for _, id := range watchers {
 			if k.options.Self.ID == id {
 				k.cut.Store(true)
 			}
 		}
 	}
 	client := httpplatform.New(httpplatform.Options{BaseURL: c.server.URL})
-	lone, _ := newTestKeeper(client)
-	r := mustChange(t, lone, create(1))
-	eventually.True(t, "the record everywhere", c.holdEverywhere(r.Record.Version))
+	writer, _ := newTestKeeper(client)
+	r := mustChange(t, writer, create(1))
+	eventually.True(t, "all keepers hold the record", c.heldEverywhere(r.Record.Version))
 }
 
-// The platform is down, and every keeper is replaced one by one. Each new one
-// takes the records from those that are left, and the last one holds them all.
-func TestRecordsOutliveReplacementDuringAnOutage(t *testing.T) {
+// The platform is down and the keepers are replaced one by one. Each new keeper
+// gets the records from the remaining ones, and the last one replaced holds
+// them all.
+func TestRecordsSurviveKeeperReplacementDuringOutage(t *testing.T) {
 	c := newCluster(t, 3)
-	c.ready()
+	c.waitUntilReady()
 	r := mustChange(t, c.keepers[0].Keeper, create(1))
-	eventually.True(t, "the record everywhere", c.holdEverywhere(r.Record.Version))
-	c.faults(`{"down":true}`)
+	eventually.True(t, "all keepers hold the record", c.heldEverywhere(r.Record.Version))
+	c.setFaults(`{"down":true}`)
 	addresses := make([]string, 0, len(c.keepers))
 	for _, k := range c.keepers {
 		addresses = append(addresses, k.options.Self.PeerAddress)
@@ -274,23 +278,23 @@
 			t.Fatal(err)
 		}
 		c.keepers[i] = c.start(i, l, addresses)
-		eventually.True(t, "the replaced keeper to be complete", func() bool {
+		eventually.True(t, "the replacement keeper is ready with the record", func() bool {
 			held, ok := c.keepers[i].Record(testKind, testName)
 			return c.keepers[i].Ready() && ok && held.Version == r.Record.Version
 		})
 	}
 }
 
-// A keeper's process dies. The others see it refused and thus dead, not
-// merely silent; a new process under the same id is live again.
-func TestDeadKeeperIsJudgedAndComesBack(t *testing.T) {
+// A keeper's process dies. Its address refuses connections, so the others mark
+// it dead rather than silent. A new process under the same id is live again.
+func TestStoppedKeeperIsMarkedDeadAndRejoins(t *testing.T) {
 	c := newCluster(t, 3)
-	c.ready()
+	c.waitUntilReady()
 	address := c.keepers[1].options.Self.PeerAddress
 	c.keepers[1].stop()
-	stateAt := func(k *running) membership.Member { m, _ := k.node.Members.Get("k1"); return m }
-	eventually.True(t, "the others to judge it dead", func() bool {
-		a, b := stateAt(c.keepers[0]), stateAt(c.keepers[2])
+	memberAt := func(k *runningKeeper) membership.Member { m, _ := k.node.Members.Get("k1"); return m }
+	eventually.True(t, "the other keepers mark k1 dead", func() bool {
+		a, b := memberAt(c.keepers[0]), memberAt(c.keepers[2])
 		return a.State == port.MemberDead && b.State == port.MemberDead && a.Condition == membership.ConditionRefused
 	})
 	l, err := net.Listen("tcp", address)
@@ -298,7 +302,7 @@
 		t.Fatal(err)
 	}
 	c.keepers[1] = c.start(1, l, []string{c.keepers[0].options.Self.PeerAddress})
-	c.ready()
+	c.waitUntilReady()
 }
 
 const endpointJSON = `{"id":"e","kind":"runner","pool":"p","address":"127.0.0.1:9","failure_domain":"d0","incarnation":1,"state":"live"}`
@@ -315,65 +319,67 @@
 	}
 }
 
-// The endpoint says that it leaves while the list goes on showing it live.
-// Every keeper hears, and the list never makes it live again.
-func TestOwnWordBeatsTheLaggingList(t *testing.T) {
+// An endpoint reports that it is leaving while the list still shows it as live.
+// Every keeper learns of it, and the list never makes that incarnation live
+// again.
+func TestEndpointReportOverridesStaleList(t *testing.T) {
 	c := newCluster(t, 3)
-	c.ready()
+	c.waitUntilReady()
 	for _, k := range c.keepers {
 		k.prober.set(port.LoadReport{EndpointID: "e", Incarnation: 1, State: port.EndpointLive})
 	}
-	c.hosts(endpointJSON)
-	eventually.True(t, "the endpoint, confirmed by itself", c.endpointEverywhere(func(e membership.Endpoint) bool { return e.Confirmed && e.State == port.EndpointLive }))
+	c.setHosts(endpointJSON)
+	eventually.True(t, "the endpoint is live and confirmed on all keepers", c.endpointEverywhere(func(e membership.Endpoint) bool { return e.Confirmed && e.State == port.EndpointLive }))
 	for _, k := range c.keepers {
 		k.prober.set(port.LoadReport{EndpointID: "e", Incarnation: 1, State: port.EndpointLeaving})
 	}
 	leaving := c.endpointEverywhere(func(e membership.Endpoint) bool { return e.State == port.EndpointLeaving })
-	eventually.True(t, "all to hear that it leaves", leaving)
-	c.hosts(endpointJSON)
+	eventually.True(t, "the endpoint is leaving on all keepers", leaving)
+	c.setHosts(endpointJSON)
 	for _, k := range c.keepers {
-		k.takeHosts([]port.HostEntry{{Endpoint: port.Endpoint{ID: "e", Incarnation: 1, State: port.EndpointLive}}}, map[string]int{})
+		k.mergeHosts([]port.HostEntry{{Endpoint: port.Endpoint{ID: "e", Incarnation: 1, State: port.EndpointLive}}}, map[string]int{})
 	}
 	if !leaving() {
-		t.Fatal("the list made it live again")
+		t.Fatal("the list made the leaving endpoint live again")
 	}
 	for _, k := range c.keepers {
 		k.prober.set(port.LoadReport{EndpointID: "e", Incarnation: 2, State: port.EndpointLive})
 	}
-	eventually.True(t, "the next incarnation to be live", c.endpointEverywhere(func(e membership.Endpoint) bool { return e.Incarnation == 2 && e.State == port.EndpointLive }))
+	eventually.True(t, "the next incarnation is live on all keepers", c.endpointEverywhere(func(e membership.Endpoint) bool { return e.Incarnation == 2 && e.State == port.EndpointLive }))
 }
 
-// Probes fail for a while: the endpoint is shown unreachable, and taken back
-// when it answers. Only when the list has dropped it too is it gone for good.
-func TestFailedProbesAloneAreTakenBack(t *testing.T) {
+// Probes fail for a while: the endpoint is marked unreachable, and reachable
+// again as soon as it answers. It is marked gone only when the list has dropped
+// it as well.
+func TestFailedProbesAloneAreReversible(t *testing.T) {
 	c := newCluster(t, 3)
-	c.ready()
+	c.waitUntilReady()
 	report := port.LoadReport{EndpointID: "e", Incarnation: 1, State: port.EndpointLive}
 	set := func() {
 		for _, k := range c.keepers {
 			k.prober.set(report)
 		}
 	}
-	silence := func() {
+	unset := func() {
 		for _, k := range c.keepers {
-			k.prober.silence("e")
+			k.prober.unset("e")
 		}
 	}
 	set()
-	c.hosts(endpointJSON)
-	eventually.True(t, "the endpoint", c.endpointEverywhere(func(e membership.Endpoint) bool { return e.Confirmed }))
-	silence()
-	eventually.True(t, "unreachable everywhere", c.endpointEverywhere(func(e membership.Endpoint) bool { return e.Unreachable && e.State == port.EndpointLive }))
+	c.setHosts(endpointJSON)
+	eventually.True(t, "the endpoint is confirmed on all keepers", c.endpointEverywhere(func(e membership.Endpoint) bool { return e.Confirmed }))
+	unset()
+	eventually.True(t, "the endpoint is unreachable on all keepers", c.endpointEverywhere(func(e membership.Endpoint) bool { return e.Unreachable && e.State == port.EndpointLive }))
 	set()
-	eventually.True(t, "reachable again", c.endpointEverywhere(func(e membership.Endpoint) bool { return !e.Unreachable }))
-	silence()
-	c.hosts("")
-	eventually.True(t, "gone", c.endpointEverywhere(func(e membership.Endpoint) bool { return e.State == port.EndpointGone }))
+	eventually.True(t, "the endpoint is reachable again on all keepers", c.endpointEverywhere(func(e membership.Endpoint) bool { return !e.Unreachable }))
+	unset()
+	c.setHosts("")
+	eventually.True(t, "the endpoint is gone on all keepers", c.endpointEverywhere(func(e membership.Endpoint) bool { return e.State == port.EndpointGone }))
 }
 
-// Most of a keeper's probes fail at once: its own link is the likelier cause,
-// and it does not take all endpoints from all routers.
-func TestMostProbesFailingBlamesTheOwnLink(t *testing.T) {
+// Most of a keeper's probes fail at once. The keeper's own link is the likelier
+// cause, so the keeper must not mark all endpoints unreachable for all routers.
+func TestMostProbesFailingIsOwnLinkFault(t *testing.T) {
 	k, _ := newTestKeeper(newFakePlatform())
 	share := make([]membership.Endpoint, 8)
 	for i := range share {
@@ -390,34 +396,35 @@
 		return n
 	}
 	all := []bool{true, true, true, true, true, true, true, true}
-	for range 2 * missesToFail {
-		k.takeMisses(share, all)
+	for range 2 * failuresToUnreachable {
+		k.handleProbeFailures(share, all)
 	}
 	if n := unreachable(); n != 0 {
-		t.Fatalf("%d endpoints taken for unreachable", n)
+		t.Fatalf("%d endpoints marked unreachable, want none", n)
 	}
 	one := make([]bool, len(share))
 	one[2] = true
-	for range missesToFail {
-		k.takeMisses(share, one)
+	for range failuresToUnreachable {
+		k.handleProbeFailures(share, one)
 	}
 	if n := unreachable(); n != 1 {
-		t.Fatalf("%d endpoints unreachable, want the one", n)
+		t.Fatalf("%d endpoints marked unreachable, want one", n)
 	}
 }
 
-// Two halves of the system have taken each other for dead and each has a
-// whole ring of its own. When the links heal nobody on the ring would call
-// the other half; the bridge does.
-func TestPartitionedKeepersFindEachOther(t *testing.T) {
+// Both sides of a partition have marked the other side dead, and each has a
+// complete ring of its own. After the links heal no ring neighbour connects to
+// the other side; only the link to a keeper that isn't known to be live does.
+func TestPartitionedKeepersRejoin(t *testing.T) {
 	c := newCluster(t, 2)
-	c.ready()
+	c.waitUntilReady()
 	for i, k := range c.keepers {
 		other, _ := k.node.Members.Get(c.keepers[1-i].options.Self.ID)
 		other.State, other.Condition = port.MemberDead, membership.ConditionUnreachable
-		// Later than any heartbeat that the other has sent by now.
+		// Larger than the sequence of any heartbeat that the other keeper has
+		// sent so far.
 		other.Sequence += 1000
 		k.node.PutMember(other)
 	}
-	c.ready()
+	c.waitUntilReady()
 }
--- a/internal/keeper/departed_test.go
+++ b/internal/keeper/departed_test.go
@@ -8,26 +8,26 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// Guards against a registry of departed runners that grows for ever.
-func TestRunnersThatHaveLeftAreForgotten(t *testing.T) {
+// Guards against a set of departed runners that grows without bound.
+func TestDepartedRunnersAreForgotten(t *testing.T) {
 	r := &registry{entries: map[string]port.ListedEndpoint{}}
 	k := newRegistryKeeper(r)
 	s := &endpointSource{keeper: k}
 	w := newWatch(k, kindEndpoints, s)
 	follow := k.FollowEndpoints()
-	r.put(listed("lives", 1, port.EndpointLive))
+	r.put(registryEntry("lives", 1, port.EndpointLive))
 	held := map[string]bool{}
 	const departures = 4000
 	for i := range departures {
 		id := fmt.Sprint("e", i)
-		r.put(listed(id, 1, port.EndpointLive))
-		r.put(listed(id, 1, port.EndpointLeaving))
+		r.put(registryEntry(id, 1, port.EndpointLive))
+		r.put(registryEntry(id, 1, port.EndpointLeaving))
 		r.put(port.ListedEndpoint{Endpoint: port.Endpoint{ID: id}, Removed: true})
 		if i%20 != 0 {
 			continue
 		}
 		w.step(t.Context())
-		k.forgetDeparted()
+		k.forgetDepartedEndpoints()
 		changed, forgotten := follow()
 		for _, e := range changed {
 			held[e.ID] = true
@@ -40,12 +40,13 @@
 		t.Errorf("%d endpoints are held after %d departures, a follower holds %d", n, departures, len(held))
 	}
 	if e, _ := k.node.Endpoints.Get("lives"); e.State != port.EndpointLive {
-		t.Errorf("the one that lives is %q", e.State)
+		t.Errorf("the live endpoint is %q", e.State)
 	}
 }
 
-// Guards against a departed runner that a long isolated peer brings back for good.
-func TestForgottenRunnerThatAPeerBringsBackIsLeftAgain(t *testing.T) {
+// Guards against a departed runner that a long isolated peer permanently adds
+// again.
+func TestForgottenRunnerFromPeerIsMarkedLeaving(t *testing.T) {
 	r := &registry{entries: map[string]port.ListedEndpoint{}, revision: 5000}
 	k := newRegistryKeeper(r)
 	s := &endpointSource{keeper: k}
@@ -55,6 +56,6 @@
 		t.Fatal(err)
 	}
 	if e, _ := k.node.Endpoints.Get("old"); e.State != port.EndpointLeaving {
-		t.Fatalf("%q after a list without it", e.State)
+		t.Fatalf("the endpoint is %q after a list without it, want leaving", e.State)
 	}
 }
--- a/internal/keeper/duty.go
+++ b/internal/keeper/duty.go
@@ -7,47 +7,48 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/core/watchduty"
 )
 
-// role decides how this keeper reads the platform now.
+// role decides how this keeper currently reads the platform.
 func (k *Keeper) role(now time.Time) watchduty.Role {
-	s := k.standing()
+	s := k.memberView()
 	r := k.duty.Role(now, &watchduty.Standing{
-		Keepers: len(s.live), Place: s.place, Line: s.line, Hash: s.hash, Watchers: s.watchers,
-		Linked: now.Sub(time.Unix(0, k.peerHeard.Load())) < k.options.SilenceAfter,
-		Seed:   s.seed,
+		Keepers: len(s.live), Place: s.watcherIndex, Line: s.ringPosition, Hash: s.idHash, Watchers: s.watcherHashes,
+		Linked: now.Sub(time.Unix(0, k.lastPeerMessage.Load())) < k.options.SilenceAfter,
+		Seed:   s.isSeed,
 	})
 	if before := watchduty.Role(k.lastRole.Swap(int32(r))); before != r {
-		k.logRole(now, before, r, s)
+		k.logRoleChange(now, before, r, s)
 	}
 	return r
 }
 
-// logRole writes the line of a change of role, with what decided it.
-func (k *Keeper) logRole(now time.Time, before, r watchduty.Role, s *standing) {
+// logRoleChange logs a change of role with the values that it was decided on.
+func (k *Keeper) logRoleChange(now time.Time, before, r watchduty.Role, s *memberView) {
 	n := k.duty.News()
 	k.options.Logger.Info().Str("event", "watch_role").Str("role", r.String()).Str("before", before.String()).
-		Int("place", s.place).Int("line", s.line).Int("keepers", len(s.live)).
-		Int64("answered_ago_ms", agoMillis(now, n.Answered)).Int64("tried_ago_ms", agoMillis(now, n.Tried)).Msg("")
+		Int("place", s.watcherIndex).Int("line", s.ringPosition).Int("keepers", len(s.live)).
+		Int64("answered_ago_ms", millisSince(now, n.Answered)).Int64("tried_ago_ms", millisSince(now, n.Tried)).Msg("")
 }
 
-// agoMillis is the time since a moment, -1 for never.
-func agoMillis(now, at time.Time) int64 {
-	if at.IsZero() {
+// millisSince returns the milliseconds since a time, -1 for the zero time.
+func millisSince(now, since time.Time) int64 {
+	if since.IsZero() {
 		return -1
 	}
-	return now.Sub(at).Milliseconds()
+	return now.Sub(since).Milliseconds()
 }
 
-// onHostDuty reports whether this keeper reads the list of hosts, which fewer
-// keepers read.
-func (k *Keeper) onHostDuty(now time.Time) bool {
+// readsHostList reports whether this keeper reads the list of hosts, which
+// fewer keepers read than other kinds.
+func (k *Keeper) readsHostList(now time.Time) bool {
 	r := k.role(now)
-	return k.standing().hostPoller || r == watchduty.Alone || r == watchduty.Blind
+	return k.memberView().pollsHosts || r == watchduty.Alone || r == watchduty.Blind
 }
 
-// called notes how an own call of the platform went, and passes the news on.
-func (k *Keeper) called(now time.Time, answered bool) {
-	k.duty.Called(now, k.standing().hash, answered)
-	k.passOnNews()
+// recordPlatformCall records the outcome of a call that this keeper made to the
+// platform, and relays it to peers.
+func (k *Keeper) recordPlatformCall(now time.Time, answered bool) {
+	k.duty.Called(now, k.memberView().idHash, answered)
+	k.relayNews()
 }
 
 // News implements grpcpeer.PlatformRelay.
@@ -55,31 +56,31 @@
 
 // HeardNews implements grpcpeer.PlatformRelay.
 func (k *Keeper) HeardNews(n watchduty.News) {
-	k.peerHeard.Store(time.Now().UnixNano())
+	k.lastPeerMessage.Store(time.Now().UnixNano())
 	if n.Tried.IsZero() {
 		return
 	}
 	k.duty.Heard(n)
-	k.passOnNews()
+	k.relayNews()
 }
 
-// passOnNews wakes the links where their peers should hear before the next
-// heartbeat.
-func (k *Keeper) passOnNews() {
+// relayNews wakes the links if peers should learn of the platform's state
+// before the next heartbeat.
+func (k *Keeper) relayNews() {
 	n := k.duty.News()
-	k.told.mu.Lock()
-	adds := n.Adds(k.told.news, grpcpeer.FreshnessStep)
-	if adds {
-		k.told.news = n
+	k.lastRelayed.mu.Lock()
+	relay := n.Adds(k.lastRelayed.news, grpcpeer.FreshnessStep)
+	if relay {
+		k.lastRelayed.news = n
 	}
-	k.told.mu.Unlock()
-	if adds {
+	k.lastRelayed.mu.Unlock()
+	if relay {
 		k.node.WakeLinks()
 	}
 }
 
-// PlatformAge is the time since the platform last answered any keeper that
-// this one hears of; negative when it never did.
+// PlatformAge returns the time since the platform last answered any keeper, as
+// far as this keeper knows. It is negative if no answer is known.
 func (k *Keeper) PlatformAge(now time.Time) time.Duration {
 	answered := k.duty.News().Answered
 	if answered.IsZero() {
--- a/internal/keeper/fakes_test.go
+++ b/internal/keeper/fakes_test.go
@@ -16,45 +16,45 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/testkit/memplatform"
 )
 
-// fate is what happens to one call of the fake platform.
-type fate int
+// callResult is the result of one call to the fake platform.
+type callResult int
 
 const (
-	fateOK fate = iota
-	// fateDown: refused, nothing written.
-	fateDown
-	// fateLost: written, the reply is lost.
-	fateLost
-	// fateNeverArrived: the reply is lost and nothing was written.
-	fateNeverArrived
+	resultOK callResult = iota
+	// resultDown: the call is refused and nothing is written.
+	resultDown
+	// resultReplyLost: the value is written, but the reply is lost.
+	resultReplyLost
+	// resultNotDelivered: the reply is lost and nothing is written.
+	resultNotDelivered
 )
 
-// fakePlatform is the platform with a fate for each call.
+// fakePlatform is an in-memory platform with a preset result for each call.
 type fakePlatform struct {
 	*memplatform.Store
-	mu   sync.Mutex
-	puts []fate
-	gets []fate
-	// beforePut runs ahead of each write, outside of the lock.
+	mu         sync.Mutex
+	putResults []callResult
+	getResults []callResult
+	// beforePut is called before each write, without the lock held.
 	beforePut func()
 	hosts     []port.HostEntry
 }
 
 func newFakePlatform() *fakePlatform { return &fakePlatform{Store: memplatform.New()} }
 
-func next(fates *[]fate) fate {
-	if len(*fates) == 0 {
-		return fateOK
+func nextResult(results *[]callResult) callResult {
+	if len(*results) == 0 {
+		return resultOK
 	}
-	f := (*fates)[0]
-	*fates = (*fates)[1:]
+	f := (*results)[0]
+	*results = (*results)[1:]
 	return f
 }
 
 func (p *fakePlatform) Get(ctx context.Context, kind, name string) (port.Object, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if next(&p.gets) != fateOK {
+	if nextResult(&p.getResults) != resultOK {
 		return port.Object{}, port.ErrPlatformUnavailable
 	}
 	return p.Store.Get(ctx, kind, name)
@@ -66,15 +66,15 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	f := next(&p.puts)
+	f := nextResult(&p.putResults)
 	switch f {
-	case fateDown:
+	case resultDown:
 		return port.Object{}, port.ErrPlatformUnavailable
-	case fateNeverArrived:
+	case resultNotDelivered:
 		return port.Object{}, port.ErrOutcomeUnknown
 	}
 	o, err := p.Store.Put(ctx, kind, name, expect, value)
-	if f == fateLost {
+	if f == resultReplyLost {
 		return port.Object{}, port.ErrOutcomeUnknown
 	}
 	return o, err
@@ -83,7 +83,7 @@
 func (p *fakePlatform) List(ctx context.Context, kind string) ([]port.Object, port.StoreRevision, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if next(&p.gets) != fateOK {
+	if nextResult(&p.getResults) != resultOK {
 		return nil, 0, port.ErrPlatformUnavailable
 	}
 	return p.Store.List(ctx, kind)
@@ -100,8 +100,8 @@
 	return p.hosts, nil
 }
 
-// other is a second operator's write at another keeper.
-func (p *fakePlatform) other(c *Change, writeID string) {
+// writeConcurrently stores a write of a second operator at another keeper.
+func (p *fakePlatform) writeConcurrently(c *Change, writeID string) {
 	ctx := context.Background()
 	before := &record.Envelope{Deleted: true}
 	current, err := p.Store.Get(ctx, c.Kind, c.Name)
@@ -114,20 +114,20 @@
 	}
 }
 
-func quiet() *log.Logger { return &log.Logger{Writer: &log.IOWriter{Writer: io.Discard}} }
+func discardLogger() *log.Logger { return &log.Logger{Writer: &log.IOWriter{Writer: io.Discard}} }
 
 func newTestKeeper(p port.Platform) (*Keeper, *fakes.Decisions) {
 	decisions := &fakes.Decisions{}
 	return New(Options{
 		Self: port.Member{ID: "k1", FailureDomain: "d1", PeerAddress: "127.0.0.1:1"},
-		// It reads the platform from its start on.
+		// A seed reads the platform from its start on.
 		Keepers:  []string{"127.0.0.1:1"},
-		Platform: p, Decisions: decisions, Logger: quiet(),
-		SettleWithin: 2 * time.Second, SettlePause: time.Millisecond,
+		Platform: p, Decisions: decisions, Logger: discardLogger(),
+		OutcomeTimeout: 2 * time.Second, OutcomeRetryPause: time.Millisecond,
 	}), decisions
 }
 
-// exchange has the two ends of a link tell each other all that is new.
+// exchange sends all pending messages between the two ends of a link.
 func exchange(ends [2]*node.Link) {
 	const rounds = 4
 	for range rounds {
--- a/internal/keeper/hosts.go
+++ b/internal/keeper/hosts.go
@@ -8,21 +8,24 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// hostsRetryFactor bounds the pause between reads that fail.
+// hostsRetryFactor is the longest pause between failed reads, as a multiple of
+// the normal one.
 const hostsRetryFactor = 4
 
-// absentReads is how many lists in a row must leave an endpoint out.
-const absentReads = 2
+// listsToDelist is how many lists in a row must leave an endpoint out before it
+// counts as delisted.
+const listsToDelist = 2
 
-// pollHostsForever reads the platform's list of hosts on a few keepers.
-func (k *Keeper) pollHostsForever(ctx context.Context) error {
-	absent := map[string]int{}
+// pollHosts reads the platform's list of hosts while this keeper is one of the
+// few that do.
+func (k *Keeper) pollHosts(ctx context.Context) error {
+	missingLists := map[string]int{}
 	every := k.options.HostsEvery
 	for {
-		if k.onHostDuty(time.Now()) {
+		if k.readsHostList(time.Now()) {
 			hosts, err := k.options.Platform.Hosts(ctx)
 			if err == nil {
-				k.takeHosts(hosts, absent)
+				k.mergeHosts(hosts, missingLists)
 				every = k.options.HostsEvery
 			} else {
 				every = min(2*every, hostsRetryFactor*k.options.HostsEvery)
@@ -34,28 +37,29 @@
 	}
 }
 
-// takeHosts merges a list. The list lags: a late "live" can't undo a leaving
-// that was heard from the endpoint, as the state only grows.
-func (k *Keeper) takeHosts(hosts []port.HostEntry, absent map[string]int) {
-	named := make(map[string]bool, len(hosts))
+// mergeHosts merges a list of hosts. The list lags, but the state of an
+// incarnation only advances, so a late "live" can't undo a "leaving" that the
+// endpoint itself reported.
+func (k *Keeper) mergeHosts(hosts []port.HostEntry, missingLists map[string]int) {
+	listed := make(map[string]bool, len(hosts))
 	for i := range hosts {
-		named[hosts[i].ID] = true
+		listed[hosts[i].ID] = true
 		k.putEndpoint(membership.Listed(hosts[i].Endpoint), "host_list")
 	}
 	for e := range k.node.Endpoints.All() {
-		if named[e.ID] || e.State == port.EndpointGone {
-			delete(absent, e.ID)
+		if listed[e.ID] || e.State == port.EndpointGone {
+			delete(missingLists, e.ID)
 			continue
 		}
-		absent[e.ID]++
-		if absent[e.ID] >= absentReads {
+		missingLists[e.ID]++
+		if missingLists[e.ID] >= listsToDelist {
 			k.putEndpoint(membership.Delisted(e), "not_listed_and_unreachable")
 		}
 	}
 }
 
-// putEndpoint merges an endpoint's state, and logs a decision where that
-// changes what others may do with it.
+// putEndpoint merges an endpoint's state, and logs a decision if the change
+// affects how the endpoint may be used.
 func (k *Keeper) putEndpoint(e membership.Endpoint, reason string) {
 	before, known := k.node.Endpoints.Get(e.ID)
 	if !k.node.PutEndpoint(e) {
@@ -65,13 +69,13 @@
 	if known && before.State == after.State && before.Unreachable == after.Unreachable && before.Incarnation == after.Incarnation {
 		return
 	}
-	k.decideOn(&port.DecisionRecord{
-		Subject: "endpoint", SubjectID: e.ID, Verdict: verdictOn(&after), Reason: reason, Revision: after.Revision,
+	k.recordDecision(&port.DecisionRecord{
+		Subject: "endpoint", SubjectID: e.ID, Verdict: endpointVerdict(&after), Reason: reason, Revision: after.Revision,
 	})
 }
 
-// TellLimit tells all daemons of the requests a second that an endpoint takes
-// from all of them together, zero for no limit.
+// TellLimit announces to all daemons how many requests per second an endpoint
+// accepts from all of them together; zero means no limit.
 func (k *Keeper) TellLimit(endpoint string, incarnation uint64, perSecond float64) {
 	known, ok := k.node.Endpoints.Get(endpoint)
 	if ok && known.Incarnation == incarnation {
@@ -79,34 +83,35 @@
 	}
 }
 
-// forgetDeparted forgets the endpoints that have left long ago. Only a change of
-// the endpoints can make more of them.
-func (k *Keeper) forgetDeparted() {
+// forgetDepartedEndpoints removes the endpoints that left long ago. It does
+// nothing unless the endpoints have changed, since nothing else adds departed
+// ones.
+func (k *Keeper) forgetDepartedEndpoints() {
 	digest := k.node.Endpoints.Digest()
-	if digest == k.swept {
+	if digest == k.prunedDigest {
 		return
 	}
-	k.swept = digest
+	k.prunedDigest = digest
 	for _, id := range k.node.ForgetDeparted() {
-		k.probes.hit(id)
+		k.probeFailures.reset(id)
 	}
 }
 
-func verdictOn(e *membership.Endpoint) string {
+func endpointVerdict(e *membership.Endpoint) string {
 	if e.State == port.EndpointLive && e.Unreachable {
 		return "unreachable"
 	}
 	return string(e.State)
 }
 
-func (k *Keeper) decide(subject, id, verdict, reason string, version uint64) {
-	k.decideOn(&port.DecisionRecord{
+func (k *Keeper) recordVerdict(subject, id, verdict, reason string, version uint64) {
+	k.recordDecision(&port.DecisionRecord{
 		Subject: subject, SubjectID: id, Verdict: verdict, Reason: reason, ConfigurationVersion: version,
 	})
 }
 
-// decideOn records what this keeper believes from now on.
-func (k *Keeper) decideOn(d *port.DecisionRecord) {
+// recordDecision logs a decision of this keeper.
+func (k *Keeper) recordDecision(d *port.DecisionRecord) {
 	if k.options.Decisions == nil {
 		return
 	}
--- a/internal/keeper/inforce.go
+++ b/internal/keeper/inforce.go
@@ -15,28 +15,28 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// directoryTimeout bounds the asking of the other keepers.
+// directoryTimeout bounds the calls to the other keepers' directories.
 const directoryTimeout = time.Second
 
-// InForce is what is in force where.
+// InForce is the status of all daemons and the versions in force on them.
 type InForce struct {
-	// Version is the highest record version known anywhere.
+	// Version is the highest known record version of any daemon.
 	Version uint64 `json:"version"`
-	// Records counts the records held here, deleted ones left out.
+	// Records counts the records held here, without deleted ones.
 	Records int `json:"records"`
-	// PlatformAgeMillis is the age of the platform's last answer to any
-	// keeper; -1 when there was none.
+	// PlatformAgeMillis is the age of the platform's last answer to any keeper;
+	// -1 if there was none.
 	PlatformAgeMillis int64 `json:"platform_age_ms"`
-	// StoreEra counts how often the platform's store came back from a copy, as
+	// StoreEra counts the restores of the platform's store from a backup, as
 	// far as this keeper knows.
 	StoreEra uint64       `json:"store_era,omitempty"`
 	Hosts    []HostStatus `json:"hosts"`
-	// Unanswered are keepers that did not answer in time; what they hear
-	// may be missing from Hosts or old.
+	// Unanswered lists keepers that did not answer in time; the daemons whose
+	// heartbeats they receive may be missing from Hosts or be out of date.
 	Unanswered []string `json:"unanswered_keepers,omitempty"`
 }
 
-// HostStatus is one daemon's line.
+// HostStatus is the status of one daemon.
 type HostStatus struct {
 	ID            string               `json:"id"`
 	Role          port.MemberRole      `json:"role"`
@@ -45,19 +45,19 @@
 	State         port.MemberState     `json:"state"`
 	Condition     membership.Condition `json:"condition,omitempty"`
 	Version       uint64               `json:"version"`
-	// Current: the version is the highest known anywhere.
+	// Current: the daemon has the highest version known anywhere.
 	Current bool `json:"current"`
-	// AgeMillis is how long the version has been in force there.
+	// AgeMillis is how long the version has been in force on the daemon.
 	AgeMillis int64 `json:"age_ms"`
-	// HeardAgeMillis is the age of what is said here; -1 where no keeper
-	// that answered hears the daemon.
+	// HeardAgeMillis is the age of this status; -1 if no keeper that answered
+	// receives the daemon's heartbeats.
 	HeardAgeMillis int64  `json:"heard_age_ms"`
 	HeardBy        string `json:"heard_by,omitempty"`
 }
 
-// InForce asks every live keeper for what it hears and joins the answers.
+// InForce collects the directories of all live keepers and merges them.
 func (k *Keeper) InForce(ctx context.Context) InForce {
-	heard, unanswered := k.askDirectories(ctx)
+	entries, unanswered := k.collectDirectories(ctx)
 	now := time.Now()
 	out := InForce{
 		Version: k.node.HighestKnown(), Records: len(k.Records()), Unanswered: unanswered,
@@ -66,11 +66,11 @@
 	if age := k.PlatformAge(now); age >= 0 {
 		out.PlatformAgeMillis = age.Milliseconds()
 	}
-	for _, h := range heard {
-		out.Version = max(out.Version, h.GetHighestVersion())
+	for _, entry := range entries {
+		out.Version = max(out.Version, entry.GetHighestVersion())
 	}
 	for m := range k.node.Members.All() {
-		out.Hosts = append(out.Hosts, hostStatus(&m, heard[m.ID], out.Version))
+		out.Hosts = append(out.Hosts, hostStatus(&m, entries[m.ID], out.Version))
 	}
 	slices.SortFunc(out.Hosts, func(a, b HostStatus) int {
 		return cmp.Or(cmp.Compare(a.FailureDomain, b.FailureDomain), cmp.Compare(a.ID, b.ID))
@@ -78,35 +78,36 @@
 	return out
 }
 
-func hostStatus(m *membership.Member, h *peerv1.Member, highest uint64) HostStatus {
+func hostStatus(m *membership.Member, entry *peerv1.Member, highest uint64) HostStatus {
 	s := HostStatus{
 		ID: m.ID, Role: m.Role, Host: m.Host, FailureDomain: m.FailureDomain,
 		State: m.Effective(), Condition: m.Condition, HeardAgeMillis: -1,
 	}
-	if h == nil {
+	if entry == nil {
 		return s
 	}
-	s.Version, s.HeardAgeMillis, s.HeardBy = h.GetHighestVersion(), h.GetHeardAgeMillis(), h.GetHeardBy()
-	s.AgeMillis = h.GetInForceAgeMillis()
+	s.Version, s.HeardAgeMillis, s.HeardBy = entry.GetHighestVersion(), entry.GetHeardAgeMillis(), entry.GetHeardBy()
+	s.AgeMillis = entry.GetInForceAgeMillis()
 	s.Current = s.Version >= highest
 	return s
 }
 
-// askDirectories returns for each member the youngest of what was heard.
-func (k *Keeper) askDirectories(ctx context.Context) (map[string]*peerv1.Member, []string) {
+// collectDirectories returns the most recent directory entry of each member,
+// and the ids of the keepers that did not answer.
+func (k *Keeper) collectDirectories(ctx context.Context) (map[string]*peerv1.Member, []string) {
 	ctx, cancel := context.WithTimeout(ctx, directoryTimeout)
 	defer cancel()
 	var mu sync.Mutex
-	youngest := map[string]*peerv1.Member{}
+	newest := map[string]*peerv1.Member{}
 	var unanswered []string
-	take := func(members []*peerv1.Member) {
+	merge := func(members []*peerv1.Member) {
 		for _, m := range members {
-			if old := youngest[m.GetId()]; old == nil || m.GetHeardAgeMillis() < old.GetHeardAgeMillis() {
-				youngest[m.GetId()] = m
+			if old := newest[m.GetId()]; old == nil || m.GetHeardAgeMillis() < old.GetHeardAgeMillis() {
+				newest[m.GetId()] = m
 			}
 		}
 	}
-	take(k.Directory())
+	merge(k.Directory())
 	var group errgroup.Group
 	for _, o := range k.liveKeepers() {
 		if o.ID == k.options.Self.ID {
@@ -120,12 +121,13 @@
 				unanswered = append(unanswered, o.ID)
 				return nil
 			}
-			take(members)
+			merge(members)
 			return nil
 		})
 	}
-	// A keeper that doesn't answer is listed, not an error of the whole.
+	// A keeper that doesn't answer is listed in unanswered; it doesn't fail the
+	// whole query.
 	_ = group.Wait()
 	slices.Sort(unanswered)
-	return youngest, unanswered
+	return newest, unanswered
 }
--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -1,6 +1,6 @@
-// Package keeper is the keeper's application: it watches the platform where
-// that falls to it, relays records, endpoints and members, judges silent
-// members, probes endpoints, and takes operators' writes.
+// Package keeper implements the keeper daemon: it reads the platform while its
+// role requires it to, relays records, endpoints and members, detects failed
+// members, probes endpoints, and handles operators' writes.
 package keeper
 
 import (
@@ -24,68 +24,71 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// Times and numbers of a keeper, where Options leave them out.
+// Defaults of Options.
 const (
-	// DefaultWatchers is how many keepers watch the platform, over the whole
-	// system: enough to lose two, and flat in the size of the fleet.
+	// DefaultWatchers is the number of keepers, in the whole system, that watch
+	// the platform. It tolerates the loss of two and doesn't grow with the size
+	// of the fleet.
 	DefaultWatchers = 3
-	// DefaultWatchWait is the length of a long poll. It bounds how old the
-	// platform's last answer gets while all is well.
+	// DefaultWatchWait is the timeout of a long poll. While the platform
+	// answers, it bounds the age of the platform's last answer.
 	DefaultWatchWait = 3 * time.Second
-	// DefaultFallbackAfter is the age of the last try at the platform, by anyone
-	// this keeper hears of, at which it reads for itself.
+	// DefaultFallbackAfter is the age of the last known call to the platform,
+	// by any keeper, after which this keeper reads the platform itself.
 	DefaultFallbackAfter = 5 * time.Second
-	// DefaultRelistEvery finds what a watch lost without saying so.
+	// DefaultRelistEvery is the time between full lists, which find changes
+	// that a watch lost without an error.
 	DefaultRelistEvery = time.Minute
 	// DefaultHostsEvery is the time between reads of the list of hosts.
 	DefaultHostsEvery = 2 * time.Second
 	// DefaultProbeEvery is the time between probes of an endpoint while the
 	// keeper's share of endpoints is small.
 	DefaultProbeEvery = time.Second
-	// DefaultSettleWithin bounds how long an operator waits for the truth
-	// about a write whose reply was lost; DefaultSettlePause is the time
-	// between two attempts to find it.
-	DefaultSettleWithin = 8 * time.Second
-	DefaultSettlePause  = 100 * time.Millisecond
-	// DefaultDutyCheck is how often a keeper asks itself whether it should
-	// watch.
-	DefaultDutyCheck = 250 * time.Millisecond
-	// DefaultWatchPause lets a burst of changes come as one reply: calls then
-	// don't grow with the rate of changes past a few a second.
+	// DefaultOutcomeTimeout bounds how long an operator waits until the outcome
+	// of a write whose reply was lost is known; DefaultOutcomeRetryPause is the
+	// time between two attempts to determine it.
+	DefaultOutcomeTimeout    = 8 * time.Second
+	DefaultOutcomeRetryPause = 100 * time.Millisecond
+	// DefaultRoleCheckInterval is the time between two checks of the keeper's
+	// role.
+	DefaultRoleCheckInterval = 250 * time.Millisecond
+	// DefaultWatchPause lets a burst of changes arrive in one reply, which
+	// limits the calls to a few per second at any rate of changes.
 	DefaultWatchPause    = 250 * time.Millisecond
 	DefaultRetryPause    = 250 * time.Millisecond
 	DefaultRetryPauseMax = 4 * time.Second
-	// DefaultLapseGrace is how long the platform takes to list again, after it
-	// was away, the endpoints that still live.
-	DefaultLapseGrace = 2500 * time.Millisecond
-	// DefaultEntryLife is three beats of an endpoint.
-	DefaultEntryLife = 3600 * time.Millisecond
-	// DefaultLinkRetry is the least pause before a lost link is tried again.
+	// DefaultDelistGrace is how long, after an outage, the platform takes to
+	// list again the endpoints that are still live.
+	DefaultDelistGrace = 2500 * time.Millisecond
+	// DefaultEntryTTL is three heartbeats of an endpoint.
+	DefaultEntryTTL = 3600 * time.Millisecond
+	// DefaultLinkRetry is the minimum pause before a lost link is opened again.
 	DefaultLinkRetry = 250 * time.Millisecond
-	// hostPollers of the watchers read the list of hosts.
+	// hostPollers is how many of the watchers read the list of hosts.
 	hostPollers = 2
 )
 
-// EndpointProber asks an endpoint for its own word.
+// EndpointProber asks an endpoint for a load report.
 type EndpointProber interface {
 	Load(ctx context.Context, e port.Endpoint) (port.LoadReport, error)
 }
 
-// Options of a keeper.
+// Options configures a keeper.
 type Options struct {
-	// Self needs ID, FailureDomain, Host and the addresses.
+	// Self must have ID, FailureDomain, Host and the addresses set.
 	Self port.Member
-	// Keepers are the peer addresses tried first.
+	// Keepers are the peer addresses that are tried first.
 	Keepers  []string
 	Platform port.Platform
-	// Registry of endpoints, where the platform has one that can be watched;
-	// else Platform.Hosts is polled.
+	// Endpoints is the platform's registry of endpoints, if it has one that can
+	// be watched; otherwise Platform.Hosts is polled.
 	Endpoints port.EndpointRegistry
-	// Kinds of records that are watched; nil is record.Kinds.
+	// Kinds are the kinds of records that are watched; nil means record.Kinds.
 	Kinds []string
-	// ListedKinds are kinds of records that hardly ever change, and by keepers
-	// only, which tell each other. They are read now and then by the keeper that
-	// reads for all, so that they outlast the loss of all daemons.
+	// ListedKinds are kinds of records that rarely change and that only keepers
+	// write, which send the changes to each other. The keeper that reads the
+	// platform for all others lists them periodically, so that they survive the
+	// loss of all daemons.
 	ListedKinds []string
 	// PresentKinds are kinds of objects that only the platform's own operators
 	// write: a record is in force as long as its object exists.
@@ -103,30 +106,31 @@
 	ProbeEvery     time.Duration
 	HeartbeatEvery time.Duration
 	SilenceAfter   time.Duration
-	// ProbesPerSecond bounds this keeper's probes.
+	// ProbesPerSecond bounds the rate of this keeper's probes.
 	ProbesPerSecond float64
-	// ProbeWhenAway: endpoints are probed only while the platform gives no
-	// answer. Its registry then tells of everything else, and drops those that
-	// are silent, so that a probe's word counts only where it says that the
-	// endpoint leaves.
-	ProbeWhenAway bool
-	SettleWithin  time.Duration
-	SettlePause   time.Duration
-	// WatchPause lets a burst of changes come as one reply.
+	// ProbeWhenAway: endpoints are probed only while the platform doesn't
+	// answer. At other times its registry reports everything and drops
+	// endpoints that are silent, so a probe matters only if it reports that the
+	// endpoint is leaving.
+	ProbeWhenAway     bool
+	OutcomeTimeout    time.Duration
+	OutcomeRetryPause time.Duration
+	// WatchPause lets a burst of changes arrive in one reply.
 	WatchPause time.Duration
-	// DutyCheck is how often a keeper asks itself whether it should watch.
+	// DutyCheck is the time between two checks of the keeper's role.
 	DutyCheck time.Duration
 	// RetryPause is the first pause after a failed call, RetryPauseMax the
 	// longest.
 	RetryPause    time.Duration
 	RetryPauseMax time.Duration
-	// LinkRetry is the least pause before a lost link is tried again.
+	// LinkRetry is the minimum pause before a lost link is opened again.
 	LinkRetry time.Duration
-	// LapseGrace is how long endpoints that a list leaves out are believed
-	// where the platform was away before, or came back from a copy.
+	// LapseGrace is how long endpoints that a list leaves out are still treated
+	// as listed after an outage of the platform or a restore of its store from
+	// a backup.
 	LapseGrace time.Duration
-	// EntryLife is how long the registry keeps the entry of an endpoint that
-	// doesn't write it again.
+	// EntryLife is how long the registry keeps an entry that its endpoint
+	// doesn't renew.
 	EntryLife   time.Duration
 	DialOptions []grpc.DialOption
 }
@@ -146,8 +150,8 @@
 		o.Registry = gometrics.NewRegistry()
 	}
 	for _, d := range []struct {
-		field    *time.Duration
-		standard time.Duration
+		field        *time.Duration
+		defaultValue time.Duration
 	}{
 		{&o.WatchWait, DefaultWatchWait},
 		{&o.FallbackAfter, DefaultFallbackAfter},
@@ -156,109 +160,112 @@
 		{&o.ProbeEvery, DefaultProbeEvery},
 		{&o.HeartbeatEvery, grpcpeer.DefaultHeartbeatEvery},
 		{&o.SilenceAfter, grpcpeer.DefaultSilenceAfter},
-		{&o.SettleWithin, DefaultSettleWithin},
-		{&o.SettlePause, DefaultSettlePause},
+		{&o.OutcomeTimeout, DefaultOutcomeTimeout},
+		{&o.OutcomeRetryPause, DefaultOutcomeRetryPause},
 		{&o.WatchPause, DefaultWatchPause},
-		{&o.DutyCheck, DefaultDutyCheck},
+		{&o.DutyCheck, DefaultRoleCheckInterval},
 		{&o.RetryPause, DefaultRetryPause},
 		{&o.RetryPauseMax, DefaultRetryPauseMax},
-		{&o.LapseGrace, DefaultLapseGrace},
-		{&o.EntryLife, DefaultEntryLife},
+		{&o.LapseGrace, DefaultDelistGrace},
+		{&o.EntryLife, DefaultEntryTTL},
 		{&o.LinkRetry, DefaultLinkRetry},
 	} {
 		if *d.field <= 0 {
-			*d.field = d.standard
+			*d.field = d.defaultValue
 		}
 	}
 }
 
-// Keeper is one keeper. It is safe for concurrent use.
+// Keeper is the state of one keeper daemon. It is safe for concurrent use.
 type Keeper struct {
 	options Options
 	node    *node.Node
 	seeds   atomic.Pointer[[]string]
-	// lastStanding is read through standing.
-	lastStanding atomic.Pointer[standing]
-	identity     *grpcpeer.Identity
-	hearing      *membership.Hearing
-	listed       listedKinds
-	judging      judging
-	probes       probeMemory
-	quarantine   *quarantine.Register
-	duty         *watchduty.Duty
-	// lastRole is the role decided last, told the news that links were woken for.
-	lastRole atomic.Int32
-	told     toldNews
-	// peerHeard is when a peer was last heard, in Unix nanoseconds of this host's
-	// clock.
-	peerHeard atomic.Int64
-	// swept is the digest of the endpoints when those that have left long ago were
-	// last looked for.
-	swept uint64
+	// cachedMemberView is accessed through memberView.
+	cachedMemberView atomic.Pointer[memberView]
+	identity         *grpcpeer.Identity
+	heartbeats       *membership.Hearing
+	listed           listedKinds
+	failures         failureDetector
+	probeFailures    probeFailures
+	quarantine       *quarantine.Register
+	duty             *watchduty.Duty
+	// lastRole is the role decided last, lastRelayed the state of the platform
+	// that links were last woken for.
+	lastRole    atomic.Int32
+	lastRelayed relayedNews
+	// lastPeerMessage is the time of the last message from a peer, in Unix
+	// nanoseconds of this host's clock.
+	lastPeerMessage atomic.Int64
+	// prunedDigest is the digest of the endpoints at the last removal of those
+	// that left long ago.
+	prunedDigest uint64
 
-	// ownVersion is since when the highest version held here is.
-	ownVersion versionClock
+	// heldVersion is the time since which the highest version held here has
+	// been held.
+	heldVersion versionClock
 
-	// bytesSent and bytesReceived count what links that have ended carried.
+	// bytesSent and bytesReceived count the traffic of links that have ended.
 	bytesSent, bytesReceived gometrics.Counter
 
-	// failing counts the watches whose last call failed.
-	failing atomic.Int32
+	// failingWatches counts the watches whose last call failed.
+	failingWatches atomic.Int32
 
-	// eras follows the era of the platform's store; lastRevision is the revision
-	// that its last answer named.
+	// eras tracks the era of the platform's store; lastRevision is the revision
+	// in its last answer.
 	eras         membership.Eras
 	lastRevision atomic.Uint64
 }
 
-// toldNews is the news of the platform that links were woken for.
-type toldNews struct {
+// relayedNews holds the state of the platform that was relayed to peers without
+// waiting for a heartbeat.
+type relayedNews struct {
 	mu   sync.Mutex
 	news watchduty.News
 }
 
-// New returns a keeper that does nothing until Run.
+// New returns a keeper that does nothing until Run is called.
 func New(o Options) *Keeper {
 	o.setDefaults()
 	k := &Keeper{
-		options:  o,
-		node:     node.New(),
-		identity: grpcpeer.NewIdentity(o.Self),
-		hearing:  membership.NewHearing(),
+		options:    o,
+		node:       node.New(),
+		identity:   grpcpeer.NewIdentity(o.Self),
+		heartbeats: membership.NewHearing(),
 	}
 	k.bytesSent = gometrics.GetOrRegisterCounter("keeper_links_sent_bytes_total", o.Registry)
 	k.bytesReceived = gometrics.GetOrRegisterCounter("keeper_links_received_bytes_total", o.Registry)
 	k.node.SetListener(k)
-	k.quarantine = quarantine.NewRegister(k.node, k.noteQuarantine)
+	k.quarantine = quarantine.NewRegister(k.node, k.logQuarantineChange)
 	k.duty = watchduty.New(time.Now(), o.FallbackAfter)
 	k.SetSeeds(o.Keepers)
-	k.introduce()
+	k.putSelf()
 	k.registerGauges()
 	return k
 }
 
-// Run does the keeper's work until the context ends.
+// Run runs the keeper until the context ends.
 func (k *Keeper) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
-	group.Go(func() error { return k.linkForever(ctx) })
-	group.Go(func() error { return k.judgeForever(ctx) })
-	group.Go(func() error { return k.quarantineForever(ctx) })
+	group.Go(func() error { return k.maintainLinks(ctx) })
+	group.Go(func() error { return k.detectFailures(ctx) })
+	group.Go(func() error { return k.syncQuarantine(ctx) })
 	if k.options.Endpoints != nil {
-		group.Go(func() error { return k.watchEndpointsForever(ctx) })
+		group.Go(func() error { return k.watchEndpoints(ctx) })
 	} else {
-		group.Go(func() error { return k.pollHostsForever(ctx) })
+		group.Go(func() error { return k.pollHosts(ctx) })
 	}
 	if k.options.Prober != nil {
-		group.Go(func() error { return k.probeForever(ctx) })
+		group.Go(func() error { return k.runProbes(ctx) })
 	}
 	for _, kind := range k.options.Kinds {
-		group.Go(func() error { return k.watchForever(ctx, kind) })
+		group.Go(func() error { return k.watchRecords(ctx, kind) })
 	}
 	for _, kind := range k.options.PresentKinds {
-		group.Go(func() error { return k.watchPresentForever(ctx, kind) })
+		group.Go(func() error { return k.watchExistence(ctx, kind) })
 	}
 	for _, kind := range k.options.ListedKinds {
-		group.Go(func() error { return k.listForever(ctx, kind) })
+		group.Go(func() error { return k.listPeriodically(ctx, kind) })
 	}
 	return group.Wait()
 }
@@ -271,28 +278,29 @@
 	}
 }
 
-// Node returns the keeper's state.
+// Node returns the keeper's replicated state.
 func (k *Keeper) Node() *node.Node { return k.node }
 
 // Ready reports whether the keeper holds a complete set of records.
 func (k *Keeper) Ready() bool { return k.node.Complete() }
 
-// SetSeeds replaces the peer addresses that are tried where no keeper is known.
+// SetSeeds replaces the peer addresses that are tried while no other keeper is
+// known.
 func (k *Keeper) SetSeeds(addresses []string) {
 	seeds := slices.Clone(addresses)
 	k.seeds.Store(&seeds)
 }
 
-// SetLeaving tells the others that this keeper leaves.
+// SetLeaving announces to the other daemons that this keeper is leaving.
 func (k *Keeper) SetLeaving() {
 	k.identity.SetLeaving()
-	k.introduce()
+	k.putSelf()
 }
 
 // Records returns the records in force, without deleted ones.
 func (k *Keeper) Records() []port.Record { return grpcpeer.LiveRecords(k.node) }
 
-// Endpoints returns all endpoints known.
+// Endpoints returns all known endpoints.
 func (k *Keeper) Endpoints() []port.Endpoint {
 	var out []port.Endpoint
 	for e := range k.node.Endpoints.All() {
@@ -302,8 +310,8 @@
 }
 
 // FollowEndpoints returns a function that yields the endpoints that changed
-// since it was last called, at first all, and the ids of those that were
-// forgotten.
+// since its last call and the ids of those that were forgotten. Its first call
+// yields all endpoints.
 func (k *Keeper) FollowEndpoints() func() (changed []port.Endpoint, forgotten []string) {
 	changes := k.node.Endpoints.Follow()
 	return func() (changed []port.Endpoint, forgotten []string) {
@@ -315,19 +323,20 @@
 	}
 }
 
-// Members returns all daemons known, dead ones included. The slice is shared
+// Members returns all known daemons, including dead ones. The slice is shared
 // and must not be changed.
-func (k *Keeper) Members() []port.Member { return k.standing().members }
+func (k *Keeper) Members() []port.Member { return k.memberView().members }
 
-// Changed is closed at the next change of records, endpoints or members.
+// Changed returns a channel that is closed at the next change of records,
+// endpoints or members.
 func (k *Keeper) Changed() <-chan struct{} { return k.node.Changed() }
 
-// Synced is Ready, by the name of port.StateView.
+// Synced returns Ready; it implements port.StateView.
 func (k *Keeper) Synced() bool { return k.Ready() }
 
 var _ port.StateView = (*Keeper)(nil)
 
-func (k *Keeper) liveKeepers() []membership.Member { return k.standing().live }
+func (k *Keeper) liveKeepers() []membership.Member { return k.memberView().live }
 
 func (k *Keeper) registerGauges() {
 	gauge := func(name string, f func() int64) {
@@ -337,12 +346,12 @@
 	gauge("record_parts_missing", func() int64 { return int64(k.node.MissingParts()) })
 	gauge("endpoints_held", func() int64 { return int64(k.node.Endpoints.Len()) })
 	gauge("members_held", func() int64 { return int64(k.node.Members.Len()) })
-	gauge("members_heard", func() int64 { return int64(len(k.hearing.All())) })
+	gauge("members_heard", func() int64 { return int64(len(k.heartbeats.All())) })
 	gauge("record_highest_version", func() int64 { return int64(k.node.HighestHeld()) })
 	gauge("platform_age_ms", func() int64 { return k.PlatformAge(time.Now()).Milliseconds() })
 }
 
-// pause waits, or returns the context's error.
+// pause waits for d, or returns the context's error if the context ends first.
 func pause(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/keeper/links.go
+++ b/internal/keeper/links.go
@@ -14,54 +14,55 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// Times of links to other keepers.
+// Intervals of links to other keepers.
 const (
-	linkCheck = 250 * time.Millisecond
-	// bridgeFor is how long one attempt at a keeper taken for dead lasts.
-	bridgeFor = 4 * time.Second
+	linkCheckInterval = 250 * time.Millisecond
+	// rejoinAttempt is how long one attempt to connect to a keeper that isn't
+	// known to be live lasts.
+	rejoinAttempt = 4 * time.Second
 )
 
-// linkForever holds a subscription to each neighbour on the ring of live
-// keepers, and one more to a keeper that isn't known to live.
-func (k *Keeper) linkForever(ctx context.Context) error {
+// maintainLinks keeps a subscription to each neighbour on the ring of live
+// keepers, and one more to a keeper that isn't known to be live.
+func (k *Keeper) maintainLinks(ctx context.Context) error {
 	links := &linkSet{running: map[string]context.CancelFunc{}}
-	defer links.wait()
-	bridge := ""
-	var bridgeUntil time.Time
+	defer links.stop()
+	rejoin := ""
+	var rejoinUntil time.Time
 	for {
 		now := time.Now()
-		if now.After(bridgeUntil) {
-			bridge, bridgeUntil = k.bridge(), now.Add(bridgeFor)
+		if now.After(rejoinUntil) {
+			rejoin, rejoinUntil = k.rejoinCandidate(), now.Add(rejoinAttempt)
 		}
-		wanted := slices.Clone(k.standing().neighbours)
+		wanted := slices.Clone(k.memberView().neighbours)
 		if len(wanted) == 0 {
-			wanted = k.others()
+			wanted = k.configuredPeers()
 		}
-		if bridge != "" && !slices.Contains(wanted, bridge) {
-			wanted = append(wanted, bridge)
+		if rejoin != "" && !slices.Contains(wanted, rejoin) {
+			wanted = append(wanted, rejoin)
 		}
-		links.set(ctx, wanted, k.linkTo)
-		if err := pause(ctx, linkCheck); err != nil {
+		links.update(ctx, wanted, k.maintainLink)
+		if err := pause(ctx, linkCheckInterval); err != nil {
 			return err
 		}
 	}
 }
 
-// others are the keepers of the settings but for this one. One that knows nobody
-// tries them all at once: after all daemons have started together, each that is
-// tried by itself may be the last to come up, and daemons that don't hear each
-// other place by what each knows alone.
-func (k *Keeper) others() []string {
+// configuredPeers returns the configured keepers other than this one. A keeper
+// that knows no other keeper connects to all of them at once. After all daemons
+// have started together, any single one may be the last to come up, and daemons
+// that aren't connected place requests by their own state alone.
+func (k *Keeper) configuredPeers() []string {
 	return slices.DeleteFunc(slices.Clone(*k.seeds.Load()), func(address string) bool {
 		return address == k.options.Self.PeerAddress
 	})
 }
 
-// bridge picks a keeper that should be there but isn't known to live: from
-// the settings at a start, or one taken for dead. After a partition heals,
-// either side holds the other for dead and the ring of each is whole in
-// itself; without a bridge they would stay apart.
-func (k *Keeper) bridge() string {
+// rejoinCandidate picks a keeper that isn't known to be live: one from the
+// settings that isn't known at all, or one that is suspect or dead. After a
+// partition heals, each side holds the other for dead and has a complete ring
+// of its own; without such a link the two would stay separate.
+func (k *Keeper) rejoinCandidate() string {
 	known := map[string]bool{k.options.Self.PeerAddress: true}
 	var candidates []string
 	for m := range k.node.Members.All() {
@@ -84,31 +85,32 @@
 	return candidates[rand.N(len(candidates))]
 }
 
-// smallFleet is the number of keepers up to which each link carries all.
-const smallFleet = 32
+// smallFleetSize is the number of keepers up to which each link carries all
+// endpoints.
+const smallFleetSize = 32
 
-// SendsEndpoints tells whether a link that a keeper has opened here carries
-// endpoints. When hundreds of keepers start together, all connect to the few
-// that they are told of, and each would be sent thousands of endpoints there:
-// minutes of a small host's processor, and most of what is sent between failure
-// domains. They only need to hear of each other there: each is then sent the
-// endpoints by its neighbours on the ring.
+// SendsEndpoints reports whether a link that a keeper has opened to this one
+// carries endpoints. When hundreds of keepers start together, all connect to
+// the few configured ones, and sending each of them thousands of endpoints
+// would take minutes of a small host's processor time and most of the traffic
+// between failure domains. On these links the keepers only need to learn of
+// each other; their neighbours on the ring then send them the endpoints.
 func (k *Keeper) SendsEndpoints(to *membership.Member) bool {
-	ring := k.standing().ring
-	return to.Role != port.RoleKeeper || ring.Len() <= smallFleet || ring.Joins(to.ID, k.options.Self.ID)
+	ring := k.memberView().ring
+	return to.Role != port.RoleKeeper || ring.Len() <= smallFleetSize || ring.Joins(to.ID, k.options.Self.ID)
 }
 
-// linkTo keeps a subscription to one keeper until the context ends.
-func (k *Keeper) linkTo(ctx context.Context, address string) {
+// maintainLink keeps a subscription to one keeper until the context ends.
+func (k *Keeper) maintainLink(ctx context.Context, address string) {
 	for ctx.Err() == nil {
-		k.linkOnce(ctx, address)
+		k.runLink(ctx, address)
 		if pause(ctx, k.options.LinkRetry+rand.N(k.options.LinkRetry)) != nil {
 			return
 		}
 	}
 }
 
-func (k *Keeper) linkOnce(ctx context.Context, address string) {
+func (k *Keeper) runLink(ctx context.Context, address string) {
 	var traffic grpcpeer.Traffic
 	options := append([]grpc.DialOption{traffic.DialOption()}, k.options.DialOptions...)
 	conn, err := grpcpeer.Dial(address, options...)
@@ -133,13 +135,13 @@
 	}
 }
 
-// linkSet runs one function for each address wanted.
+// linkSet runs one function for each wanted address.
 type linkSet struct {
 	running map[string]context.CancelFunc
 	group   sync.WaitGroup
 }
 
-func (l *linkSet) set(ctx context.Context, wanted []string, run func(ctx context.Context, address string)) {
+func (l *linkSet) update(ctx context.Context, wanted []string, run func(ctx context.Context, address string)) {
 	for address, cancel := range l.running {
 		if !slices.Contains(wanted, address) {
 			cancel()
@@ -156,7 +158,7 @@
 	}
 }
 
-func (l *linkSet) wait() {
+func (l *linkSet) stop() {
 	for _, cancel := range l.running {
 		cancel()
 	}
--- a/internal/keeper/listed.go
+++ b/internal/keeper/listed.go
@@ -7,9 +7,9 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/core/watchduty"
 )
 
-// listForever reads a kind of record now and then, while this keeper reads for
-// others.
-func (k *Keeper) listForever(ctx context.Context, kind string) error {
+// listPeriodically lists a kind of record from time to time while this keeper
+// reads the platform for others.
+func (k *Keeper) listPeriodically(ctx context.Context, kind string) error {
 	w := newWatch(k, kind, &recordSource{keeper: k, kind: kind})
 	for {
 		if err := pause(ctx, w.listStep(ctx)); err != nil {
@@ -18,8 +18,9 @@
 	}
 }
 
-// listStep reads the list where it is due, and returns the pause after it. It is
-// due at the beginning of a turn, in a new era of the store, and now and then.
+// listStep lists if a list is due, and returns the pause after it. A list is
+// due when this keeper takes on the role, in a new era of the store, and at
+// every relist interval.
 func (w *watch) listStep(ctx context.Context) time.Duration {
 	k := w.keeper
 	now := time.Now()
@@ -37,10 +38,10 @@
 		return 0
 	}
 	if err != nil {
-		return w.failed(err, role)
+		return w.handleFailure(err, role)
 	}
-	w.regained()
+	w.markRecovered()
 	w.retry = k.options.RetryPause
-	k.called(time.Now(), true)
+	k.recordPlatformCall(time.Now(), true)
 	return k.options.DutyCheck
 }
--- a/internal/keeper/members.go
+++ b/internal/keeper/members.go
@@ -13,43 +13,47 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// Times of judging.
+// Intervals and bounds of failure detection.
 const (
-	judgeEvery = 250 * time.Millisecond
-	// closedGrace lets a member that reconnects elsewhere be heard there.
-	closedGrace = 500 * time.Millisecond
-	// rejudgeAfter is the time between two judgements of one member.
-	rejudgeAfter = time.Second
+	checkInterval = 250 * time.Millisecond
+	// reconnectGrace gives a member that reconnects to another keeper the time
+	// to do so.
+	reconnectGrace = 500 * time.Millisecond
+	// recheckInterval is the minimum time between two checks of one member.
+	recheckInterval = time.Second
 	// memberProbeTimeout bounds each probe of a member.
 	memberProbeTimeout = time.Second
-	// askOthers is how many keepers are asked to probe too.
-	askOthers = 2
+	// indirectProbers is how many other keepers are asked to probe a member as
+	// well.
+	indirectProbers = 2
 )
 
-// judging remembers the judgements under way and the members that no live
-// keeper hears.
-type judging struct {
-	mu      sync.Mutex
-	last    map[string]time.Time
-	orphans map[string]time.Time
+// failureDetector tracks when members were last checked, and the orphans:
+// members whose heartbeats no live keeper receives.
+type failureDetector struct {
+	mu        sync.Mutex
+	lastCheck map[string]time.Time
+	orphans   map[string]time.Time
 }
 
-// begin reports whether the member is due for a judgement.
-func (j *judging) begin(now time.Time, id string) bool {
+// startCheck reports whether a check of the member is due, and if so records
+// that it starts now.
+func (j *failureDetector) startCheck(now time.Time, id string) bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if j.last == nil {
-		j.last = map[string]time.Time{}
+	if j.lastCheck == nil {
+		j.lastCheck = map[string]time.Time{}
 	}
-	if now.Sub(j.last[id]) < rejudgeAfter {
+	if now.Sub(j.lastCheck[id]) < recheckInterval {
 		return false
 	}
-	j.last[id] = now
+	j.lastCheck[id] = now
 	return true
 }
 
-// orphan returns since when the member is without a keeper that hears it.
-func (j *judging) orphan(now time.Time, id string) time.Time {
+// orphanSince returns the time since which no live keeper has received the
+// member's heartbeats.
+func (j *failureDetector) orphanSince(now time.Time, id string) time.Time {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if j.orphans == nil {
@@ -63,20 +67,21 @@
 	return since
 }
 
-func (j *judging) adopted(id string) {
+func (j *failureDetector) removeOrphan(id string) {
 	j.mu.Lock()
 	delete(j.orphans, id)
 	j.mu.Unlock()
 }
 
-// versionClock remembers since when a version is held.
+// versionClock tracks the time since which a version has been held.
 type versionClock struct {
 	mu      sync.Mutex
 	version uint64
 	at      time.Time
 }
 
-// since notes the version held now and returns since when it is.
+// since records the version held now and returns the time since which it has
+// been held.
 func (v *versionClock) since(now time.Time, version uint64) time.Time {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -86,9 +91,10 @@
 	return v.at
 }
 
-// introduce puts this keeper's own entry where the table lacks it or holds a
-// judgement that this keeper, being alive, refutes.
-func (k *Keeper) introduce() {
+// putSelf puts this keeper's own entry into the member table if the entry is
+// missing or differs. The latter includes an entry that marks this keeper as
+// failed, which it refutes.
+func (k *Keeper) putSelf() {
 	known, held := k.node.Members.Get(k.identity.ID())
 	if held && k.identity.Outlive(known.Incarnation) {
 		k.options.Logger.Warn().Str("event", "incarnation_raised").Uint64("seen", known.Incarnation).Msg("")
@@ -106,40 +112,41 @@
 	k.node.PutMember(own)
 }
 
-// Heard takes a member's heartbeat.
+// Heard processes a member's heartbeat.
 func (k *Keeper) Heard(m membership.Member, b membership.Beat, first bool) {
-	k.hearing.Beat(time.Now(), b)
-	k.judging.adopted(m.ID)
+	k.heartbeats.Beat(time.Now(), b)
+	k.failures.removeOrphan(m.ID)
 	known, held := k.node.Members.Get(m.ID)
-	// An entry that only the member itself vouches for is taken over: else
-	// nobody would notice when it falls silent.
-	settled := held && known.Incarnation == m.Incarnation && known.Left == m.Left &&
+	// An entry whose only source is the member itself is taken over by this
+	// keeper; otherwise no keeper would notice that the member falls silent.
+	current := held && known.Incarnation == m.Incarnation && known.Left == m.Left &&
 		known.Blind == m.Blind && known.State == port.MemberLive && known.Condition == membership.ConditionNone &&
 		known.HeardBy != m.ID
-	if settled && !first {
+	if current && !first {
 		return
 	}
 	m.State, m.Condition, m.HeardBy = port.MemberLive, membership.ConditionNone, k.options.Self.ID
 	if k.node.PutMember(m) {
-		k.decide("member", m.ID, string(m.Effective()), "heartbeat", b.HighestVersion)
+		k.recordVerdict("member", m.ID, string(m.Effective()), "heartbeat", b.HighestVersion)
 	}
 }
 
-// Closed tells that the stream of a member has ended.
+// Closed processes the end of a member's stream.
 func (k *Keeper) Closed(b membership.Beat) {
-	k.hearing.Closed(b.ID, b.Incarnation, b.Sequence)
+	k.heartbeats.Closed(b.ID, b.Incarnation, b.Sequence)
 }
 
-// Directory lists what this keeper hears directly, itself included.
+// Directory lists the members whose heartbeats this keeper receives, and the
+// keeper itself.
 func (k *Keeper) Directory() []*peerv1.Member {
 	now := time.Now()
 	out := []*peerv1.Member{k.directoryEntry(now, membership.Heard{
 		Beat: membership.Beat{
 			ID: k.options.Self.ID, HighestVersion: k.node.HighestHeld(), RecordsDigest: k.node.Records.Digest(),
 		},
-		At: now, InForceSince: k.ownVersion.since(now, k.node.HighestHeld()),
+		At: now, InForceSince: k.heldVersion.since(now, k.node.HighestHeld()),
 	})}
-	for _, h := range k.hearing.All() {
+	for _, h := range k.heartbeats.All() {
 		out = append(out, k.directoryEntry(now, h))
 	}
 	return out
@@ -154,41 +161,43 @@
 	}
 }
 
-// judgeForever judges silent members and keeps the own entry in place.
-func (k *Keeper) judgeForever(ctx context.Context) error {
+// detectFailures checks silent members and keeps this keeper's own entry up to
+// date.
+func (k *Keeper) detectFailures(ctx context.Context) error {
 	var group errgroup.Group
 	defer func() { _ = group.Wait() }()
 	for {
-		if err := pause(ctx, judgeEvery); err != nil {
+		if err := pause(ctx, checkInterval); err != nil {
 			return err
 		}
 		now := time.Now()
 		k.identity.SetBlind(k.duty.Blind(now))
-		k.introduce()
-		k.forgetDeparted()
-		k.ownVersion.since(now, k.node.HighestHeld())
-		for _, s := range append(k.silent(now), k.orphans(now)...) {
-			if k.judging.begin(now, s.member.ID) {
-				group.Go(func() error { k.judge(ctx, s); return nil })
+		k.putSelf()
+		k.forgetDepartedEndpoints()
+		k.heldVersion.since(now, k.node.HighestHeld())
+		for _, s := range append(k.silentMembers(now), k.orphans(now)...) {
+			if k.failures.startCheck(now, s.member.ID) {
+				group.Go(func() error { k.checkSuspect(ctx, s); return nil })
 			}
 		}
 	}
 }
 
-// suspect is a member to be judged.
+// suspect is a member to be checked.
 type suspect struct {
 	member    membership.Member
 	sequence  uint64
 	silentFor time.Duration
 }
 
-// silent returns the members that this keeper heard last and hears no more.
-func (k *Keeper) silent(now time.Time) []suspect {
+// silentMembers returns the members whose last heartbeat this keeper received,
+// and whose next one is overdue.
+func (k *Keeper) silentMembers(now time.Time) []suspect {
 	var out []suspect
-	for _, h := range k.hearing.Overdue(now, k.options.SilenceAfter, closedGrace) {
+	for _, h := range k.heartbeats.Overdue(now, k.options.SilenceAfter, reconnectGrace) {
 		m, held := k.node.Members.Get(h.ID)
 		if !held || m.HeardBy != k.options.Self.ID || m.Incarnation != h.Incarnation || m.State == port.MemberDead {
-			k.hearing.Forget(h.ID)
+			k.heartbeats.Forget(h.ID)
 			continue
 		}
 		out = append(out, suspect{member: m, sequence: h.Sequence, silentFor: now.Sub(h.At)})
@@ -196,22 +205,23 @@
 	return out
 }
 
-// orphans returns the members that no live keeper hears and whose judgement
-// falls to this one: those whose keeper died in the moment before them.
+// orphans returns the members whose heartbeats no live keeper receives and that
+// this keeper has to check. Members become orphans when the keeper that
+// receives their heartbeats dies just before they do.
 func (k *Keeper) orphans(now time.Time) []suspect {
-	owners, keepers := k.standing().owners, k.liveKeepers()
+	owners, keepers := k.memberView().owners, k.liveKeepers()
 	live := make(map[string]bool, len(keepers))
 	for i := range keepers {
 		live[keepers[i].ID] = true
 	}
 	var out []suspect
 	for m := range k.node.Members.All() {
-		heard := live[m.HeardBy] && m.HeardBy != m.ID
-		if heard || m.State == port.MemberDead || m.ID == k.options.Self.ID || owners.Of(m.ID) != k.options.Self.ID {
-			k.judging.adopted(m.ID)
+		hasKeeper := live[m.HeardBy] && m.HeardBy != m.ID
+		if hasKeeper || m.State == port.MemberDead || m.ID == k.options.Self.ID || owners.Of(m.ID) != k.options.Self.ID {
+			k.failures.removeOrphan(m.ID)
 			continue
 		}
-		since := k.judging.orphan(now, m.ID)
+		since := k.failures.orphanSince(now, m.ID)
 		if silent := now.Sub(since); silent >= k.options.SilenceAfter {
 			out = append(out, suspect{member: m, sequence: m.Sequence, silentFor: silent})
 		}
@@ -219,10 +229,10 @@
 	return out
 }
 
-func (k *Keeper) judge(ctx context.Context, s suspect) {
+func (k *Keeper) checkSuspect(ctx context.Context, s suspect) {
 	e := membership.Evidence{Direct: k.Probe(ctx, s.member.PeerAddress), SilentFor: s.silentFor}
 	if e.Direct != membership.ProbeAnswered && e.Direct != membership.ProbeRefused {
-		e.Others = k.askToProbe(ctx, &s.member)
+		e.Others = k.probeIndirectly(ctx, &s.member)
 	}
 	if ctx.Err() != nil {
 		return
@@ -230,35 +240,36 @@
 	state, condition := membership.Judge(e)
 	next := s.member
 	next.State, next.Condition, next.Sequence = state, condition, s.sequence
-	// HeardBy stays the keeper that heard it, so that an orphan's judgement
-	// doesn't make it look heard.
+	// HeardBy isn't changed, so that a check of an orphan doesn't make it look
+	// as if this keeper received its heartbeats.
 	if k.node.PutMember(next) {
-		k.decide("member", next.ID, string(next.Effective()), string(condition), 0)
+		k.recordVerdict("member", next.ID, string(next.Effective()), string(condition), 0)
 	}
 }
 
-// Probe tries to reach a member's peer address.
+// Probe tries to reach a member at its peer address.
 func (k *Keeper) Probe(ctx context.Context, address string) membership.ProbeResult {
 	ctx, cancel := context.WithTimeout(ctx, memberProbeTimeout)
 	defer cancel()
 	return grpcpeer.Probe(ctx, address, k.options.DialOptions...)
 }
 
-// askToProbe asks keepers in other failure domains first.
-func (k *Keeper) askToProbe(ctx context.Context, m *membership.Member) []membership.ProbeResult {
-	var near, far []membership.Member
+// probeIndirectly asks other keepers to probe a member, those in other failure
+// domains first.
+func (k *Keeper) probeIndirectly(ctx context.Context, m *membership.Member) []membership.ProbeResult {
+	var sameDomain, otherDomains []membership.Member
 	for _, o := range k.liveKeepers() {
 		switch {
 		case o.ID == k.options.Self.ID || o.ID == m.ID:
 		case o.FailureDomain == k.options.Self.FailureDomain:
-			near = append(near, o)
+			sameDomain = append(sameDomain, o)
 		default:
-			far = append(far, o)
+			otherDomains = append(otherDomains, o)
 		}
 	}
-	asked := append(far, near...)
-	if len(asked) > askOthers {
-		asked = asked[:askOthers]
+	asked := append(otherDomains, sameDomain...)
+	if len(asked) > indirectProbers {
+		asked = asked[:indirectProbers]
 	}
 	results := make([]membership.ProbeResult, len(asked))
 	var group errgroup.Group
@@ -268,7 +279,7 @@
 			return nil
 		})
 	}
-	// Results stand in for errors here.
+	// The functions never return an error; the results hold the outcomes.
 	_ = group.Wait()
 	return results
 }
--- a/internal/keeper/probes.go
+++ b/internal/keeper/probes.go
@@ -12,48 +12,50 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// Bounds of probing.
+// Bounds of endpoint probes.
 const (
 	probeTimeout = time.Second
-	// probesAtOnce bounds the probes under way.
-	probesAtOnce = 8
-	// DefaultProbesPerSecond bounds the rate: at the largest planned size a share
-	// of 32 endpoints is probed every 6 to 7 seconds, for about 1.5 KB a second.
+	// maxConcurrentProbes bounds the probes in progress.
+	maxConcurrentProbes = 8
+	// DefaultProbesPerSecond bounds the probe rate. At the largest planned size
+	// a share of 32 endpoints is probed every 6 to 7 seconds, which takes about
+	// 1.5 KB per second.
 	DefaultProbesPerSecond = 5
-	// missesToFail is how many probes in a row must fail.
-	missesToFail = 3
-	// linkSuspicion: with this many endpoints or more, of which over half
-	// fail in one round, the own link is the likelier cause.
-	linkSuspicion = 4
+	// failuresToUnreachable is how many probes in a row must fail before an
+	// endpoint counts as unreachable.
+	failuresToUnreachable = 3
+	// minShareForLinkFault is the number of endpoints from which on a round in
+	// which over half of them fail is attributed to the keeper's own link.
+	minShareForLinkFault = 4
 )
 
-// probeMemory counts failed probes in a row.
-type probeMemory struct {
+// probeFailures counts each endpoint's failed probes in a row.
+type probeFailures struct {
 	mu     sync.Mutex
-	misses map[string]int
+	counts map[string]int
 }
 
-func (p *probeMemory) hit(id string) {
+func (p *probeFailures) reset(id string) {
 	p.mu.Lock()
-	delete(p.misses, id)
+	delete(p.counts, id)
 	p.mu.Unlock()
 }
 
-func (p *probeMemory) miss(id string) int {
+func (p *probeFailures) increment(id string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.misses == nil {
-		p.misses = map[string]int{}
+	if p.counts == nil {
+		p.counts = map[string]int{}
 	}
-	p.misses[id]++
-	return p.misses[id]
+	p.counts[id]++
+	return p.counts[id]
 }
 
-// probeForever probes this keeper's share of the endpoints.
-func (k *Keeper) probeForever(ctx context.Context) error {
+// runProbes probes this keeper's share of the endpoints.
+func (k *Keeper) runProbes(ctx context.Context) error {
 	for {
 		every := k.options.ProbeEvery
-		if !k.options.ProbeWhenAway || k.away(time.Now()) {
+		if !k.options.ProbeWhenAway || k.platformUnavailable(time.Now()) {
 			share := k.probeShare()
 			k.probeRound(ctx, share)
 			every = max(every, time.Duration(float64(len(share))/k.options.ProbesPerSecond*float64(time.Second)))
@@ -64,34 +66,36 @@
 	}
 }
 
-// awaySlack is added to the longest time between two answers of the platform
-// while all is well, before it counts as away.
-const awaySlack = 300 * time.Millisecond
+// platformAgeSlack is added to the longest normal time between two answers of
+// the platform before it counts as unavailable.
+const platformAgeSlack = 300 * time.Millisecond
 
-// away reports whether the platform fails this keeper, or whoever asked it last,
-// or has given no answer to anyone of late. To hear that it refuses takes the
-// time of a relay; its answers would first have to be missed.
-func (k *Keeper) away(now time.Time) bool {
-	if k.failing.Load() > 0 || k.duty.News().Failing() {
+// platformUnavailable reports whether the platform fails this keeper or the
+// keeper that called it last, or has answered no keeper recently. A refusal
+// becomes known within the time of a relay; missing answers only become known
+// after the longest normal time between two.
+func (k *Keeper) platformUnavailable(now time.Time) bool {
+	if k.failingWatches.Load() > 0 || k.duty.News().Failing() {
 		return true
 	}
-	return k.PlatformAge(now) > k.options.WatchWait+awaySlack+watchduty.RelayTime(len(k.standing().live))
+	return k.PlatformAge(now) > k.options.WatchWait+platformAgeSlack+watchduty.RelayTime(len(k.memberView().live))
 }
 
 func (k *Keeper) probeShare() []membership.Endpoint {
-	owners := k.standing().owners
+	owners := k.memberView().owners
 	var out []membership.Endpoint
 	for e := range k.node.Endpoints.All() {
-		if k.tellsMore(&e) && owners.Of(e.ID) == k.options.Self.ID {
+		if k.probeUseful(&e) && owners.Of(e.ID) == k.options.Self.ID {
 			out = append(out, e)
 		}
 	}
 	return out
 }
 
-// tellsMore reports whether a probe of the endpoint can tell anything new: with a
-// registry only that it leaves, without one also that it is gone.
-func (k *Keeper) tellsMore(e *membership.Endpoint) bool {
+// probeUseful reports whether a probe of the endpoint can yield new
+// information: with a registry only that the endpoint is leaving, without one
+// also that it is gone.
+func (k *Keeper) probeUseful(e *membership.Endpoint) bool {
 	if k.options.ProbeWhenAway {
 		return e.State == port.EndpointLive
 	}
@@ -99,19 +103,19 @@
 }
 
 func (k *Keeper) probeRound(ctx context.Context, share []membership.Endpoint) {
-	missed := make([]bool, len(share))
+	failed := make([]bool, len(share))
 	var group errgroup.Group
-	group.SetLimit(probesAtOnce)
+	group.SetLimit(maxConcurrentProbes)
 	for i := range share {
 		group.Go(func() error {
-			missed[i] = !k.probeEndpoint(ctx, share[i].Endpoint)
+			failed[i] = !k.probeEndpoint(ctx, share[i].Endpoint)
 			return nil
 		})
 	}
-	// The probes report through missed; there is no error to see.
+	// The functions never return an error; failed holds the outcomes.
 	_ = group.Wait()
 	if !k.options.ProbeWhenAway {
-		k.takeMisses(share, missed)
+		k.handleProbeFailures(share, failed)
 	}
 }
 
@@ -123,31 +127,31 @@
 	if err != nil {
 		return false
 	}
-	k.probes.hit(e.ID)
-	// Read again: the entry may have changed while the probe was under way.
+	k.probeFailures.reset(e.ID)
+	// Read again, because the entry may have changed during the probe.
 	if known, ok := k.node.Endpoints.Get(e.ID); ok {
 		k.putEndpoint(membership.Said(known, &report), "own_word")
 	}
 	return true
 }
 
-// takeMisses judges the endpoints that did not answer. When most are silent
-// at once, it is the keeper's own link that is more likely cut, and a false
-// word would take all endpoints from all routers.
-func (k *Keeper) takeMisses(share []membership.Endpoint, missed []bool) {
+// handleProbeFailures counts the failed probes and marks endpoints unreachable.
+// If most endpoints fail at once, the keeper's own link is the likelier cause,
+// and marking them would take all endpoints from all routers.
+func (k *Keeper) handleProbeFailures(share []membership.Endpoint, failed []bool) {
 	count := 0
-	for _, m := range missed {
-		if m {
+	for _, f := range failed {
+		if f {
 			count++
 		}
 	}
-	ownLink := len(share) >= linkSuspicion && 2*count > len(share)
+	ownLinkFault := len(share) >= minShareForLinkFault && 2*count > len(share)
 	for i := range share {
-		if !missed[i] {
+		if !failed[i] {
 			continue
 		}
-		misses := k.probes.miss(share[i].ID)
-		if ownLink || misses < missesToFail {
+		failures := k.probeFailures.increment(share[i].ID)
+		if ownLinkFault || failures < failuresToUnreachable {
 			continue
 		}
 		if known, ok := k.node.Endpoints.Get(share[i].ID); ok {
--- a/internal/keeper/quarantine.go
+++ b/internal/keeper/quarantine.go
@@ -12,28 +12,29 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// Times of keeping a quarantine.
+// Intervals of quarantine writes.
 const (
-	// quarantineWrites is the least time between two writes.
-	quarantineWrites = time.Second
-	// quarantineRetryMax bounds the pause after writes that failed.
+	// quarantineWriteInterval is the minimum time between two writes.
+	quarantineWriteInterval = time.Second
+	// quarantineRetryMax bounds the pause after failed writes.
 	quarantineRetryMax = 30 * time.Second
 )
 
-// Quarantine knows the requests that crash the endpoints that run them.
+// Quarantine returns the register of requests that crash the endpoints that run
+// them.
 func (k *Keeper) Quarantine() *quarantine.Register { return k.quarantine }
 
-// quarantineForever takes in what others tell of such requests, and has the
-// platform hold those that are quarantined: daemons that start after the loss of
-// all would else learn of each by as many crashes again.
-func (k *Keeper) quarantineForever(ctx context.Context) error {
+// syncQuarantine applies other daemons' reports of such requests, and stores
+// the quarantined ones on the platform. Otherwise daemons that start after the
+// loss of all would need as many crashes again to identify each.
+func (k *Keeper) syncQuarantine(ctx context.Context) error {
 	var group errgroup.Group
 	group.Go(func() error { crashwatch.Keep(ctx, k.node, k.quarantine); return nil })
-	group.Go(func() error { return k.writeQuarantine(ctx) })
-	taken := uint64(0)
+	group.Go(func() error { return k.writeQuarantinePeriodically(ctx) })
+	applied := uint64(0)
 	for ctx.Err() == nil {
 		changed := k.node.Changed()
-		taken = k.takeQuarantine(time.Now(), taken)
+		applied = k.applyQuarantine(time.Now(), applied)
 		select {
 		case <-ctx.Done():
 		case <-changed:
@@ -42,12 +43,12 @@
 	return group.Wait()
 }
 
-// takeQuarantine takes the record of quarantined requests where it is newer than
-// the version taken last, and returns the version taken.
-func (k *Keeper) takeQuarantine(now time.Time, taken uint64) uint64 {
+// applyQuarantine applies the record of quarantined requests if it is newer
+// than the version applied last, and returns the version applied.
+func (k *Keeper) applyQuarantine(now time.Time, applied uint64) uint64 {
 	r, known := k.Record(port.ObjectRequestQuarantine, record.QuarantineName)
-	if !known || r.Version <= taken {
-		return taken
+	if !known || r.Version <= applied {
+		return applied
 	}
 	if r.Deleted {
 		return r.Version
@@ -63,31 +64,31 @@
 	return r.Version
 }
 
-func (k *Keeper) writeQuarantine(ctx context.Context) error {
+func (k *Keeper) writeQuarantinePeriodically(ctx context.Context) error {
 	w := quarantineWriter{keeper: k}
 	for {
-		if err := pause(ctx, quarantineWrites); err != nil {
+		if err := pause(ctx, quarantineWriteInterval); err != nil {
 			return err
 		}
 		w.write(ctx, time.Now())
 	}
 }
 
-// quarantineWriter has the platform hold what is quarantined.
+// quarantineWriter stores the quarantined requests on the platform.
 type quarantineWriter struct {
 	keeper *Keeper
-	// retry is the pause after the last write that failed, zero for none; next
-	// is when another one may follow.
+	// retry is the pause after the last write if that failed, otherwise zero;
+	// next is the earliest time of the next write.
 	retry time.Duration
 	next  time.Time
 }
 
-// write changes the record where it differs from what is quarantined. One keeper
-// does, the one that reads the platform for all: what the platform holds is
-// known to it.
+// write updates the record if it differs from the quarantined requests. Only
+// the keeper that reads the platform for all others writes, because it knows
+// what the platform holds.
 func (w *quarantineWriter) write(ctx context.Context, now time.Time) {
 	k := w.keeper
-	if k.standing().place != 0 || !k.Ready() || k.duty.News().Failing() || now.Before(w.next) {
+	if k.memberView().watcherIndex != 0 || !k.Ready() || k.duty.News().Failing() || now.Before(w.next) {
 		return
 	}
 	quarantined := k.quarantine.Entries()
@@ -104,13 +105,13 @@
 		w.retry = 0
 		return
 	}
-	w.retry = min(max(quarantineWrites, 2*w.retry), quarantineRetryMax)
+	w.retry = min(max(quarantineWriteInterval, 2*w.retry), quarantineRetryMax)
 	w.next = now.Add(w.retry)
 }
 
-// noteQuarantine writes the line of a change of what is held of a request.
-func (k *Keeper) noteQuarantine(c quarantine.Change) {
-	k.decideOn(&port.DecisionRecord{
+// logQuarantineChange logs a decision about a request's fingerprint.
+func (k *Keeper) logQuarantineChange(c quarantine.Change) {
+	k.recordDecision(&port.DecisionRecord{
 		Subject: "fingerprint", SubjectID: c.Fingerprint.String(), Verdict: string(c.Verdict),
 		Reason: c.Reason, Crashes: c.Crashes,
 	})
--- a/internal/keeper/records.go
+++ b/internal/keeper/records.go
@@ -15,18 +15,20 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// Errors about operators' writes. Those about content are of package record.
+// Errors of operators' writes. Errors about a record's content are in package
+// record.
 var (
-	// ErrStale: the record has another version than the operator had seen.
+	// ErrStale: the record's version isn't the one that the operator's change
+	// was based on.
 	ErrStale = merry.Sentinel("records: the record has another version")
-	// ErrAbsent: there is no such record.
+	// ErrAbsent: the record doesn't exist.
 	ErrAbsent = merry.Sentinel("records: no such record")
-	// ErrNotWritten: the platform did not take the write; nothing changed.
+	// ErrNotWritten: the platform did not accept the write; nothing changed.
 	ErrNotWritten = merry.Sentinel("records: the platform did not take the write; nothing changed")
 	// ErrUnknown: the write may have taken effect, and the platform can't be
 	// read to find out.
 	ErrUnknown = merry.Sentinel("records: whether the write took effect is not known")
-	// ErrTooLarge: the value is over the platform's limit.
+	// ErrTooLarge: the value exceeds the platform's limit.
 	ErrTooLarge = merry.Sentinel("records: the record is too large")
 )
 
@@ -35,28 +37,30 @@
 	Kind, Name string
 	// Body is the document; empty for a delete.
 	Body json.RawMessage
-	// Expect is the version the operator has seen; zero with Create.
+	// Expect is the version that the change is based on; zero with Create.
 	Expect uint64
-	// Create: the record must be absent.
+	// Create: the record must not exist yet.
 	Create bool
 	Delete bool
 	Actor  string
 }
 
-// Result is what became of a change.
+// Result is the outcome of a change.
 type Result struct {
-	// WriteID names the write in the trail, the log and explanations.
+	// WriteID identifies the write in the audit trail, the log and
+	// explanations.
 	WriteID string
-	// Record is the written record, or on ErrStale the winner.
+	// Record is the written record, or the stored one with ErrStale.
 	Record port.Record
-	// Superseded: the write took effect and another one came after it;
-	// Record is that later one.
+	// Superseded: the write took effect and was then overwritten by another
+	// one; Record is the later one.
 	Superseded bool
 }
 
 func newWriteID() string { return uuid.NewString() }
 
-// Change validates and writes. Whatever happens, one decision is logged.
+// Change validates and writes a change. It logs one decision, whatever the
+// outcome.
 func (k *Keeper) Change(ctx context.Context, c *Change) (Result, error) {
 	result := Result{WriteID: newWriteID()}
 	err := k.change(ctx, c, &result)
@@ -106,7 +110,7 @@
 	return d, nil
 }
 
-// readForWrite reads the stored value, whose trail goes on in the new one.
+// readForWrite reads the stored value, whose audit trail the new one continues.
 func (k *Keeper) readForWrite(ctx context.Context, c *Change) (port.Object, *record.Envelope, error) {
 	object, err := k.options.Platform.Get(ctx, c.Kind, c.Name)
 	if errors.Is(err, port.ErrNotFound) {
@@ -115,7 +119,7 @@
 	if err != nil {
 		return port.Object{}, nil, merry.Prepend(ErrNotWritten, err.Error())
 	}
-	k.called(time.Now(), true)
+	k.recordPlatformCall(time.Now(), true)
 	envelope, err := record.DecodeEnvelope(object.Value)
 	if err != nil {
 		return port.Object{}, nil, err
@@ -123,8 +127,8 @@
 	return object, envelope, nil
 }
 
-// checkCondition compares what the operator has seen with what is stored. A
-// tombstone counts as absent.
+// checkCondition compares the version that the change is based on with the
+// stored one. A tombstone counts as absent.
 func checkCondition(c *Change, object *port.Object, stored *record.Envelope, result *Result) error {
 	if len(object.Value) > 0 {
 		winner, err := record.FromObject(object)
@@ -157,7 +161,8 @@
 	if !before.Deleted {
 		stored, err := record.Parse(before.Document)
 		if err != nil {
-			// A newer build's record isn't rewritten by this one.
+			// This build must not rewrite a record that was written by a newer
+			// one.
 			return nil, err
 		}
 		if d, err = d.KeepCarried(stored); err != nil {
@@ -179,7 +184,7 @@
 	}
 }
 
-// write is one conditional write on its way to the platform.
+// write is one conditional write to the platform.
 type write struct {
 	keeper  *Keeper
 	change  *Change
@@ -189,18 +194,18 @@
 	result  *Result
 }
 
-// run writes, and settles a lost reply. The value carries the write's id: a
-// later read knows the write again by it. "Failed" is never said of a write
-// that may have taken effect.
+// run writes, and determines the outcome if the reply was lost. The value
+// carries the write's id, by which a later read recognises the write. A write
+// that may have taken effect is never reported as failed.
 func (w *write) run(ctx context.Context) error {
 	object, err := w.put(ctx)
 	switch {
 	case err == nil:
-		return w.accepted(&object)
+		return w.accept(&object)
 	case errors.Is(err, port.ErrConflict):
-		return w.judgeStored(ctx)
+		return w.resolveConflict(ctx)
 	case errors.Is(err, port.ErrOutcomeUnknown):
-		return w.settle(ctx)
+		return w.resolveOutcome(ctx)
 	case errors.Is(err, port.ErrTooLarge):
 		return ErrTooLarge
 	default:
@@ -212,14 +217,14 @@
 	return w.keeper.options.Platform.Put(ctx, w.change.Kind, w.change.Name, w.expect, w.value)
 }
 
-// accepted puts the write in force here and on its way to all others at once,
-// without waiting for a watch.
-func (w *write) accepted(object *port.Object) error {
-	w.keeper.called(time.Now(), true)
+// accept puts the write in force here and starts to send it to all other
+// daemons, without waiting for a watch.
+func (w *write) accept(object *port.Object) error {
+	w.keeper.recordPlatformCall(time.Now(), true)
 	r, err := record.FromObject(object)
 	if err != nil {
-		// The platform's reply lacks the value; the write is accepted and
-		// the watch brings the record.
+		// The platform's reply lacks the value. The write is accepted, and the
+		// watch will bring the record.
 		w.result.Record = port.Record{Kind: w.change.Kind, Name: w.change.Name, Version: object.Version}
 		return nil
 	}
@@ -228,59 +233,61 @@
 	return nil
 }
 
-// settle finds out what became of a write whose reply was lost. It reads, and
-// where the old version still stands it writes the same value under the same
-// condition again: at most one of the two can take effect, as the condition
-// holds for one version only.
-func (w *write) settle(ctx context.Context) error {
-	// The operator may hang up; the decision that is logged must be right.
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), w.keeper.options.SettleWithin)
+// resolveOutcome determines the outcome of a write whose reply was lost. It
+// reads the stored value, and if that still has the expected version it writes
+// the same value under the same condition again. At most one of the two writes
+// can take effect, as the condition holds for one version only.
+func (w *write) resolveOutcome(ctx context.Context) error {
+	// The operator may disconnect, but the logged decision must still be right.
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), w.keeper.options.OutcomeTimeout)
 	defer cancel()
 	for {
-		err := w.settleOnce(ctx)
-		if !errors.Is(err, errUnsettled) {
+		err := w.tryResolveOutcome(ctx)
+		if !errors.Is(err, errUnresolved) {
 			return err
 		}
-		if pause(ctx, w.keeper.options.SettlePause) != nil {
+		if pause(ctx, w.keeper.options.OutcomeRetryPause) != nil {
 			return ErrUnknown
 		}
 	}
 }
 
-// errUnsettled: ask again.
-var errUnsettled = merry.Sentinel("records: not settled yet")
+// errUnresolved: the outcome isn't known yet and the caller should try again.
+var errUnresolved = merry.Sentinel("records: the outcome of the write is not known yet")
 
-func (w *write) settleOnce(ctx context.Context) error {
+func (w *write) tryResolveOutcome(ctx context.Context) error {
 	stored, err := w.keeper.options.Platform.Get(ctx, w.change.Kind, w.change.Name)
 	switch {
 	case errors.Is(err, port.ErrNotFound) && port.StoreRevision(w.expect).Revision() == 0:
 	case err != nil:
-		return errUnsettled
+		return errUnresolved
 	}
 	if stored.Version != w.expect {
-		return w.judge(&stored)
+		return w.resolveByStored(&stored)
 	}
 	object, err := w.put(ctx)
 	switch {
 	case err == nil:
-		return w.accepted(&object)
+		return w.accept(&object)
 	default:
-		// Also after a conflict: the first try may be what it met.
-		return errUnsettled
+		// Also after a conflict, which the first attempt may have caused.
+		return errUnresolved
 	}
 }
 
-// judgeStored is for a conflict: it may have met an own earlier try.
-func (w *write) judgeStored(ctx context.Context) error {
+// resolveConflict handles a conflict, which an earlier attempt of the same
+// write may have caused.
+func (w *write) resolveConflict(ctx context.Context) error {
 	stored, err := w.keeper.options.Platform.Get(ctx, w.change.Kind, w.change.Name)
 	if err != nil {
-		return w.settle(ctx)
+		return w.resolveOutcome(ctx)
 	}
-	return w.judge(&stored)
+	return w.resolveByStored(&stored)
 }
 
-// judge decides by the stored value, which is past the expected version.
-func (w *write) judge(stored *port.Object) error {
+// resolveByStored determines the outcome by the stored value, whose version is
+// past the expected one.
+func (w *write) resolveByStored(stored *port.Object) error {
 	envelope, err := record.DecodeEnvelope(stored.Value)
 	if err != nil {
 		return err
@@ -298,12 +305,12 @@
 	if envelope.KnowsSuccessorOf(w.expect) {
 		return ErrStale
 	}
-	// The trail no longer reaches back to the expected version: whether the
-	// write was among what it forgot can't be told.
+	// The audit trail no longer reaches back to the expected version, so it
+	// can't tell whether the write is among the entries that were dropped.
 	return ErrUnknown
 }
 
-// logChange logs the one decision on a change.
+// logChange logs the decision on a change.
 func (k *Keeper) logChange(c *Change, result *Result, err error) {
 	if k.options.Decisions == nil {
 		return
@@ -325,21 +332,23 @@
 	})
 }
 
-// RecordHeard logs from whom a version came, and what of it is missing: of one
-// that is late here, it shows how far it had come.
+// RecordHeard logs which peer sent a version and how many of its parts are
+// missing. For a version that arrives late, this shows how much of it had
+// arrived.
 func (k *Keeper) RecordHeard(r *spread.Revision, from string, missing int) {
 	k.options.Logger.Info().Str("event", "record_heard").Str("record", spread.RecordKey(r.Kind, r.Name)).
 		Uint64("version", r.Version).Str("from", cmp.Or(from, "platform")).Int("parts", len(r.Parts)).Int("parts_missing", missing).
 		Int64("platform_age_ms", *port.AgeMillis(k.PlatformAge(time.Now()))).Msg("")
 }
 
-// RecordWhole logs that a version that came in parts can be put in force.
+// RecordWhole logs that all parts of a version have arrived, so that it can be
+// put in force.
 func (k *Keeper) RecordWhole(r *port.Record) {
 	k.options.Logger.Info().Str("event", "record_whole").Str("record", spread.RecordKey(r.Kind, r.Name)).
 		Uint64("version", r.Version).Int("bytes", len(r.Body)).Msg("")
 }
 
-// Record returns one record in force, a deleted one as such.
+// Record returns one record in force. A deleted one is returned as such.
 func (k *Keeper) Record(kind, name string) (port.Record, bool) {
 	return k.node.WholeRecord(kind, name)
 }
--- a/internal/keeper/records_test.go
+++ b/internal/keeper/records_test.go
@@ -38,46 +38,47 @@
 	return r
 }
 
-// The reply to an operator's write is lost after it took effect. The keeper
-// reads again, knows its own write by its id and says that it is accepted;
-// it neither says failed nor writes a second version.
+// The reply to an operator's write is lost after the write took effect. The
+// keeper reads the value, recognises its own write by its id and reports it as
+// accepted. It must neither report a failure nor write a second version.
 func TestLostReplyOfAWriteThatTookEffect(t *testing.T) {
 	p := newFakePlatform()
 	k, decisions := newTestKeeper(p)
-	p.puts = []fate{fateLost}
+	p.putResults = []callResult{resultReplyLost}
 	r := mustChange(t, k, create(1))
 	if r.Record.Version != 1 || p.Writes() != 1 {
-		t.Fatalf("version %d after %d writes", r.Record.Version, p.Writes())
+		t.Fatalf("version %d after %d writes, want 1 after 1", r.Record.Version, p.Writes())
 	}
 	if len(decisions.All()) != 1 || decisions.All()[0].Verdict != "accepted" || decisions.All()[0].ID != r.WriteID {
 		t.Fatalf("decisions %+v", decisions.All())
 	}
 	if held, ok := k.Record(testKind, testName); !ok || held.Version != 1 {
-		t.Fatal("not in force at the keeper that took the write")
+		t.Fatal("the record is not in force at the keeper that accepted the write")
 	}
 }
 
-// The reply is lost and the write never arrived: it is written again under the
-// same condition, which is safe whichever of the two arrives.
+// The reply is lost and the write never arrived. The keeper writes again under
+// the same condition, so that at most one of the two writes takes effect.
 func TestLostReplyOfAWriteThatNeverArrived(t *testing.T) {
 	p := newFakePlatform()
 	k, _ := newTestKeeper(p)
-	p.puts = []fate{fateNeverArrived, fateNeverArrived}
+	p.putResults = []callResult{resultNotDelivered, resultNotDelivered}
 	if r := mustChange(t, k, create(1)); r.Record.Version != 1 || p.Writes() != 1 {
-		t.Fatalf("version %d after %d writes", r.Record.Version, p.Writes())
+		t.Fatalf("version %d after %d writes, want 1 after 1", r.Record.Version, p.Writes())
 	}
 }
 
-// The reply is lost, and before the keeper can read, another operator revises
-// the record. Ours took effect and is no longer the newest: both is said.
+// The reply is lost, and another operator revises the record before the keeper
+// can read it. The result must say that the write took effect and was
+// superseded.
 func TestLostReplyThenSuperseded(t *testing.T) {
 	p := newFakePlatform()
 	k, _ := newTestKeeper(p)
 	mustChange(t, k, create(1))
-	p.puts = []fate{fateLost}
-	// The keeper's read for the write is let through, its first settling read
-	// is not; in between the other operator revises.
-	p.gets = []fate{fateOK, fateDown}
+	p.putResults = []callResult{resultReplyLost}
+	// The read before the write succeeds, and the first read for the outcome
+	// fails; in between the other operator revises the record.
+	p.getResults = []callResult{resultOK, resultDown}
 	done := make(chan struct{})
 	var r Result
 	var err error
@@ -85,30 +86,32 @@
 		defer close(done)
 		r, err = k.Change(context.Background(), revise(2, 1))
 	}()
-	eventually.True(t, "our write", func() bool { return p.Writes() == 2 })
-	p.other(&Change{Kind: testKind, Name: testName, Body: bodyWith(3)}, "other")
+	eventually.True(t, "the write is stored", func() bool { return p.Writes() == 2 })
+	p.writeConcurrently(&Change{Kind: testKind, Name: testName, Body: bodyWith(3)}, "other")
 	<-done
 	if err != nil {
 		t.Fatalf("a write that took effect is reported as %v", err)
 	}
-	// The settling read may also have come before the other operator.
+	// The read for the outcome may also have come before the other operator's
+	// write.
 	if !r.Superseded && r.Record.Version != 2 || r.Superseded && r.Record.Version != 3 {
 		t.Fatalf("got %+v", r)
 	}
 }
 
-// The reply is lost, the write never arrived, and meanwhile another operator
-// won. This one is a conflict, and shows the winner.
-func TestLostReplyThenAnotherWins(t *testing.T) {
+// The reply is lost, the write never arrived, and another operator's write took
+// effect meanwhile. The result is a conflict and shows the other operator's
+// record.
+func TestLostReplyThenConflict(t *testing.T) {
 	p := newFakePlatform()
 	k, _ := newTestKeeper(p)
 	mustChange(t, k, create(1))
-	p.puts = []fate{fateNeverArrived}
+	p.putResults = []callResult{resultNotDelivered}
 	first := true
 	p.beforePut = func() {
 		if first {
 			first = false
-			p.other(&Change{Kind: testKind, Name: testName, Body: bodyWith(9)}, "other")
+			p.writeConcurrently(&Change{Kind: testKind, Name: testName, Body: bodyWith(9)}, "other")
 		}
 	}
 	r, err := k.Change(context.Background(), revise(2, 1))
@@ -117,13 +120,13 @@
 	}
 }
 
-// The reply is lost and the platform goes down. Whether the write is in force
-// can't be told: the answer says so, and neither accepted nor refused.
+// The reply is lost and the platform goes down, so that the outcome can't be
+// determined. The answer must say so, and neither accept nor refuse the write.
 func TestLostReplyThenPlatformDown(t *testing.T) {
 	p := newFakePlatform()
 	k, decisions := newTestKeeper(p)
-	p.puts = []fate{fateLost}
-	p.gets = append([]fate{fateOK}, repeat(fateDown, 100_000)...)
+	p.putResults = []callResult{resultReplyLost}
+	p.getResults = append([]callResult{resultOK}, repeat(resultDown, 100_000)...)
 	_, err := k.Change(context.Background(), create(1))
 	if !errors.Is(err, ErrUnknown) {
 		t.Fatalf("got %v", err)
@@ -133,17 +136,18 @@
 	}
 }
 
-func repeat(f fate, n int) []fate {
-	out := make([]fate, n)
+func repeat(f callResult, n int) []callResult {
+	out := make([]callResult, n)
 	for i := range out {
 		out[i] = f
 	}
 	return out
 }
 
-// Two operators have seen the same version. One wins; the other gets a
-// conflict that shows the winner, and nothing of the loser is stored.
-func TestRaceOfOperators(t *testing.T) {
+// Two operators write on the basis of the same version. One succeeds; the other
+// gets a conflict that shows the stored record, and nothing of its write is
+// stored.
+func TestConcurrentOperatorWrites(t *testing.T) {
 	p := newFakePlatform()
 	k, _ := newTestKeeper(p)
 	mustChange(t, k, create(1))
@@ -157,22 +161,23 @@
 	}
 }
 
-// A record is deleted and created again. Its versions go on growing, so that
-// no daemon takes the new one for an old one; the trail goes on too.
+// A record is deleted and created again. Its versions must continue to grow, so
+// that no daemon takes the new record for an old one, and the audit trail must
+// continue.
 func TestDeleteLeavesATombstone(t *testing.T) {
 	p := newFakePlatform()
 	k, _ := newTestKeeper(p)
 	mustChange(t, k, create(1))
-	gone := mustChange(t, k, &Change{Kind: testKind, Name: testName, Expect: 1, Delete: true})
-	if !gone.Record.Deleted || len(k.Records()) != 0 {
-		t.Fatalf("got %+v", gone)
+	deleted := mustChange(t, k, &Change{Kind: testKind, Name: testName, Expect: 1, Delete: true})
+	if !deleted.Record.Deleted || len(k.Records()) != 0 {
+		t.Fatalf("got %+v", deleted)
 	}
-	if _, err := k.Change(context.Background(), revise(2, gone.Record.Version)); !errors.Is(err, ErrAbsent) {
+	if _, err := k.Change(context.Background(), revise(2, deleted.Record.Version)); !errors.Is(err, ErrAbsent) {
 		t.Fatalf("revised a deleted record: %v", err)
 	}
-	again := mustChange(t, k, create(2))
-	if again.Record.Version <= gone.Record.Version {
-		t.Fatalf("version went from %d to %d", gone.Record.Version, again.Record.Version)
+	recreated := mustChange(t, k, create(2))
+	if recreated.Record.Version <= deleted.Record.Version {
+		t.Fatalf("version went from %d to %d", deleted.Record.Version, recreated.Record.Version)
 	}
 	trail, err := k.Audit(context.Background(), testKind, testName)
 	if err != nil || len(trail.Changes) != 3 || trail.Changes[1].Action != record.ActionDelete || trail.Changes[0].Actor != "kim" {
@@ -180,12 +185,13 @@
 	}
 }
 
-// A newer build has written a record in a schema that this one doesn't know.
-// It stays as it is: a rewrite would drop what this build can't see.
+// A newer build has written a record with a schema that this build doesn't
+// know. It must not be rewritten, as that would drop the fields that this build
+// doesn't know.
 func TestNewerRecordIsNotRewritten(t *testing.T) {
 	p := newFakePlatform()
 	k, _ := newTestKeeper(p)
-	p.other(&Change{Kind: testKind, Name: testName, Body: json.RawMessage(`{"schema_version":3,"kind":"routing-configurations","name":"r","spec":{}}`)}, "newer build")
+	p.writeConcurrently(&Change{Kind: testKind, Name: testName, Body: json.RawMessage(`{"schema_version":3,"kind":"routing-configurations","name":"r","spec":{}}`)}, "newer build")
 	if _, err := k.Change(context.Background(), revise(1, 1)); !errors.Is(err, record.ErrNewerSchema) {
 		t.Fatalf("got %v", err)
 	}
@@ -194,23 +200,24 @@
 	}
 }
 
-// Several operators write, replies are lost, writes never arrive, the platform
-// refuses. The oracle is the platform's own history: what was answered
-// "accepted" is in it once, what was answered "refused" is never in it.
-func TestWritesAgainstHistory(t *testing.T) {
+// Several operators write while replies are lost, writes never arrive and the
+// platform refuses calls. The results are compared with the platform's history:
+// a write reported as accepted is in it once, a refused one never.
+func TestWriteResultsMatchHistory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newFakePlatform()
 		k, _ := newTestKeeper(p)
 		var seen uint64
 		for i := range rapid.IntRange(1, 12).Draw(t, "writes") {
-			// At most a few faults in a row, so that settling ends in time.
-			p.puts = rapid.SliceOfN(few(fateOK, fateDown, fateLost, fateNeverArrived), 0, 3).Draw(t, "fates of writes")
-			p.gets = append([]fate{fateOK}, rapid.SliceOfN(few(fateOK, fateDown), 0, 2).Draw(t, "fates of reads")...)
-			racer := rapid.IntRange(0, 3).Draw(t, "racer") == 0
+			// A few faults in a row at most, so that the outcome is determined
+			// within the timeout.
+			p.putResults = rapid.SliceOfN(oneOf(resultOK, resultDown, resultReplyLost, resultNotDelivered), 0, 3).Draw(t, "write results")
+			p.getResults = append([]callResult{resultOK}, rapid.SliceOfN(oneOf(resultOK, resultDown), 0, 2).Draw(t, "read results")...)
+			concurrent := rapid.IntRange(0, 3).Draw(t, "concurrent write") == 0
 			p.beforePut = func() {
-				if racer {
-					racer = false
-					p.other(&Change{Kind: testKind, Name: testName, Body: bodyWith(1)}, fmt.Sprint("other", i))
+				if concurrent {
+					concurrent = false
+					p.writeConcurrently(&Change{Kind: testKind, Name: testName, Body: bodyWith(1)}, fmt.Sprint("other", i))
 				}
 			}
 			c := revise(1, seen)
@@ -219,9 +226,9 @@
 			times := p.timesInHistory(r.WriteID)
 			switch {
 			case err == nil && times != 1:
-				t.Fatalf("accepted, and in history %d times", times)
+				t.Fatalf("the write was accepted but is in the history %d times, want 1", times)
 			case err != nil && !errors.Is(err, ErrUnknown) && times != 0:
-				t.Fatalf("answered %v, and in history %d times", err, times)
+				t.Fatalf("the write got %v but is in the history %d times, want 0", err, times)
 			}
 			if current, err := p.Store.Get(context.Background(), testKind, testName); err == nil {
 				seen = current.Version
@@ -230,7 +237,7 @@
 	})
 }
 
-func few[T any](values ...T) *rapid.Generator[T] { return rapid.SampledFrom(values) }
+func oneOf[T any](values ...T) *rapid.Generator[T] { return rapid.SampledFrom(values) }
 
 // timesInHistory counts the versions that a write made.
 func (p *fakePlatform) timesInHistory(writeID string) int {
--- a/internal/keeper/recordsource.go
+++ b/internal/keeper/recordsource.go
@@ -10,34 +10,35 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// recordSource reads one kind of record.
+// recordSource reads one kind of record from the platform.
 type recordSource struct {
 	keeper *Keeper
 	kind   string
-	// era is that of the last list.
+	// era is the era of the last list.
 	era uint64
-	// unsettled: the store has come back from a copy, and what it has lost of
-	// this kind is not written again yet. It is looked at from settleAt on.
-	unsettled bool
-	settleAt  time.Time
+	// restorePending: the store was restored from a backup, and the records of
+	// this kind that the restore lost have not been written again yet. They are
+	// looked for from repairAt on.
+	restorePending bool
+	repairAt       time.Time
 }
 
-// Times and numbers of writing again what a restore has lost.
+// Intervals and bounds of writing again what a restore lost.
 const (
-	// settleAgain is the time to the next look while something is lost.
-	settleAgain = time.Second
-	// rewritesAtOnce bounds the writes of one look: a store that has just come
-	// back is asked by all daemons.
-	rewritesAtOnce = 16
+	// repairInterval is the time to the next check while records are lost.
+	repairInterval = time.Second
+	// maxRewritesPerCheck bounds the writes of one check, because all daemons
+	// call a store that has just been restored.
+	maxRewritesPerCheck = 16
 )
 
-// read reads all objects of the kind, of an era that is taken for one.
+// read lists all objects of the kind and checks the era of the answer.
 func (s *recordSource) read(ctx context.Context) ([]port.Object, port.StoreRevision, error) {
 	objects, revision, err := s.keeper.options.Platform.List(ctx, s.kind)
 	if err != nil {
 		return nil, 0, err
 	}
-	return objects, revision, s.keeper.takeEra(s.kind, revision)
+	return objects, revision, s.keeper.checkEra(s.kind, revision)
 }
 
 func (s *recordSource) list(ctx context.Context, _ bool) (port.StoreRevision, error) {
@@ -46,46 +47,47 @@
 	if err != nil {
 		return 0, err
 	}
-	s.enter(revision.Era(), time.Now())
+	s.enterEra(revision.Era(), time.Now())
 	switch {
-	case !s.unsettled:
+	case !s.restorePending:
 		s.apply(objects)
-	case time.Now().Before(s.settleAt):
-		s.applyCopied(objects)
+	case time.Now().Before(s.repairAt):
+		s.applyBackup(objects)
 	default:
-		s.settle(ctx, objects, revision)
+		s.repair(ctx, objects, revision)
 	}
-	k.listedInFull(s.kind)
+	k.markListed(s.kind)
 	return revision, nil
 }
 
-// listedInFull notes that a kind was read. Once all that are watched have been,
+// markListed records that a kind was listed. Once all watched kinds have been,
 // the records are complete.
-func (k *Keeper) listedInFull(kind string) {
+func (k *Keeper) markListed(kind string) {
 	watched := slices.Concat(k.options.Kinds, k.options.PresentKinds)
 	if slices.Contains(watched, kind) && k.listed.add(kind, len(watched)) {
 		k.node.SetComplete()
 	}
 }
 
-// enter notes the era of a list. The versions of the operators' routes are their
-// own and go on through a restore; those of other records are the store's.
-func (s *recordSource) enter(era uint64, now time.Time) {
+// enterEra records the era of a list. The versions of the operators' routes are
+// independent of the store and continue after a restore; the versions of other
+// records are revisions of the store.
+func (s *recordSource) enterEra(era uint64, now time.Time) {
 	if era == s.era {
 		return
 	}
-	s.era, s.unsettled = era, record.KnownKind(s.kind)
-	// By then the peers have told what they hold.
-	s.settleAt = now.Add(s.keeper.options.LapseGrace)
+	s.era, s.restorePending = era, record.KnownKind(s.kind)
+	// By then the peers have sent what they hold.
+	s.repairAt = now.Add(s.keeper.options.LapseGrace)
 }
 
-// primary: where endpoints are watched as well, those show how the platform
-// answers.
+// primary returns false if endpoints are watched as well, since those calls
+// then show whether the platform answers.
 func (s *recordSource) primary() bool { return s.keeper.options.Endpoints == nil }
 
 func (s *recordSource) relistIn() time.Duration {
-	if s.unsettled {
-		return settleAgain
+	if s.restorePending {
+		return repairInterval
 	}
 	return s.keeper.options.RelistEvery
 }
@@ -95,7 +97,7 @@
 	if err != nil {
 		return 0, 0, err
 	}
-	if err := s.keeper.sameEra(s.kind, revision, next); err != nil {
+	if err := s.keeper.checkWatchEra(s.kind, revision, next); err != nil {
 		return 0, 0, err
 	}
 	s.apply(objects)
@@ -108,15 +110,16 @@
 	}
 }
 
-// applyCopied takes what a store lists that has just come back from a copy.
-func (s *recordSource) applyCopied(objects []port.Object) {
+// applyBackup applies the list of a store that has just been restored from a
+// backup.
+func (s *recordSource) applyBackup(objects []port.Object) {
 	for i := range objects {
 		s.put(&objects[i], record.FromCopy)
 	}
 }
 
-// put takes a stored value. What can't be read is left as it is: the record in
-// force stays.
+// put applies a stored value. If it can't be decoded, the record in force is
+// kept.
 func (s *recordSource) put(o *port.Object, decode func(*port.Object) (port.Record, error)) {
 	r, err := decode(o)
 	if err != nil {
@@ -127,37 +130,38 @@
 	s.keeper.node.PutRecord(r)
 }
 
-// settle compares what the store lists with what is held. What the restore has
-// lost is written again, by one keeper; everything else is taken.
-func (s *recordSource) settle(ctx context.Context, objects []port.Object, at port.StoreRevision) {
+// repair compares what the store lists with what is held. One keeper writes
+// again what the restore lost; everything else is applied.
+func (s *recordSource) repair(ctx context.Context, objects []port.Object, at port.StoreRevision) {
 	k := s.keeper
-	named := make(map[string]bool, len(objects))
+	listed := make(map[string]bool, len(objects))
 	var lost []rewrite
 	for i := range objects {
 		o := &objects[i]
-		named[o.Name] = true
-		if w := k.lost(o); w != nil {
+		listed[o.Name] = true
+		if w := k.lostWrite(o); w != nil {
 			lost = append(lost, *w)
 			continue
 		}
 		s.put(o, record.FromObject)
 	}
 	for _, held := range k.node.Whole() {
-		// A tombstone that isn't there any more is as good as one that is.
-		if held.Kind == s.kind && !named[held.Name] && !held.Deleted {
-			lost = append(lost, rewrite{held: held, base: uint64(at.None()), before: &record.Envelope{Deleted: true}})
+		// A missing tombstone means the same as a stored one.
+		if held.Kind == s.kind && !listed[held.Name] && !held.Deleted {
+			lost = append(lost, rewrite{held: held, storedVersion: uint64(at.None()), stored: &record.Envelope{Deleted: true}})
 		}
 	}
-	s.unsettled = len(lost) > 0
-	if k.standing().place == 0 {
-		for i := range lost[:min(len(lost), rewritesAtOnce)] {
-			k.rewrite(ctx, &lost[i])
+	s.restorePending = len(lost) > 0
+	if k.memberView().watcherIndex == 0 {
+		for i := range lost[:min(len(lost), maxRewritesPerCheck)] {
+			k.rewriteRecord(ctx, &lost[i])
 		}
 	}
 }
 
-// lost returns what is to be written again over a stored value, nil for nothing.
-func (k *Keeper) lost(o *port.Object) *rewrite {
+// lostWrite returns the record to be written again over a stored value, or nil
+// if there is none.
+func (k *Keeper) lostWrite(o *port.Object) *rewrite {
 	held, known := k.node.WholeRecord(o.Kind, o.Name)
 	if !known {
 		return nil
@@ -166,31 +170,32 @@
 	if err != nil || !record.Outlasts(&held, o, e) {
 		return nil
 	}
-	return &rewrite{held: held, base: o.Version, before: e}
+	return &rewrite{held: held, storedVersion: o.Version, stored: e}
 }
 
 // rewrite is a record to be written again.
 type rewrite struct {
 	held port.Record
-	// base is the version that the store holds, before the value there.
-	base   uint64
-	before *record.Envelope
+	// storedVersion is the version that the store holds, stored the value at
+	// that version.
+	storedVersion uint64
+	stored        *record.Envelope
 }
 
-// rewrite writes a record again that the store has lost, if nobody else has
-// written it since.
-func (k *Keeper) rewrite(ctx context.Context, w *rewrite) {
+// rewriteRecord writes a record that the store lost again, unless it has been
+// written since.
+func (k *Keeper) rewriteRecord(ctx context.Context, w *rewrite) {
 	entry := record.AuditEntry{
-		Time: time.Now().UTC(), Actor: k.options.Self.ID, WriteID: newWriteID(), BasedOn: w.base, Action: record.ActionRestore,
+		Time: time.Now().UTC(), Actor: k.options.Self.ID, WriteID: newWriteID(), BasedOn: w.storedVersion, Action: record.ActionRestore,
 		Reason: "the platform's store came back from a copy without it",
 	}
 	document := w.held.Body
 	if w.held.Deleted {
-		document = w.before.Document
+		document = w.stored.Document
 	}
-	next := w.before.Next(document, &entry)
+	next := w.stored.Next(document, &entry)
 	next.Deleted = w.held.Deleted
-	o, err := k.options.Platform.Put(ctx, w.held.Kind, w.held.Name, w.base, next.Encode())
+	o, err := k.options.Platform.Put(ctx, w.held.Kind, w.held.Name, w.storedVersion, next.Encode())
 	verdict, reason := "written_again", entry.Reason
 	if err != nil {
 		verdict, reason = "not_written_again", err.Error()
@@ -202,5 +207,5 @@
 	if errors.Is(err, context.Canceled) {
 		return
 	}
-	k.decide("configuration", w.held.Kind+"/"+w.held.Name, verdict, reason, o.Version)
+	k.recordVerdict("configuration", w.held.Kind+"/"+w.held.Name, verdict, reason, o.Version)
 }
--- a/internal/keeper/registry.go
+++ b/internal/keeper/registry.go
@@ -9,11 +9,12 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// kindEndpoints names the registry of endpoints beside the kinds of records.
+// kindEndpoints names the registry of endpoints where the kinds of records are
+// named.
 const kindEndpoints = "endpoints"
 
-// watchEndpointsForever follows the platform's registry of endpoints.
-func (k *Keeper) watchEndpointsForever(ctx context.Context) error {
+// watchEndpoints follows the platform's registry of endpoints.
+func (k *Keeper) watchEndpoints(ctx context.Context) error {
 	s := &endpointSource{keeper: k}
 	defer s.wait()
 	return k.follow(ctx, kindEndpoints, s)
@@ -22,83 +23,86 @@
 // endpointSource reads the registry of endpoints.
 type endpointSource struct {
 	keeper *Keeper
-	// sweeps are the delayed looks at what lists left out, settling those at what
-	// an era's first list still names.
-	sweeps, settling sync.WaitGroup
+	// delayedRemovals tracks the delayed removals of endpoints that lists left
+	// out, restoreChecks the delayed checks of entries that the first list of
+	// an era named.
+	delayedRemovals, restoreChecks sync.WaitGroup
 
-	// mu guards copied, which a sweep ends.
+	// mu guards restoredAt, which a delayed check resets.
 	mu sync.Mutex
-	// copied is the revision of the first list in an era that began with a
-	// restore: up to it entries may be older than what is known. Zero once the
-	// registry has had the time to drop those that nobody writes again.
-	copied port.StoreRevision
-	// era is that of the last list.
+	// restoredAt is the revision of the first list in an era that began with a
+	// restore. Entries up to it may be older than the known state. It is zero
+	// once the registry has had the time to drop entries that nobody renews.
+	restoredAt port.StoreRevision
+	// era is the era of the last list.
 	era uint64
 }
 
 func (s *endpointSource) wait() {
-	s.sweeps.Wait()
-	s.settling.Wait()
+	s.delayedRemovals.Wait()
+	s.restoreChecks.Wait()
 }
 
-// list merges a full list. What it leaves out is no longer registered; only
-// where the platform was away or has come back from a copy, entries may be
-// missing of endpoints that live, which need a moment to register again. Taking
-// those for gone at once would leave callers without an endpoint right after an
-// outage.
-func (s *endpointSource) list(ctx context.Context, away bool) (port.StoreRevision, error) {
+// list merges a full list. An endpoint that it leaves out is no longer
+// registered, except after an outage of the platform or a restore of its store
+// from a backup: then entries of live endpoints may be missing for a moment
+// until they register again. Marking those as gone at once would leave callers
+// without an endpoint right after an outage.
+func (s *endpointSource) list(ctx context.Context, afterOutage bool) (port.StoreRevision, error) {
 	entries, revision, err := s.keeper.options.Endpoints.ListEndpoints(ctx)
 	if err != nil {
 		return 0, err
 	}
-	if err := s.keeper.takeEra(kindEndpoints, revision); err != nil {
+	if err := s.keeper.checkEra(kindEndpoints, revision); err != nil {
 		return 0, err
 	}
-	restored := s.enter(ctx, revision)
+	restored := s.enterEra(ctx, revision)
 	s.apply(entries, "listed")
-	absent := s.absent(entries, revision)
-	if !away && !restored {
-		s.remove(absent, revision)
+	missing := s.unlisted(entries, revision)
+	if !afterOutage && !restored {
+		s.remove(missing, revision)
 		return revision, nil
 	}
-	s.sweeps.Go(func() {
+	s.delayedRemovals.Go(func() {
 		if pause(ctx, s.keeper.options.LapseGrace) == nil {
-			s.remove(absent, revision)
+			s.remove(missing, revision)
 		}
 	})
 	return revision, nil
 }
 
-// enter notes the era of a list, and reports whether that began with a restore
-// since the list before.
-func (s *endpointSource) enter(ctx context.Context, revision port.StoreRevision) (restored bool) {
+// enterEra records the era of a list, and reports whether it began with a
+// restore since the previous list.
+func (s *endpointSource) enterEra(ctx context.Context, revision port.StoreRevision) (restored bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	era := revision.Era()
 	if era == s.era {
 		return false
 	}
-	s.era, s.copied = era, revision
-	s.settling.Go(func() {
-		// Entries that nobody writes again are dropped and heard of by then.
+	s.era, s.restoredAt = era, revision
+	s.restoreChecks.Go(func() {
+		// By then, entries that nobody renews have been dropped and their
+		// removal is known here.
 		if pause(ctx, s.keeper.options.EntryLife+s.keeper.options.LapseGrace) == nil {
-			s.settle(revision)
+			s.confirmListed(revision)
 		}
 	})
 	return true
 }
 
-// settle takes as evidence what the registry still lists of an era's first list.
-func (s *endpointSource) settle(first port.StoreRevision) {
+// confirmListed accepts the entries that the registry still lists from an era's
+// first list as evidence of the endpoints' state.
+func (s *endpointSource) confirmListed(first port.StoreRevision) {
 	k := s.keeper
 	s.mu.Lock()
-	current := s.copied == first
+	current := s.restoredAt == first
 	if current {
-		s.copied = 0
+		s.restoredAt = 0
 	}
 	s.mu.Unlock()
-	// Where the platform has given nobody an answer of late, what it has dropped
-	// since isn't known either.
+	// If the platform has answered no keeper recently, the entries that it has
+	// dropped since aren't known either.
 	if !current || k.PlatformAge(time.Now()) > k.options.FallbackAfter {
 		return
 	}
@@ -118,7 +122,7 @@
 	if err != nil {
 		return 0, 0, err
 	}
-	if err := s.keeper.sameEra(kindEndpoints, revision, next); err != nil {
+	if err := s.keeper.checkWatchEra(kindEndpoints, revision, next); err != nil {
 		return 0, 0, err
 	}
 	s.apply(changes, "changed")
@@ -132,39 +136,39 @@
 			s.remove([]string{e.ID}, e.Revision)
 			continue
 		}
-		s.keeper.putEndpoint(s.listed(e.Endpoint), reason)
+		s.keeper.putEndpoint(s.toEndpoint(e.Endpoint), reason)
 	}
 }
 
-func (s *endpointSource) listed(e port.Endpoint) membership.Endpoint {
+func (s *endpointSource) toEndpoint(e port.Endpoint) membership.Endpoint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if e.Revision <= s.copied && e.Revision.Era() == s.copied.Era() {
+	if e.Revision <= s.restoredAt && e.Revision.Era() == s.restoredAt.Era() {
 		return membership.FromCopy(e)
 	}
 	return membership.Listed(e)
 }
 
-// absent lists the endpoints that are known from before the revision and that
-// a list of it doesn't name. One that leaves is among them while its entry is
-// unproven: it would else be taken for still listed.
-func (s *endpointSource) absent(entries []port.ListedEndpoint, revision port.StoreRevision) []string {
-	named := make(map[string]bool, len(entries))
+// unlisted returns the endpoints that are known from before the revision and
+// that a list at it doesn't name. This includes an endpoint that is leaving
+// while its entry is unproven: it would otherwise count as still listed.
+func (s *endpointSource) unlisted(entries []port.ListedEndpoint, revision port.StoreRevision) []string {
+	listed := make(map[string]bool, len(entries))
 	for i := range entries {
-		named[entries[i].ID] = !entries[i].Removed
+		listed[entries[i].ID] = !entries[i].Removed
 	}
 	var out []string
 	for e := range s.keeper.node.Endpoints.All() {
-		concerned := e.State == port.EndpointLive || e.Unproven()
-		if concerned && !named[e.ID] && e.EntryRevision <= revision {
+		relevant := e.State == port.EndpointLive || e.Unproven()
+		if relevant && !listed[e.ID] && e.EntryRevision <= revision {
 			out = append(out, e.ID)
 		}
 	}
 	return out
 }
 
-// remove notes that the registry didn't name endpoints at a revision. One that
-// has been listed again since has a larger revision, and stays.
+// remove records that the registry didn't name endpoints at a revision. An
+// endpoint that has been listed again since has a larger revision and stays.
 func (s *endpointSource) remove(ids []string, revision port.StoreRevision) {
 	for _, id := range ids {
 		known, ok := s.keeper.node.Endpoints.Get(id)
--- a/internal/keeper/registry_test.go
+++ b/internal/keeper/registry_test.go
@@ -13,30 +13,31 @@
 	_ "github.com/dragonflyrail/dragonflyrail/internal/testkit/fixedseed"
 )
 
-// Guards against probes of ended runners that delay the one of a runner about to leave.
-func TestOnlyEndpointsThatLiveAreAskedWhileThePlatformIsAway(t *testing.T) {
+// Guards against probes of ended runners delaying the probe of a runner that is
+// about to leave.
+func TestOnlyLiveEndpointsAreProbedDuringOutage(t *testing.T) {
 	k, _ := newTestKeeper(newFakePlatform())
 	k.options.ProbeWhenAway = true
-	k.putEndpoint(membership.Listed(listed("lives", 1, port.EndpointLive).Endpoint), "listed")
+	k.putEndpoint(membership.Listed(registryEntry("lives", 1, port.EndpointLive).Endpoint), "listed")
 	for i := range 20 {
-		known := membership.Listed(listed(fmt.Sprint("ended-", i), 1, port.EndpointLive).Endpoint)
+		known := membership.Listed(registryEntry(fmt.Sprint("ended-", i), 1, port.EndpointLive).Endpoint)
 		k.putEndpoint(membership.Removed(known, 7), "no_longer_registered")
 	}
 	share := k.probeShare()
 	if len(share) != 1 || share[0].ID != "lives" {
-		t.Fatalf("%d endpoints are asked, one lives", len(share))
+		t.Fatalf("%d endpoints are probed, want only the live one", len(share))
 	}
 }
 
-// registry is the platform's registry of endpoints: an ordered history, of
-// which the oldest part may be gone.
+// registry is a fake of the platform's registry of endpoints: an ordered
+// history, the oldest part of which may have been dropped.
 type registry struct {
 	revision port.StoreRevision
 	entries  map[string]port.ListedEndpoint
 	history  []port.ListedEndpoint
-	// gone is the revision up to which the history is dropped.
-	gone port.StoreRevision
-	away bool
+	// compacted is the revision up to which the history has been dropped.
+	compacted port.StoreRevision
+	down      bool
 }
 
 func (r *registry) put(e port.ListedEndpoint) {
@@ -51,7 +52,7 @@
 }
 
 func (r *registry) ListEndpoints(context.Context) ([]port.ListedEndpoint, port.StoreRevision, error) {
-	if r.away {
+	if r.down {
 		return nil, 0, port.ErrPlatformUnavailable
 	}
 	var out []port.ListedEndpoint
@@ -63,9 +64,9 @@
 
 func (r *registry) WatchEndpoints(_ context.Context, after port.StoreRevision, _ time.Duration) ([]port.ListedEndpoint, port.StoreRevision, error) {
 	switch {
-	case r.away:
+	case r.down:
 		return nil, 0, port.ErrPlatformUnavailable
-	case after.Revision() < r.gone.Revision(), after.Revision() > r.revision.Revision():
+	case after.Revision() < r.compacted.Revision(), after.Revision() > r.revision.Revision():
 		return nil, 0, port.ErrRevisionGone
 	}
 	var out []port.ListedEndpoint
@@ -84,46 +85,46 @@
 	return k
 }
 
-func listed(id string, incarnation uint64, state port.EndpointState) port.ListedEndpoint {
+func registryEntry(id string, incarnation uint64, state port.EndpointState) port.ListedEndpoint {
 	return port.ListedEndpoint{Endpoint: port.Endpoint{
 		ID: id, Kind: port.KindRunner, Pool: "p", Address: "127.0.0.1:1", Incarnation: incarnation, State: state,
 	}}
 }
 
-// Entries come, drain, are removed and come back, runners start again under
-// their id, entries of an earlier start arrive late, the history is dropped and
-// the platform goes away: after the next good call the keeper holds as live
-// just the endpoints that the registry names as live, and never an older start
-// than it has seen.
-func TestKeeperHoldsWhatTheRegistryNames(t *testing.T) {
+// Entries are added, drained, removed and added again, runners restart under
+// the same id, entries of an earlier incarnation arrive late, the history is
+// dropped and the platform becomes unavailable. After the next successful calls
+// the keeper must hold as live exactly the endpoints that the registry names as
+// live, and never go back to an earlier incarnation.
+func TestKeeperMatchesRegistry(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := &registry{entries: map[string]port.ListedEndpoint{}}
 		k := newRegistryKeeper(r)
 		s := &endpointSource{keeper: k}
 		w := newWatch(k, "endpoints", s)
-		born := map[string]uint64{}
+		incarnations := map[string]uint64{}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			id := fmt.Sprint("e", rapid.IntRange(0, 3).Draw(t, "endpoint"))
 			switch rapid.IntRange(0, 7).Draw(t, "action") {
 			case 0:
-				r.put(listed(id, born[id], port.EndpointLive))
+				r.put(registryEntry(id, incarnations[id], port.EndpointLive))
 			case 1:
-				r.put(listed(id, born[id], port.EndpointLeaving))
+				r.put(registryEntry(id, incarnations[id], port.EndpointLeaving))
 			case 2:
 				r.put(port.ListedEndpoint{Endpoint: port.Endpoint{ID: id}, Removed: true})
 			case 3:
-				born[id]++
-				r.put(listed(id, born[id], port.EndpointLive))
+				incarnations[id]++
+				r.put(registryEntry(id, incarnations[id], port.EndpointLive))
 			case 4:
-				r.gone = r.revision
+				r.compacted = r.revision
 			case 5:
-				r.away = !r.away
+				r.down = !r.down
 			default:
 				w.step(t.Context())
 			}
 		}
-		r.away = false
-		// Twice: the first may find that the history is gone.
+		r.down = false
+		// The first steps may find that the history has been dropped.
 		for range 3 {
 			w.step(t.Context())
 		}
@@ -134,58 +135,59 @@
 		}
 		for i := range 4 {
 			id := fmt.Sprint("e", i)
-			entry, named := r.entries[id]
-			if want := named && entry.State == port.EndpointLive; live[id] != want {
+			entry, exists := r.entries[id]
+			if want := exists && entry.State == port.EndpointLive; live[id] != want {
 				t.Fatalf("%s is held as live: %v, the registry says %v", id, live[id], want)
 			}
 		}
 	})
 }
 
-// The platform was away and entries lapsed meanwhile. Taken for gone at once,
-// every runner would be lost to callers in the second in which it returns;
-// those that live are back in the list within a moment, the others go then.
-func TestLapsedEntriesAreBelievedForAMoment(t *testing.T) {
+// The platform was down and entries expired meanwhile. If they counted as gone
+// at once, callers would lose every runner when the platform returns. Live
+// runners are listed again within the grace period; the others are marked gone
+// after it.
+func TestExpiredEntriesStayLiveForGracePeriod(t *testing.T) {
 	r := &registry{entries: map[string]port.ListedEndpoint{}}
 	k := newRegistryKeeper(r)
 	k.options.LapseGrace = 50 * time.Millisecond
 	s := &endpointSource{keeper: k}
 	w := newWatch(k, "endpoints", s)
-	r.put(listed("back", 1, port.EndpointLive))
-	r.put(listed("gone", 1, port.EndpointLive))
+	r.put(registryEntry("back", 1, port.EndpointLive))
+	r.put(registryEntry("gone", 1, port.EndpointLive))
 	w.step(t.Context())
-	r.away = true
+	r.down = true
 	w.step(t.Context())
 	clear(r.entries)
-	r.gone = r.revision
-	r.away = false
+	r.compacted = r.revision
+	r.down = false
 	w.step(t.Context())
 	if n := countLive(k); n != 2 {
-		t.Fatalf("%d live right after the platform's return, want both", n)
+		t.Fatalf("%d endpoints live right after the platform recovered, want 2", n)
 	}
-	r.put(listed("back", 1, port.EndpointLive))
+	r.put(registryEntry("back", 1, port.EndpointLive))
 	w.step(t.Context())
 	s.wait()
 	if n := countLive(k); n != 1 {
-		t.Fatalf("%d live after the grace, want the one that is back", n)
+		t.Fatalf("%d endpoints live after the grace period, want 1", n)
 	}
 }
 
-// While the platform answers, a history that is gone hides nothing: what the
-// list leaves out has been removed.
-func TestGoneHistoryHidesNoRemoval(t *testing.T) {
+// While the platform answers, dropped history must not hide a removal: an
+// endpoint that the list leaves out has been removed.
+func TestDroppedHistoryHidesNoRemoval(t *testing.T) {
 	r := &registry{entries: map[string]port.ListedEndpoint{}}
 	k := newRegistryKeeper(r)
 	k.options.LapseGrace = time.Hour
 	w := newWatch(k, "endpoints", &endpointSource{keeper: k})
-	r.put(listed("e", 1, port.EndpointLive))
+	r.put(registryEntry("e", 1, port.EndpointLive))
 	w.step(t.Context())
 	r.put(port.ListedEndpoint{Endpoint: port.Endpoint{ID: "e"}, Removed: true})
-	r.gone = r.revision
+	r.compacted = r.revision
 	w.step(t.Context())
 	w.step(t.Context())
 	if n := countLive(k); n != 0 {
-		t.Fatal("an endpoint that was removed in the gap is still live")
+		t.Fatal("an endpoint whose removal is in the dropped history is still live")
 	}
 }
 
@@ -199,37 +201,37 @@
 	return n
 }
 
-// A runner is reclaimed while the platform is away, so its notice is in no
-// registry. It says so itself when asked; one that can't be reached may as well
-// be behind a cut, and is not given up for it.
-func TestProbesFindLeaversOnlyWhileThePlatformIsAway(t *testing.T) {
+// A runner gets a reclaim notice while the platform is down, so the registry
+// doesn't show it. The runner reports it when probed. A runner that can't be
+// reached may be behind a network partition and must stay live.
+func TestProbesFindLeavingRunnersOnlyDuringOutage(t *testing.T) {
 	k, _ := newTestKeeper(newFakePlatform())
 	prober := &fakeProber{reports: map[string]port.LoadReport{}}
 	k.options.Prober, k.options.ProbeWhenAway = prober, true
 	for _, id := range []string{"leaver", "silent"} {
-		k.putEndpoint(membership.Listed(listed(id, 1, port.EndpointLive).Endpoint), "listed")
+		k.putEndpoint(membership.Listed(registryEntry(id, 1, port.EndpointLive).Endpoint), "listed")
 	}
 	prober.set(port.LoadReport{EndpointID: "leaver", Incarnation: 1, State: port.EndpointLeaving})
-	prober.silence("silent")
+	prober.unset("silent")
 	now := time.Now()
-	k.called(now, true)
-	if k.away(now) {
-		t.Fatal("away although the platform has just answered")
+	k.recordPlatformCall(now, true)
+	if k.platformUnavailable(now) {
+		t.Fatal("the platform counts as unavailable although it has just answered")
 	}
-	if !k.away(now.Add(k.options.WatchWait + 2*awaySlack)) {
-		t.Fatal("not away although the platform is long silent")
+	if !k.platformUnavailable(now.Add(k.options.WatchWait + 2*platformAgeSlack)) {
+		t.Fatal("the platform counts as available although it has long been silent")
 	}
-	w := newWatch(k, "endpoints", &endpointSource{keeper: newRegistryKeeper(&registry{away: true})})
+	w := newWatch(k, "endpoints", &endpointSource{keeper: newRegistryKeeper(&registry{down: true})})
 	w.step(t.Context())
-	if !k.away(now) {
-		t.Fatal("not away although the platform has just refused this keeper")
+	if !k.platformUnavailable(now) {
+		t.Fatal("the platform counts as available although it has just refused this keeper")
 	}
-	for range missesToFail + 1 {
+	for range failuresToUnreachable + 1 {
 		k.probeRound(t.Context(), k.probeShare())
 	}
 	for _, e := range k.Endpoints() {
 		if e.ID == "leaver" && e.State != port.EndpointLeaving {
-			t.Errorf("%s after the runner said that it leaves", e.State)
+			t.Errorf("the runner is %s after it reported that it is leaving", e.State)
 		}
 		if e.ID == "silent" && (e.State != port.EndpointLive || e.Unreachable) {
 			t.Errorf("a silent runner is %s, unreachable %v", e.State, e.Unreachable)
--- a/internal/keeper/rewrite_test.go
+++ b/internal/keeper/rewrite_test.go
@@ -18,56 +18,56 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/testkit/memplatform"
 )
 
-// erasPlatform is a store of records that can come back from a copy.
-type erasPlatform struct {
+// restorablePlatform is a store of records that can be restored from a backup.
+type restorablePlatform struct {
 	memplatform.Unwatched
-	at      port.StoreRevision
-	objects map[string]port.Object
-	// lostReply has the next write take effect without a reply.
-	lostReply bool
+	revision port.StoreRevision
+	objects  map[string]port.Object
+	// loseReply loses the reply of the next write, which takes effect.
+	loseReply bool
 }
 
-func (p *erasPlatform) Get(_ context.Context, kind, name string) (port.Object, error) {
-	o, there := p.objects[kind+"/"+name]
-	if !there {
-		return port.Object{Version: lifted(p.at.Era(), 0)}, port.ErrNotFound
+func (p *restorablePlatform) Get(_ context.Context, kind, name string) (port.Object, error) {
+	o, exists := p.objects[kind+"/"+name]
+	if !exists {
+		return port.Object{Version: inEra(p.revision.Era(), 0)}, port.ErrNotFound
 	}
 	return o, nil
 }
 
-func (p *erasPlatform) List(_ context.Context, kind string) ([]port.Object, port.StoreRevision, error) {
+func (p *restorablePlatform) List(_ context.Context, kind string) ([]port.Object, port.StoreRevision, error) {
 	var out []port.Object
 	for _, o := range p.objects {
 		if o.Kind == kind {
 			out = append(out, o)
 		}
 	}
-	return out, p.at, nil
+	return out, p.revision, nil
 }
 
-// Put compares revisions alone, as stores do that know of their eras only in
-// what they answer.
-func (p *erasPlatform) Put(_ context.Context, kind, name string, expect uint64, value json.RawMessage) (port.Object, error) {
+// Put compares only the revisions within an era, like stores that report their
+// era only in answers.
+func (p *restorablePlatform) Put(_ context.Context, kind, name string, expect uint64, value json.RawMessage) (port.Object, error) {
 	key := kind + "/" + name
-	if there := p.objects[key]; port.StoreRevision(there.Version).Revision() != port.StoreRevision(expect).Revision() {
-		return there, port.ErrConflict
+	if stored := p.objects[key]; port.StoreRevision(stored.Version).Revision() != port.StoreRevision(expect).Revision() {
+		return stored, port.ErrConflict
 	}
-	p.at++
-	o := port.Object{Kind: kind, Name: name, Version: uint64(p.at), Value: value}
+	p.revision++
+	o := port.Object{Kind: kind, Name: name, Version: uint64(p.revision), Value: value}
 	p.objects[key] = o
-	if p.lostReply {
-		p.lostReply = false
+	if p.loseReply {
+		p.loseReply = false
 		return port.Object{}, port.ErrOutcomeUnknown
 	}
 	return o, nil
 }
 
-func (p *erasPlatform) copyOf() *erasPlatform {
-	return &erasPlatform{at: p.at, objects: maps.Clone(p.objects)}
+func (p *restorablePlatform) copyOf() *restorablePlatform {
+	return &restorablePlatform{revision: p.revision, objects: maps.Clone(p.objects)}
 }
 
-// lifted is a version in another era.
-func lifted(era, version uint64) uint64 {
+// inEra returns the same revision in another era.
+func inEra(era, version uint64) uint64 {
 	r, err := port.NewStoreRevision(era, port.StoreRevision(version).Revision())
 	if err != nil {
 		panic(err)
@@ -75,50 +75,52 @@
 	return uint64(r)
 }
 
-func (p *erasPlatform) restore(c *erasPlatform) {
-	lift := func(version uint64) uint64 { return lifted(p.at.Era()+1, version) }
+func (p *restorablePlatform) restore(c *restorablePlatform) {
+	toNextEra := func(version uint64) uint64 { return inEra(p.revision.Era()+1, version) }
 	objects := map[string]port.Object{}
 	for key, o := range c.objects {
-		o.Version = lift(o.Version)
+		o.Version = toNextEra(o.Version)
 		objects[key] = o
 	}
-	p.at, p.objects = port.StoreRevision(lift(uint64(c.at))), objects
+	p.revision, p.objects = port.StoreRevision(toNextEra(uint64(c.revision))), objects
 }
 
-// operators are two keepers on one store, which tell each other, and operators
-// who write by either.
-type operators struct {
-	t       *rapid.T
-	p       *erasPlatform
-	copy    *erasPlatform
-	keepers [2]*Keeper
-	sources [2]*recordSource
-	watches [2]watch
-	links   [2]*node.Link
-	// weight grows with each write; accepted is the last accepted one of each
-	// record, zero for one that is deleted, as far as the store or a keeper has it.
+// operatorModel simulates two linked keepers on one store, and the operators
+// writing through either.
+type operatorModel struct {
+	t        *rapid.T
+	platform *restorablePlatform
+	copy     *restorablePlatform
+	keepers  [2]*Keeper
+	sources  [2]*recordSource
+	watches  [2]watch
+	links    [2]*node.Link
+	// weight grows with each write. accepted is the weight of the last accepted
+	// write of each record that the store or a keeper still has, zero for a
+	// delete.
 	weight   int
 	accepted map[string]int
-	// deletes are the accepted deletes, which else look alike.
+	// deletes are the results of the accepted deletes, which the weight alone
+	// can't tell apart.
 	deletes map[string]Result
 	seen    [2]map[string]int
 }
 
-func newOperators(t *rapid.T) *operators {
-	o := &operators{t: t, p: &erasPlatform{objects: map[string]port.Object{}}, accepted: map[string]int{}, deletes: map[string]Result{}}
-	o.copy = o.p.copyOf()
+func newOperatorModel(t *rapid.T) *operatorModel {
+	o := &operatorModel{t: t, platform: &restorablePlatform{objects: map[string]port.Object{}}, accepted: map[string]int{}, deletes: map[string]Result{}}
+	o.copy = o.platform.copyOf()
 	for i := range o.keepers {
 		o.start(i)
 	}
 	return o
 }
 
-// start starts a keeper that holds nothing, and links both anew.
-func (o *operators) start(i int) {
-	k, _ := newTestKeeper(o.p)
+// start starts a keeper without any state, and opens new links.
+func (o *operatorModel) start(i int) {
+	k, _ := newTestKeeper(o.platform)
 	k.options.Self.ID = fmt.Sprint("k", i)
 	k.options.Kinds = []string{testKind}
-	// The test says when the peers have told what they hold.
+	// The test decides when the peers have sent what they hold.
 	k.options.LapseGrace = time.Hour
 	o.keepers[i], o.sources[i] = k, &recordSource{keeper: k, kind: testKind}
 	o.watches[i] = newWatch(k, testKind, o.sources[i])
@@ -130,29 +132,29 @@
 	}
 }
 
-func (o *operators) exchange() {
+func (o *operatorModel) exchange() {
 	exchange(o.links)
 	for _, s := range o.sources {
-		s.settleAt = time.Time{}
+		s.repairAt = time.Time{}
 	}
 }
 
-// change has an operator write, on what the store holds at the moment, and
-// again on the winner where another was faster.
-func (o *operators) change(k *Keeper, name string, remove bool) {
-	stored, _ := o.p.Get(context.Background(), testKind, name)
+// change has an operator write on the basis of the currently stored version, or
+// create the record if it is absent.
+func (o *operatorModel) change(k *Keeper, name string, remove bool) {
+	stored, _ := o.platform.Get(context.Background(), testKind, name)
 	o.weight++
 	c := &Change{Kind: testKind, Name: name, Actor: "kim", Expect: stored.Version, Delete: remove}
 	if !remove {
 		c.Body = fmt.Appendf(nil, `{"schema_version":2,"kind":"routing-configurations","name":%q,"spec":{"weights":{"stall":%d}}}`, name, o.weight)
 	}
-	o.p.lostReply = rapid.Bool().Draw(o.t, "the reply is lost")
+	o.platform.loseReply = rapid.Bool().Draw(o.t, "the reply is lost")
 	result, err := k.Change(context.Background(), c)
 	if errors.Is(err, ErrAbsent) || len(stored.Value) == 0 {
 		c.Create, c.Expect = true, 0
 		result, err = k.Change(context.Background(), c)
 	}
-	o.p.lostReply = false
+	o.platform.loseReply = false
 	if err != nil {
 		return
 	}
@@ -176,7 +178,7 @@
 	return d.Spec.Weights.Stall
 }
 
-func (o *operators) step() {
+func (o *operatorModel) step() {
 	i := rapid.IntRange(0, 1).Draw(o.t, "keeper")
 	name := fmt.Sprint("r", rapid.IntRange(0, 2).Draw(o.t, "record"))
 	switch rapid.IntRange(0, 8).Draw(o.t, "action") {
@@ -185,16 +187,17 @@
 	case 2:
 		o.change(o.keepers[i], name, true)
 	case 3:
-		o.copy = o.p.copyOf()
+		o.copy = o.platform.copyOf()
 	case 4:
-		o.p.restore(o.copy)
-		o.copy = o.p.copyOf()
+		o.platform.restore(o.copy)
+		o.copy = o.platform.copyOf()
 	case 5:
 		o.exchange()
 	case 6:
-		// A keeper that writes and is gone before it tells anyone.
-		gone, _ := newTestKeeper(o.p)
-		o.change(gone, name, false)
+		// A keeper that writes, and ends before it sends the write to any
+		// other.
+		writer, _ := newTestKeeper(o.platform)
+		o.change(writer, name, false)
 	case 7:
 		o.start(i)
 	default:
@@ -202,16 +205,16 @@
 	}
 }
 
-func (o *operators) read(keeper int) {
+func (o *operatorModel) read(keeper int) {
 	w := &o.watches[keeper]
 	w.listed = false
 	w.step(context.Background())
 }
 
-// forgetLost drops the writes that a restore has taken and that nobody holds.
-func (o *operators) forgetLost() {
+// forgetLost drops the writes that a restore lost and that no keeper holds.
+func (o *operatorModel) forgetLost() {
 	for name, weight := range o.accepted {
-		held := weight > 0 && o.stored(name) == weight || weight == 0 && o.storedWrite(name, o.deletes[name].WriteID)
+		held := weight > 0 && o.storedWeight(name) == weight || weight == 0 && o.storesWrite(name, o.deletes[name].WriteID)
 		for _, k := range o.keepers {
 			r, known := k.node.WholeRecord(testKind, name)
 			held = held || known && weightOf(r) == weight && (weight > 0 || r.Version == o.deletes[name].Record.Version)
@@ -222,13 +225,13 @@
 	}
 }
 
-// absent is the weight of what the store doesn't have at all; what was deleted
-// has none.
+// absent is the weight of a record that the store doesn't have at all; a
+// deleted one has weight zero.
 const absent = -1
 
-// stored is the weight in the store.
-func (o *operators) stored(name string) int {
-	value, err := o.p.Get(context.Background(), testKind, name)
+// storedWeight returns the weight of the record in the store.
+func (o *operatorModel) storedWeight(name string) int {
+	value, err := o.platform.Get(context.Background(), testKind, name)
 	if err != nil {
 		return absent
 	}
@@ -239,9 +242,9 @@
 	return weightOf(r)
 }
 
-// storedWrite reports whether the store holds a write.
-func (o *operators) storedWrite(name, id string) bool {
-	value, err := o.p.Get(context.Background(), testKind, name)
+// storesWrite reports whether the store holds a write.
+func (o *operatorModel) storesWrite(name, id string) bool {
+	value, err := o.platform.Get(context.Background(), testKind, name)
 	if err != nil {
 		return false
 	}
@@ -249,25 +252,26 @@
 	return err == nil && e.HoldsWrite(id)
 }
 
-// check: what is in force at a keeper never goes back to an earlier write.
-func (o *operators) check() {
+// check verifies that the record in force at a keeper never goes back to an
+// earlier write.
+func (o *operatorModel) check() {
 	for i, k := range o.keepers {
 		for _, r := range k.node.Whole() {
 			weight := weightOf(r)
 			if weight > 0 && weight < o.seen[i][r.Name] {
-				o.t.Fatalf("keeper %d has %d of %s in force after %d", i, weight, r.Name, o.seen[i][r.Name])
+				o.t.Fatalf("keeper %d has weight %d of %s in force after weight %d", i, weight, r.Name, o.seen[i][r.Name])
 			}
 			o.seen[i][r.Name] = max(weight, o.seen[i][r.Name])
 		}
 	}
 }
 
-// Operators write and delete records by two keepers while the store comes back
-// from copies: what was accepted stays in force and is in the store again in the
-// end, and no keeper ever goes back to an earlier version.
-func TestRecordsOutlastRestores(t *testing.T) {
+// Operators write and delete records through two keepers while the store is
+// restored from backups. Accepted writes must stay in force and end up in the
+// store again, and no keeper may ever go back to an earlier version.
+func TestRecordsSurviveRestores(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		o := newOperators(t)
+		o := newOperatorModel(t)
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			o.step()
 			o.check()
@@ -281,12 +285,12 @@
 		}
 		o.check()
 		for name, weight := range o.accepted {
-			if got := max(0, o.stored(name)); got != weight {
-				t.Fatalf("the store holds %d of %s, want %d", got, name, weight)
+			if got := max(0, o.storedWeight(name)); got != weight {
+				t.Fatalf("the store holds weight %d of %s, want %d", got, name, weight)
 			}
 			for i, k := range o.keepers {
 				if r, _ := k.node.WholeRecord(testKind, name); weightOf(r) != weight {
-					t.Fatalf("keeper %d has %d of %s in force, want %d", i, weightOf(r), name, weight)
+					t.Fatalf("keeper %d has weight %d of %s in force, want %d", i, weightOf(r), name, weight)
 				}
 			}
 		}
--- a/internal/keeper/watch.go
+++ b/internal/keeper/watch.go
@@ -13,13 +13,14 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// listedKinds are the kinds whose list was read in full.
+// listedKinds tracks the kinds that have been listed in full.
 type listedKinds struct {
 	mu    sync.Mutex
 	kinds map[string]bool
 }
 
-// add reports whether as many kinds as wanted have been read by now.
+// add records a listed kind, and reports whether the number of listed kinds is
+// now the wanted one.
 func (l *listedKinds) add(kind string, wanted int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -30,26 +31,27 @@
 	return len(l.kinds) == wanted
 }
 
-// source is what one watch reads from the platform.
+// source is a set of objects on the platform that one watch reads.
 type source interface {
-	// list reads all of it. With away the platform could not be read for a
-	// while before.
-	list(ctx context.Context, away bool) (revision port.StoreRevision, err error)
-	// primary: this source's calls are the ones whose age shows whether the
+	// list reads all objects. afterOutage says that the platform could not be
+	// read before.
+	list(ctx context.Context, afterOutage bool) (revision port.StoreRevision, err error)
+	// primary reports whether the age of this source's calls shows whether the
 	// platform answers.
 	primary() bool
-	// relistIn is when the list is to be read again though nothing went wrong.
+	// relistIn returns the time after which the list is read again even without
+	// an error.
 	relistIn() time.Duration
-	// watch takes the changes past a revision and counts them.
+	// watch applies the changes past a revision and counts them.
 	watch(ctx context.Context, revision port.StoreRevision, wait time.Duration) (changes int, newRevision port.StoreRevision, err error)
 }
 
-// watchForever keeps one kind of record current.
-func (k *Keeper) watchForever(ctx context.Context, kind string) error {
+// watchRecords keeps one kind of record current.
+func (k *Keeper) watchRecords(ctx context.Context, kind string) error {
 	return k.follow(ctx, kind, &recordSource{keeper: k, kind: kind})
 }
 
-// follow keeps what a source holds current.
+// follow keeps the objects of a source current.
 func (k *Keeper) follow(ctx context.Context, name string, s source) error {
 	w := newWatch(k, name, s)
 	for ctx.Err() == nil {
@@ -66,8 +68,8 @@
 	name     string
 	source   source
 	revision port.StoreRevision
-	// listed: the source was read in full this turn. The revision alone
-	// doesn't tell, as an empty platform's is zero.
+	// listed: the source was listed since this keeper began to read. The
+	// revision doesn't show this, as it is zero for an empty platform.
 	listed   bool
 	listedAt time.Time
 	retry    time.Duration
@@ -79,14 +81,15 @@
 	return watch{keeper: k, name: name, source: s, retry: k.options.RetryPause}
 }
 
-// step does one call to the platform, if any, and returns the pause after it.
+// step makes at most one call to the platform, and returns the pause after it.
 func (w *watch) step(ctx context.Context) time.Duration {
 	k := w.keeper
 	now := time.Now()
 	role := k.role(now)
-	if !w.calls(role) {
+	if !w.shouldCall(role) {
 		if role == watchduty.Off {
-			// Changes are missed from here on; the next turn begins with a list.
+			// Changes are missed from here on, so the next period of reading
+			// begins with a list.
 			w.listed = false
 			w.setFailing(false)
 		}
@@ -97,20 +100,21 @@
 	case ctx.Err() != nil, errors.Is(err, errSuperseded):
 		return 0
 	case err != nil:
-		return w.failed(err, role)
+		return w.handleFailure(err, role)
 	}
-	w.regained()
+	w.markRecovered()
 	w.retry = k.options.RetryPause
-	k.called(time.Now(), true)
+	k.recordPlatformCall(time.Now(), true)
 	if changed {
 		return w.pauseAfterChange(role)
 	}
 	return 0
 }
 
-// calls reports whether a role has this source read now. One that starts reads
-// once; one that is refused asks by a single source.
-func (w *watch) calls(role watchduty.Role) bool {
+// shouldCall reports whether this source is read in a role. A starting keeper
+// reads once. A blind keeper, which the platform refuses, reads the primary
+// source only.
+func (w *watch) shouldCall(role watchduty.Role) bool {
 	switch role {
 	case watchduty.Off:
 		return false
@@ -123,18 +127,19 @@
 	}
 }
 
-// errSuperseded: a call ended for a more eager one, not for want of an answer.
-var errSuperseded = merry.Sentinel("platform: the call was given up for a more eager one")
+// errSuperseded: a call was cancelled so that a call for the new role or state
+// can follow; the platform didn't fail.
+var errSuperseded = merry.Sentinel("platform: the call was cancelled in favour of a newer one")
 
-// poll waits for changes past the revision reached. One that may wait for
-// seconds ends once this keeper has to read more eagerly, and once the platform
-// is heard to fail: the call may hang on a connection that stays silent when
-// the platform is long back.
+// poll waits for changes past the current revision. A poll that may take
+// seconds is cancelled once this keeper has a role that reads more often, and
+// once the platform is known to fail: the call may hang on a connection that
+// stays silent long after the platform has recovered.
 func (w *watch) poll(ctx context.Context, role watchduty.Role) (changes int, revision port.StoreRevision, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	k, waits := w.keeper, w.waits(role)
-	if waits > k.options.WatchWait {
+	k, timeout := w.keeper, w.pollTimeout(role)
+	if timeout > k.options.WatchWait {
 		go func() {
 			for pause(ctx, k.options.DutyCheck) == nil {
 				if k.role(time.Now()) > role || k.duty.News().Failing() {
@@ -143,36 +148,38 @@
 			}
 		}()
 	}
-	changes, revision, err = w.source.watch(ctx, w.revision, waits)
+	changes, revision, err = w.source.watch(ctx, w.revision, timeout)
 	if err != nil && errors.Is(context.Cause(ctx), errSuperseded) {
 		err = errSuperseded
 	}
 	return changes, revision, err
 }
 
-// waits is how long a call of this source waits for a change. The primary
-// source's calls show that the platform answers; else only changes matter, and
-// they are answered at once.
-func (w *watch) waits(role watchduty.Role) time.Duration {
+// pollTimeout returns how long a call of this source waits for a change. The
+// primary source's calls show that the platform answers. On other sources only
+// changes matter, and these are answered at once.
+func (w *watch) pollTimeout(role watchduty.Role) time.Duration {
 	k := w.keeper
 	if k.duty.News().Failing() || role != watchduty.Deputy && w.source.primary() {
 		return k.options.WatchWait
 	}
-	return max(k.options.WatchWait, unhurriedWait)
+	return max(k.options.WatchWait, longPollTimeout)
 }
 
-// Times of those that watch beside others who do.
+// Intervals of deputies and of sources other than the primary one.
 const (
-	// unhurriedWait is the length of a long poll that nobody's news rests on.
-	unhurriedWait = 5 * time.Second
-	// deputyPause lets the changes of a second come as one reply; the leader has
-	// them at once.
+	// longPollTimeout is the timeout of a long poll that isn't needed to show
+	// that the platform answers.
+	longPollTimeout = 5 * time.Second
+	// deputyPause lets the changes of a second arrive in one reply; the leader
+	// reads them at once.
 	deputyPause = time.Second
 )
 
 func (w *watch) pauseAfterChange(role watchduty.Role) time.Duration {
 	if role == watchduty.Deputy {
-		// Parted, so that some deputy always waits for what the leader misses.
+		// Randomised, so that some deputy is always waiting for changes that
+		// the leader misses.
 		return deputyPause/2 + rand.N(deputyPause)
 	}
 	return w.keeper.options.WatchPause
@@ -186,7 +193,7 @@
 	if err != nil {
 		return false, err
 	}
-	w.reached(revision)
+	w.advanceTo(revision)
 	return changes > 0, nil
 }
 
@@ -196,32 +203,33 @@
 		return err
 	}
 	w.listed, w.listedAt = true, now
-	w.reached(revision)
+	w.advanceTo(revision)
 	return nil
 }
 
-// reached notes the revision up to which all changes have been taken.
-func (w *watch) reached(revision port.StoreRevision) {
+// advanceTo records the revision up to which all changes have been applied.
+func (w *watch) advanceTo(revision port.StoreRevision) {
 	w.revision = revision
 	w.keeper.lastRevision.Store(uint64(revision))
 }
 
-// failed returns a growing pause with jitter, so that a platform that comes
-// back isn't met by all keepers at once.
-func (w *watch) failed(err error, role watchduty.Role) time.Duration {
-	// Whatever the error, a list is right; for an old revision it is needed.
+// handleFailure returns a growing pause with jitter, so that not all keepers
+// call a platform at once when it recovers.
+func (w *watch) handleFailure(err error, role watchduty.Role) time.Duration {
+	// A list is safe after any error, and required if the revision is too old.
 	w.listed = false
-	if errors.Is(err, port.ErrRevisionGone) || errors.Is(err, errEraAnnounced) {
-		// The platform answers, so there is no outage to wait out.
+	if errors.Is(err, port.ErrRevisionGone) || errors.Is(err, errEraUnconfirmed) {
+		// The platform answers, so there is no outage to wait for.
 		w.keeper.options.Logger.Info().Str("event", "platform_history_gone").Str("kind", w.name).
 			Uint64("store_era", w.revision.Era()).Uint64("revision", w.revision.Revision()).Err(err).Msg("")
-		w.keeper.called(time.Now(), true)
+		w.keeper.recordPlatformCall(time.Now(), true)
 		return w.keeper.options.WatchPause
 	}
-	w.keeper.called(time.Now(), false)
+	w.keeper.recordPlatformCall(time.Now(), false)
 	level := w.keeper.options.Logger.Warn
 	if w.failing {
-		// The loss has its line; each further try would only repeat it.
+		// The first failure was logged as a warning; repeats are logged at
+		// debug level.
 		level = w.keeper.options.Logger.Debug
 	}
 	level().Str("event", "platform_watch_failed").Str("kind", w.name).Err(err).Msg("")
@@ -234,11 +242,11 @@
 	return d/2 + rand.N(d)
 }
 
-// blindPause is the time between two calls of a keeper that is refused while
-// others are asked in its place.
+// blindPause is the time between two calls of a keeper that the platform
+// refuses while other keepers read in its place.
 const blindPause = 2 * time.Second
 
-func (w *watch) regained() {
+func (w *watch) markRecovered() {
 	if !w.failing {
 		return
 	}
@@ -256,5 +264,5 @@
 	if !failing {
 		change = -1
 	}
-	w.keeper.failing.Add(change)
+	w.keeper.failingWatches.Add(change)
 }
