--- a/internal/keeper/registry.go
+++ b/internal/keeper/registry.go
@@ -9,8 +9,8 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// kindEndpoints names the registry of endpoints where the kinds of records are
-// named.
+// kindEndpoints is the kind under which the log names the registry of
+// endpoints.
 const kindEndpoints = "endpoints"
 
 // watchEndpoints follows the platform's registry of endpoints.
