--- a/internal/gateway/apply.go
+++ b/internal/gateway/apply.go
@@ -8,26 +8,27 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// apply takes over what the view holds. Two changes at a time are taken in
-// turn, so that the later view stays.
+// apply applies the current state of the view. Concurrent calls run one after
+// the other, so that the latest state of the view wins.
 func (g *Gateway) apply() {
-	g.applying.Lock()
-	defer g.applying.Unlock()
+	g.applyMu.Lock()
+	defer g.applyMu.Unlock()
 	records := g.View.Records()
 	changed, forgotten := g.endpointChanges()
 	if g.applyRoutes(records) {
-		// The routes say how large the caches of a pool's endpoints are.
+		// The pools' cache sizes and cold rates may have changed with the
+		// routes, so all endpoints are applied again.
 		changed = g.View.Endpoints()
 	}
 	changed = append(changed, g.applyEvacuations(records)...)
-	g.takeEndpoints(changed)
-	g.forgetEndpoints(forgotten)
+	g.applyEndpoints(changed)
+	g.removeEndpoints(forgotten)
 	g.Scheduler.SetPolicy(g.policy(records))
-	g.noteReady()
+	g.recordReadiness()
 }
 
-// applyRoutes puts the newest table in force. The view never goes back, so
-// neither does this. It reports whether the table changed.
+// applyRoutes puts the newest routing table in force and reports whether the
+// table changed. An older version never replaces a newer one.
 func (g *Gateway) applyRoutes(records []port.Record) bool {
 	changed := false
 	for i := range records {
@@ -41,19 +42,19 @@
 		}
 		table, err := route.Decode(r.Body)
 		if err != nil {
-			g.decideOn("configuration", r.Kind+"/"+r.Name, "refuse", err.Error(), r.Version)
+			g.recordChange("configuration", r.Kind+"/"+r.Name, "refuse", err.Error(), r.Version)
 			continue
 		}
 		g.index.Store(route.NewIndex(table))
-		g.metrics.version.Update(int64(r.Version))
-		g.decideOn("configuration", r.Kind+"/"+r.Name, "in_force", "the newest version heard of", r.Version)
+		g.metrics.routesVersion.Update(int64(r.Version))
+		g.recordChange("configuration", r.Kind+"/"+r.Name, "in_force", "the newest version heard of", r.Version)
 		changed = true
 	}
 	return changed
 }
 
-// policy joins what the operators' records say with the organisations of the
-// routes.
+// policy returns the scheduler's policy from the operators' records, with a
+// version that is not below that of the routes.
 func (g *Gateway) policy(records []port.Record) port.Policy {
 	p := g.Policy(records)
 	index := g.index.Load()
@@ -64,61 +65,64 @@
 	return p
 }
 
-// takeEndpoints takes in endpoints that may have changed. Its cost is that of
-// the changes, as they come all the time in a large fleet.
-func (g *Gateway) takeEndpoints(changed []port.Endpoint) {
+// applyEndpoints applies endpoints that may have changed. Its cost depends only
+// on the number of changes, because they are frequent in a large fleet.
+func (g *Gateway) applyEndpoints(changed []port.Endpoint) {
 	if len(changed) == 0 {
 		return
 	}
 	now := g.Clock()
-	changed = g.asHeld(now, changed)
-	// First the scheduler: who sees here that a runner is known may place at
-	// once, and would be refused for want of it.
+	changed = g.withLocalState(now, changed)
+	// The scheduler is updated first: a caller that sees a runner in the
+	// endpoint table may request a placement at once, which would be refused if
+	// the scheduler did not have the runner yet.
 	g.Scheduler.ChangeEndpoints(now, runnersOf(changed))
 	for _, e := range changed {
-		before, knew := g.known.put(e, now)
-		g.noteEndpoint(before, knew, &e)
-		g.noteLimit(before.RateLimit, &e)
-		g.noteColdness(before.ColdRate, &e)
+		before, existed := g.endpointTable.put(e, now)
+		g.recordEndpointChange(before, existed, &e)
+		g.recordLimitChange(before.RateLimit, &e)
+		g.recordColdnessChange(before.ColdRate, &e)
 		if e.State == port.EndpointGone {
-			g.forgetWorkOf(e.ID)
+			g.forgetCounters(e.ID)
 		}
 	}
-	g.moveAway()
+	g.moveLeavingRuns()
 }
 
-// forgetWorkOf forgets what is counted of an endpoint that is gone.
-func (g *Gateway) forgetWorkOf(id string) {
+// forgetCounters drops the counters, limits and breakers of an endpoint that is
+// gone.
+func (g *Gateway) forgetCounters(id string) {
 	g.balancer.Forget(id)
-	g.limits.Forget(id)
-	g.cold.Forget(id)
-	g.atLimit.forget(id)
+	g.limitObserver.Forget(id)
+	g.coldTracker.Forget(id)
+	g.limitBackoffs.reset(id)
 	g.breakers.Forget(id)
 }
 
-// forgetEndpoints forgets endpoints that have left long ago, of which nobody
-// tells any more.
-func (g *Gateway) forgetEndpoints(ids []string) {
+// removeEndpoints removes endpoints that left long ago and are no longer in the
+// view.
+func (g *Gateway) removeEndpoints(ids []string) {
 	for _, id := range ids {
-		h, knew := g.known.get(id)
-		if !knew {
+		h, found := g.endpointTable.get(id)
+		if !found {
 			continue
 		}
 		gone := h.Endpoint
 		gone.State = port.EndpointGone
 		g.Scheduler.ChangeEndpoints(g.Clock(), runnersOf([]port.Endpoint{gone}))
-		g.known.forget(id)
-		g.forgetWorkOf(id)
-		g.departed.Forget(id)
+		g.endpointTable.remove(id)
+		g.forgetCounters(id)
+		g.seenLeaving.Forget(id)
 	}
 }
 
-// asHeld adds to what the view says of endpoints what this daemon saw itself
-// and what the operators say.
-func (g *Gateway) asHeld(now time.Time, changed []port.Endpoint) []port.Endpoint {
+// withLocalState adds to endpoints of the view what this daemon observed itself
+// and what the operators configured: departures, cache sizes, coldness and
+// evacuations.
+func (g *Gateway) withLocalState(now time.Time, changed []port.Endpoint) []port.Endpoint {
 	out := make([]port.Endpoint, 0, len(changed))
 	for _, e := range changed {
-		if g.departed.Has(e) && e.State == port.EndpointLive {
+		if g.seenLeaving.Has(e) && e.State == port.EndpointLive {
 			e.State = port.EndpointLeaving
 		}
 		if e.Kind == port.KindRunner {
@@ -133,23 +137,24 @@
 	return slices.DeleteFunc(slices.Clone(es), func(e port.Endpoint) bool { return e.Kind != port.KindRunner })
 }
 
-// noteEndpoint records a change of what this daemon holds of an endpoint.
-func (g *Gateway) noteEndpoint(before held, knew bool, e *port.Endpoint) {
-	if knew && before.State == e.State && before.Incarnation == e.Incarnation {
+// recordEndpointChange records a change of an endpoint's state or incarnation.
+func (g *Gateway) recordEndpointChange(before endpointEntry, existed bool, e *port.Endpoint) {
+	if existed && before.State == e.State && before.Incarnation == e.Incarnation {
 		return
 	}
 	reason := "heard of"
-	if knew {
+	if existed {
 		reason = "was " + string(before.State)
 	}
-	g.decide(&port.DecisionRecord{
+	g.recordDecision(&port.DecisionRecord{
 		Subject: "endpoint", SubjectID: e.ID, Verdict: string(e.State), Reason: reason,
 		Endpoint: e.Address, Revision: e.Revision,
 	})
 }
 
-// noteReady records that this daemon begins or ceases to want callers.
-func (g *Gateway) noteReady() {
+// recordReadiness records that this daemon starts or stops accepting new
+// callers.
+func (g *Gateway) recordReadiness() {
 	ready := g.Ready()
 	if g.wasReady.Swap(ready) == ready {
 		return
@@ -158,16 +163,17 @@
 	if !ready {
 		verdict, reason = "not_ready", "this daemon stops"
 	}
-	g.decideOn("daemon", g.options().ID, verdict, reason, uint64(g.metrics.version.Value()))
+	g.recordChange("daemon", g.options().ID, verdict, reason, uint64(g.metrics.routesVersion.Value()))
 }
 
-// Knows reports whether this daemon acts on the endpoint as being in a state.
+// Knows reports whether the endpoint is in the given state in this daemon's
+// endpoint table.
 func (g *Gateway) Knows(endpoint string, state port.EndpointState) bool {
-	e, knew := g.known.get(endpoint)
-	return knew && e.State == state
+	e, found := g.endpointTable.get(endpoint)
+	return found && e.State == state
 }
 
-// withCache adds what the operators say of a runner's cache.
+// withCache sets a runner's cache size from its pool's configuration.
 func (g *Gateway) withCache(e port.Endpoint) port.Endpoint {
 	index := g.index.Load()
 	if index == nil {
@@ -179,15 +185,15 @@
 	return e
 }
 
-// sawLeaving takes an endpoint's own word that it leaves.
-func (g *Gateway) sawLeaving(e port.Endpoint, reason string) {
-	if !g.departed.Add(e) {
+// markLeaving marks an endpoint as leaving because of its own answer.
+func (g *Gateway) markLeaving(e port.Endpoint, reason string) {
+	if !g.seenLeaving.Add(e) {
 		return
 	}
-	g.decideOn("endpoint", e.ID, "leave", reason, 0)
-	g.applying.Lock()
-	defer g.applying.Unlock()
-	if h, knew := g.known.get(e.ID); knew {
-		g.takeEndpoints([]port.Endpoint{h.Endpoint})
+	g.recordChange("endpoint", e.ID, "leave", reason, 0)
+	g.applyMu.Lock()
+	defer g.applyMu.Unlock()
+	if h, found := g.endpointTable.get(e.ID); found {
+		g.applyEndpoints([]port.Endpoint{h.Endpoint})
 	}
 }
--- a/internal/gateway/apply_test.go
+++ b/internal/gateway/apply_test.go
@@ -8,24 +8,24 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// counting counts the endpoints that the scheduler is handed.
-type counting struct {
+// countingScheduler counts the endpoints passed to ChangeEndpoints.
+type countingScheduler struct {
 	Scheduler
-	handed int
+	received int
 }
 
-func (c *counting) ChangeEndpoints(now time.Time, es []port.Endpoint) {
-	c.handed += len(es)
+func (c *countingScheduler) ChangeEndpoints(now time.Time, es []port.Endpoint) {
+	c.received += len(es)
 	c.Scheduler.ChangeEndpoints(now, es)
 }
 
-// In a fleet of thousands of runners some leave and come each second. A daemon
-// that takes in all of them at each change is busy with nothing else, and its
-// callers wait for it.
-func TestAChangeCostsWhatChanged(t *testing.T) {
+// Guards against passing all endpoints to the scheduler at each change. In a
+// fleet of thousands of runners some leave and join each second, and the daemon
+// would have no time left for its callers.
+func TestSchedulerReceivesOnlyChangedEndpoints(t *testing.T) {
 	const runners, changes = 1000, 100
-	b := newBench(t)
-	c := &counting{Scheduler: b.Scheduler}
+	b := newHarness(t)
+	c := &countingScheduler{Scheduler: b.Scheduler}
 	b.Scheduler = c
 	b.view.mu.Lock()
 	for i := range runners {
@@ -34,44 +34,45 @@
 	b.view.mu.Unlock()
 	b.apply()
 	for i := range changes {
-		b.leave(fmt.Sprint("more", i))
+		b.setLeaving(fmt.Sprint("more", i))
 	}
-	if c.handed != runners+changes {
-		t.Fatalf("handed %d endpoints, want %d at first and %d changes", c.handed, runners, changes)
+	if c.received != runners+changes {
+		t.Fatalf("the scheduler received %d endpoints, want %d initially and %d changes", c.received, runners, changes)
 	}
 	if !b.Knows("more0", port.EndpointLeaving) || !b.Knows("more100", port.EndpointLive) {
-		t.Fatal("the changes were not taken in")
+		t.Fatal("the changes were not applied")
 	}
 }
 
-// early reports runners that are known to callers before the scheduler has them.
-type early struct {
+// orderChecker records the runners that the endpoint table already holds when
+// the scheduler receives them.
+type orderChecker struct {
 	Scheduler
-	knows func(id string, state port.EndpointState) bool
-	found []string
+	knows      func(id string, state port.EndpointState) bool
+	knownEarly []string
 }
 
-func (e *early) ChangeEndpoints(now time.Time, es []port.Endpoint) {
+func (e *orderChecker) ChangeEndpoints(now time.Time, es []port.Endpoint) {
 	for i := range es {
 		if e.knows(es[i].ID, es[i].State) {
-			e.found = append(e.found, es[i].ID)
+			e.knownEarly = append(e.knownEarly, es[i].ID)
 		}
 	}
 	e.Scheduler.ChangeEndpoints(now, es)
 }
 
-// A runner has just come and its first request is there at once. If the daemon
-// calls it known before its scheduler has it, that request is refused although
-// the runner is free.
-func TestRunnerIsKnownOnceItCanBePlacedAt(t *testing.T) {
-	b := newBench(t)
-	e := &early{Scheduler: b.Scheduler, knows: b.Knows}
+// Guards against refusing the first request to a new runner: it must not be in
+// the endpoint table before the scheduler has it, or that request is refused
+// although the runner is free.
+func TestRunnerReachesSchedulerBeforeEndpointTable(t *testing.T) {
+	b := newHarness(t)
+	e := &orderChecker{Scheduler: b.Scheduler, knows: b.Knows}
 	b.Scheduler = e
 	b.view.mu.Lock()
 	b.view.endpoints = append(b.view.endpoints, testEndpoint("late", "engines", port.KindRunner))
 	b.view.mu.Unlock()
 	b.apply()
-	if !b.Knows("late", port.EndpointLive) || len(e.found) > 0 {
-		t.Fatalf("known before the scheduler had them: %v", e.found)
+	if !b.Knows("late", port.EndpointLive) || len(e.knownEarly) > 0 {
+		t.Fatalf("in the endpoint table before the scheduler had them: %v", e.knownEarly)
 	}
 }
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -14,12 +14,14 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// maxBuffered is read whole before the caller gets a byte, so that an answer
-// cut short can still be tried again; what is over it streams through.
+// maxBuffered is the size up to which an answer is read whole before any of it
+// is sent to the caller, so that a truncated answer can still be retried.
+// Longer answers are streamed.
 const maxBuffered = 1 << 20
 
-// buffered is an endpoint's answer, or its beginning where rest is not nil.
-type buffered struct {
+// bufferedAnswer is an endpoint's answer; if rest is not nil, body holds its
+// beginning and rest the remainder.
+type bufferedAnswer struct {
 	status int
 	header http.Header
 	body   []byte
@@ -27,44 +29,46 @@
 	rest   io.Reader
 }
 
-// attempt sends the request to one endpoint and passes its answer on.
+// attempt sends the request to one endpoint and relays its answer.
 func (x *exchange) attempt(ctx context.Context, p *placement) stream.Fate {
 	x.beginAttempt(p)
 	began := x.g.Clock()
 	answer, err := x.send(ctx, x.outbound(p))
 	if err != nil {
-		return x.failed(ctx, p, err)
+		return x.handleSendError(ctx, p, err)
 	}
 	defer answer.Body.Close()
-	x.arrived = true
-	x.ran++
-	x.heard(p, answer)
-	observe(x.g.metrics.calls, x.g.Clock().Sub(began))
+	x.reachedEndpoint = true
+	x.mayHaveRun++
+	x.reportLoad(p, answer)
+	observe(x.g.metrics.answerDelay, x.g.Clock().Sub(began))
 	if answer.Status == http.StatusOK && eventstream.Is(answer.Header.Get("Content-Type")) {
 		return x.relayEvents(ctx, p, answer)
 	}
 	return x.relayBody(ctx, p, answer)
 }
 
-// send sends a request once and takes what the endpoint says of what it takes.
+// send sends a request once and evaluates the rate limit and the coldness that
+// the endpoint reports with its answer.
 func (x *exchange) send(ctx context.Context, out *port.Exchange) (*port.Answer, error) {
 	answer, err := x.g.Endpoints.Send(ctx, out)
 	if answer != nil {
-		x.g.heardLimit(out.Endpoint, answer.RateLimit)
-		x.g.heardColdness(out.Endpoint, answer.ColdFor)
+		x.g.observeLimit(out.Endpoint, answer.RateLimit)
+		x.g.observeColdness(out.Endpoint, answer.ColdFor)
 	}
 	return answer, err
 }
 
-// engineRank is the urgency that engines are told of every generation. Who goes
-// first is decided where all that wait is known, in the pool's queue. An engine
-// that is told of ranks makes room for a more urgent prompt by preempting a run
-// under way: its caller stalls, and a prompt of thousands of tokens is read
-// twice. With one rank a prompt waits for room: 179,000 prompt tokens were read
-// in vain in 34 s at 45 full engines in place of 316,000.
+// engineRank is the rank sent to engines with every generation. The pool's
+// queue, which has all waiting requests, decides their order. An engine that
+// gets different ranks preempts a running generation to make room for a more
+// urgent prompt: the stream of the preempted caller stalls, and its prompt of
+// thousands of tokens is processed twice. With equal ranks a prompt waits for
+// room: over 34 s at 45 full engines, 179,000 prompt tokens were processed in
+// vain instead of 316,000.
 const engineRank = 0
 
-// outbound is the request as the endpoint gets it.
+// outbound returns the request as it is sent to the endpoint.
 func (x *exchange) outbound(p *placement) *port.Exchange {
 	out := &port.Exchange{
 		RequestID: x.req.ID, Endpoint: p.endpoint, Method: x.req.Method, Target: x.req.Target, Host: x.req.Host,
@@ -77,8 +81,9 @@
 	return out
 }
 
-// heard takes what the endpoint says of itself beside the answer.
-func (x *exchange) heard(p *placement, a *port.Answer) {
+// reportLoad passes the load that a plain service reports with its answer to
+// the balancer.
+func (x *exchange) reportLoad(p *placement, a *port.Answer) {
 	if a.Load == nil || p.generation {
 		return
 	}
@@ -88,38 +93,39 @@
 	})
 }
 
-// failed judges an attempt without an answer.
-func (x *exchange) failed(ctx context.Context, p *placement, err error) stream.Fate {
+// handleSendError classifies and ends an attempt that got no answer.
+func (x *exchange) handleSendError(ctx context.Context, p *placement, err error) stream.Fate {
 	fate, kind, name := stream.FateUnknown, port.FinishFailed, "lost"
 	switch {
 	case errors.Is(err, port.ErrMisdirected):
 		fate, kind, name = stream.FateRefused, port.FinishNotStarted, "misdirected"
-		x.arrived = true
-		x.g.sawLeaving(p.endpoint, "another endpoint answers at its address")
+		x.reachedEndpoint = true
+		x.g.markLeaving(p.endpoint, "another endpoint answers at its address")
 	case errors.Is(err, port.ErrRefused):
 		fate, kind, name = stream.FateRefused, port.FinishCancelled, "refused"
-		x.arrived = true
+		x.reachedEndpoint = true
 	case errors.Is(err, port.ErrNotSent):
 		fate, kind, name = stream.FateNotSent, port.FinishNotStarted, "not_sent"
 	case errors.Is(err, port.ErrForeignAnswer):
 		name = "foreign_answer"
 	}
 	if fate == stream.FateUnknown {
-		x.arrived = true
-		x.ran++
+		x.reachedEndpoint = true
+		x.mayHaveRun++
 	}
 	if ctx.Err() != nil {
 		kind = port.FinishCancelled
 	}
-	x.lost = kind == port.FinishFailed
+	x.connectionLost = kind == port.FinishFailed
 	x.reason = withCause(err)
-	x.g.metrics.lost(name)
+	x.g.metrics.attemptFailed(name)
 	x.endAttempt(p, kind)
 	return fate
 }
 
-// withCause is an error's text with what lies behind it: whether an address
-// refuses connections or doesn't answer is not in the text itself.
+// withCause returns the text of an error together with its cause, which the
+// text alone lacks: for example whether an address refuses connections or does
+// not respond.
 func withCause(err error) string {
 	if cause := merry.Cause(err); cause != nil {
 		return err.Error() + ": " + cause.Error()
@@ -127,18 +133,18 @@
 	return err.Error()
 }
 
-// relayBody passes on an answer that isn't a stream of events.
+// relayBody relays an answer that is not a stream of events.
 func (x *exchange) relayBody(ctx context.Context, p *placement, a *port.Answer) stream.Fate {
 	b, err := readAnswer(a)
 	if err != nil {
 		x.reason = "the answer broke off: " + err.Error()
-		x.lost = ctx.Err() == nil
-		x.g.metrics.lost("cut")
-		x.endAttempt(p, finishOf(ctx, port.FinishFailed))
+		x.connectionLost = ctx.Err() == nil
+		x.g.metrics.attemptFailed("cut")
+		x.endAttempt(p, finishKind(ctx, port.FinishFailed))
 		return stream.FateUnknown
 	}
 	if b.status >= http.StatusInternalServerError && x.ledger.Idempotent {
-		x.kept = b
+		x.keptFailure = b
 		x.reason = "the endpoint answers " + http.StatusText(b.status)
 		x.endAttempt(p, port.FinishFailed)
 		return stream.FateRan
@@ -153,17 +159,17 @@
 	return stream.FateDone
 }
 
-func finishOf(ctx context.Context, kind port.FinishKind) port.FinishKind {
+func finishKind(ctx context.Context, kind port.FinishKind) port.FinishKind {
 	if ctx.Err() != nil {
 		return port.FinishCancelled
 	}
 	return kind
 }
 
-// readAnswer reads an answer up to maxBuffered.
-func readAnswer(a *port.Answer) (*buffered, error) {
+// readAnswer reads up to maxBuffered bytes of an answer.
+func readAnswer(a *port.Answer) (*bufferedAnswer, error) {
 	var buffer bytes.Buffer
-	b := &buffered{status: a.Status, header: a.Header, length: a.Length}
+	b := &bufferedAnswer{status: a.Status, header: a.Header, length: a.Length}
 	_, err := io.CopyN(&buffer, a.Body, maxBuffered)
 	b.body = buffer.Bytes()
 	switch {
@@ -177,24 +183,24 @@
 	return b, nil
 }
 
-// deliver gives the caller an answer. Once it has begun, an error leaves the
-// caller with a part that must not look whole.
-func (x *exchange) deliver(b *buffered) error {
-	x.begun, x.status = true, b.status
-	if err := x.out.Begin(b.status, b.header, b.length); err != nil {
+// deliver sends an answer to the caller. If it fails after the first byte, the
+// caller has a partial answer, which must not look complete.
+func (x *exchange) deliver(b *bufferedAnswer) error {
+	x.responseStarted, x.status = true, b.status
+	if err := x.responder.Begin(b.status, b.header, b.length); err != nil {
 		return err
 	}
-	if err := x.out.Write(b.body); err != nil {
+	if err := x.responder.Write(b.body); err != nil {
 		return err
 	}
 	if b.rest == nil {
 		return nil
 	}
-	_, err := io.Copy(responderWriter{x.out}, b.rest)
+	_, err := io.Copy(responderWriter{x.responder}, b.rest)
 	return err
 }
 
-// responderWriter is a Responder as an io.Writer.
+// responderWriter adapts a Responder to io.Writer.
 type responderWriter struct{ out Responder }
 
 func (w responderWriter) Write(p []byte) (int, error) {
--- a/internal/gateway/calls_test.go
+++ b/internal/gateway/calls_test.go
@@ -23,41 +23,41 @@
 	}
 }
 
-// What an endpoint makes of a call, and what may follow from it: whether the
-// call goes to a second endpoint, and what the caller is told.
-func TestCalls(t *testing.T) {
+// Checks, for each result of an attempt, whether the call is sent to a second
+// endpoint and which answer or refusal its caller gets.
+func TestCallOutcomes(t *testing.T) {
 	ok := reply(200, "fine")
 	cases := []struct {
 		name     string
 		path     string
-		script   func(*port.Exchange) (*port.Answer, error)
+		handler  func(*port.Exchange) (*port.Answer, error)
 		arrivals int
 		status   int
 		outcome  outcome.Outcome
 		cause    Cause
 	}{
 		{"answered", "/once/", ok, 1, 200, "", ""},
-		{"an endpoint's own refusal of what may not be repeated is passed on", "/once/", reply(500, "no"), 1, 500, "", ""},
-		{"a failure of what may be repeated goes elsewhere", "/safe/", inTurn(reply(500, "no"), ok), 2, 200, "", ""},
-		{"two failures: the caller gets the endpoint's own", "/safe/", reply(503, "no"), 2, 503, "", ""},
-		{"an error of the caller's own is passed on", "/safe/", reply(404, "no"), 1, 404, "", ""},
-		{"lost, may be repeated", "/safe/", inTurn(failure(port.ErrEndpointLost), ok), 2, 200, "", ""},
-		{"lost, may not be repeated: it may have run", "/once/", failure(port.ErrEndpointLost), 1, 0, outcome.Unknown, CauseEndpointFailed},
-		{"another request's answer: ours may have run", "/once/", failure(port.ErrForeignAnswer), 1, 0, outcome.Unknown, CauseEndpointFailed},
-		{"cut in the answer, may not be repeated", "/once/", cutReply("half"), 1, 0, outcome.Unknown, CauseEndpointFailed},
-		{"cut in the answer, may be repeated", "/safe/", inTurn(cutReply("half"), ok), 2, 200, "", ""},
-		{"full: nothing has run, so even what runs once goes elsewhere", "/once/", inTurn(failure(port.ErrRefused), ok), 2, 200, "", ""},
-		{"all full: not run, and said so", "/once/", failure(port.ErrRefused), 3, 0, outcome.NotRun, CauseEndpointFailed},
-		{"not reached: nothing has run", "/once/", inTurn(failure(port.ErrNotSent), ok), 2, 200, "", ""},
-		{"another runner has the address", "/once/", inTurn(failure(port.ErrMisdirected), ok), 2, 200, "", ""},
+		{"a 500 answer to a non-idempotent call is passed on", "/once/", reply(500, "no"), 1, 500, "", ""},
+		{"a 500 answer to an idempotent call is retried at another endpoint", "/safe/", sequence(reply(500, "no"), ok), 2, 200, "", ""},
+		{"two 503 answers: the caller gets the endpoint's answer", "/safe/", reply(503, "no"), 2, 503, "", ""},
+		{"a 404 answer is passed on", "/safe/", reply(404, "no"), 1, 404, "", ""},
+		{"connection lost, idempotent: retried", "/safe/", sequence(failure(port.ErrEndpointLost), ok), 2, 200, "", ""},
+		{"connection lost, not idempotent: the call may have run", "/once/", failure(port.ErrEndpointLost), 1, 0, outcome.Unknown, CauseEndpointFailed},
+		{"answer to another request: the call may have run", "/once/", failure(port.ErrForeignAnswer), 1, 0, outcome.Unknown, CauseEndpointFailed},
+		{"truncated answer, not idempotent", "/once/", cutReply("half"), 1, 0, outcome.Unknown, CauseEndpointFailed},
+		{"truncated answer, idempotent: retried", "/safe/", sequence(cutReply("half"), ok), 2, 200, "", ""},
+		{"refused: has not run, retried even if not idempotent", "/once/", sequence(failure(port.ErrRefused), ok), 2, 200, "", ""},
+		{"refused by all: reported as not run", "/once/", failure(port.ErrRefused), 3, 0, outcome.NotRun, CauseEndpointFailed},
+		{"not sent: has not run, retried even if not idempotent", "/once/", sequence(failure(port.ErrNotSent), ok), 2, 200, "", ""},
+		{"misdirected: retried even if not idempotent", "/once/", sequence(failure(port.ErrMisdirected), ok), 2, 200, "", ""},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			b := newBench(t)
-			b.everywhere("s", c.script)
-			got := &caller{}
-			refusal := b.ask(t, c.path, got)
-			if n := len(b.world.arrivals()); n != c.arrivals {
+			b := newHarness(t)
+			b.setHandlers("s", c.handler)
+			got := &fakeCaller{}
+			refusal := b.send(t, c.path, got)
+			if n := len(b.backends.arrivals()); n != c.arrivals {
 				t.Errorf("%d arrivals, want %d", n, c.arrivals)
 			}
 			if c.cause != "" {
@@ -73,117 +73,121 @@
 	}
 }
 
-// An endpoint answers with 421 at an address that was another's. The one that
-// was meant is gone: no list brings it back, also where it still names it.
-func TestMisdirectedEndpointIsGone(t *testing.T) {
-	b := newBench(t)
-	b.everywhere("s", reply(200, "fine"))
-	b.world.on["s0"] = failure(port.ErrMisdirected)
+// Guards against sending more requests to an endpoint whose address answers
+// with 421 because another endpoint has taken it over, even if the view still
+// lists it as live.
+func TestMisdirectedEndpointGetsNoMoreRequests(t *testing.T) {
+	b := newHarness(t)
+	b.setHandlers("s", reply(200, "fine"))
+	b.backends.handlers["s0"] = failure(port.ErrMisdirected)
 	for range 20 {
-		if refusal := b.ask(t, "/once/", &caller{}); refusal != nil {
+		if refusal := b.send(t, "/once/", &fakeCaller{}); refusal != nil {
 			t.Fatalf("refused: %v", refusal)
 		}
 		b.apply()
 	}
 	n := 0
-	for _, id := range b.world.arrivals() {
+	for _, id := range b.backends.arrivals() {
 		if id == "s0" {
 			n++
 		}
 	}
 	if n != 1 {
-		t.Fatalf("%d requests went to an endpoint that is gone, want the first one only", n)
+		t.Fatalf("%d requests were sent to an endpoint that has gone, want only the first", n)
 	}
 }
 
-// A large answer streams through. Cut in the middle it is cut for the caller
-// too, and not sent again: the caller has its beginning.
-func TestLargeAnswerThatBreaksOffIsNotRepeated(t *testing.T) {
-	b := newBench(t)
-	b.everywhere("s", cutReply(strings.Repeat("x", maxBuffered+100)))
-	got := &caller{}
-	refusal := b.ask(t, "/safe/", got)
-	if refusal == nil || !refusal.Begun || len(b.world.arrivals()) != 1 {
-		t.Fatalf("%+v after %d arrivals, want a begun refusal after one", refusal, len(b.world.arrivals()))
+// A large answer is streamed. If it is truncated, the caller's answer is
+// truncated too and the call is not retried, because the caller already has its
+// beginning.
+func TestTruncatedLargeAnswerIsNotRetried(t *testing.T) {
+	b := newHarness(t)
+	b.setHandlers("s", cutReply(strings.Repeat("x", maxBuffered+100)))
+	got := &fakeCaller{}
+	refusal := b.send(t, "/safe/", got)
+	if refusal == nil || !refusal.Begun || len(b.backends.arrivals()) != 1 {
+		t.Fatalf("%+v after %d arrivals, want a begun refusal after one", refusal, len(b.backends.arrivals()))
 	}
-	b.everywhere("s", reply(200, strings.Repeat("y", 3*maxBuffered)))
-	got = &caller{}
-	if refusal := b.ask(t, "/safe/", got); refusal != nil || got.body.Len() != 3*maxBuffered {
+	b.setHandlers("s", reply(200, strings.Repeat("y", 3*maxBuffered)))
+	got = &fakeCaller{}
+	if refusal := b.send(t, "/safe/", got); refusal != nil || got.body.Len() != 3*maxBuffered {
 		t.Fatalf("%v, %d bytes", refusal, got.body.Len())
 	}
 }
 
-// The route's time is over while the endpoint works: the caller hears so at
-// once, and not that the call has not run.
-func TestRouteTimeoutIsAnswered(t *testing.T) {
-	b := newBench(t)
-	b.everywhere("s", func(x *port.Exchange) (*port.Answer, error) {
-		return &port.Answer{Status: 200, Length: -1, Body: silentBody{}}, nil
+// If the route's timeout passes while the endpoint works, the caller is
+// informed at once and is not told that the call has not run.
+func TestRouteTimeoutReportsUnknownOutcome(t *testing.T) {
+	b := newHarness(t)
+	b.setHandlers("s", func(x *port.Exchange) (*port.Answer, error) {
+		return &port.Answer{Status: 200, Length: -1, Body: endlessEmptyBody{}}, nil
 	})
-	refusal := b.ask(t, "/brief/", &caller{})
+	refusal := b.send(t, "/brief/", &fakeCaller{})
 	if refusal == nil || refusal.Cause != CauseTimeout || refusal.Outcome != outcome.Unknown {
 		t.Fatalf("%+v, want a timeout of unknown outcome", refusal)
 	}
 }
 
-// silentBody fails once its request is over, as a real one does.
-type silentBody struct{}
+// endlessEmptyBody never returns data. It fails once its request's context has
+// ended, as a real body does, because the fake endpoints wrap it in a
+// contextBody.
+type endlessEmptyBody struct{}
 
-func (silentBody) Read([]byte) (int, error) { return 0, nil }
-func (silentBody) Close() error             { return nil }
+func (endlessEmptyBody) Read([]byte) (int, error) { return 0, nil }
+func (endlessEmptyBody) Close() error             { return nil }
 
-// The caller's answer can't be written any more: that is no endpoint's fault
-// and nobody is asked again.
-func TestCallerThatLeavesIsNotServedTwice(t *testing.T) {
-	b := newBench(t)
-	b.everywhere("s", reply(200, "fine"))
-	refusal := b.ask(t, "/safe/", &caller{err: io.ErrClosedPipe})
-	if refusal == nil || !refusal.Begun || len(b.world.arrivals()) != 1 {
-		t.Fatalf("%+v after %d arrivals", refusal, len(b.world.arrivals()))
+// A failed write to the caller is not a failure of the endpoint, and the call
+// is not sent to another one.
+func TestDisconnectedCallerIsNotRetried(t *testing.T) {
+	b := newHarness(t)
+	b.setHandlers("s", reply(200, "fine"))
+	refusal := b.send(t, "/safe/", &fakeCaller{err: io.ErrClosedPipe})
+	if refusal == nil || !refusal.Begun || len(b.backends.arrivals()) != 1 {
+		t.Fatalf("%+v after %d arrivals", refusal, len(b.backends.arrivals()))
 	}
 }
 
-// Every endpoint of a pool loses whatever it is sent, one call after another.
-// A call that may run once at most is soon not given away any more: its caller
-// hears that it has not run, and when to come back. Calls that may be repeated
-// go on as the trials that find the endpoints again.
-func TestLosingEndpointsGetNoMoreOfWhatRunsOnce(t *testing.T) {
-	b := newBench(t)
+// All endpoints of a pool lose every call, one after the other. Once their
+// breakers are open, a call that must not run twice is refused with the outcome
+// that it has not run and a retry time. Calls that may be repeated continue as
+// trials that detect when the endpoints recover.
+func TestNonIdempotentCallsAreRefusedWhileBreakersAreOpen(t *testing.T) {
+	b := newHarness(t)
 	b.breakers = breaker.NewSet(breaker.Options{Failures: 3, OpenFor: time.Minute, MaxOpenFor: time.Minute, MaxEndpoints: 100})
-	b.everywhere("s", failure(port.ErrEndpointLost))
+	b.setHandlers("s", failure(port.ErrEndpointLost))
 	lost := 0
 	for {
-		refusal := b.ask(t, "/once/", &caller{})
+		refusal := b.send(t, "/once/", &fakeCaller{})
 		if refusal == nil {
-			t.Fatal("answered by an endpoint that loses everything")
+			t.Fatal("answered by an endpoint that loses every call")
 		}
 		if refusal.Outcome == outcome.NotRun {
 			if refusal.Cause != CauseNoEndpoint || refusal.RetryAfter <= 0 {
-				t.Fatalf("%+v, want a refusal that says when to come back", refusal)
+				t.Fatalf("%+v, want the cause no_endpoint and a retry time", refusal)
 			}
 			break
 		}
 		if lost++; lost > 100 {
-			t.Fatal("100 calls lost one after another")
+			t.Fatal("100 calls were lost and none was refused")
 		}
 	}
-	b.everywhere("s", reply(200, "fine"))
+	b.setHandlers("s", reply(200, "fine"))
 	for _, path := range []string{"/safe/", "/once/"} {
-		if refusal := b.ask(t, path, &caller{}); refusal != nil {
-			t.Fatalf("%s after the endpoints came back: %+v", path, refusal)
+		if refusal := b.send(t, path, &fakeCaller{}); refusal != nil {
+			t.Fatalf("%s: refused after the endpoints recovered: %+v", path, refusal)
 		}
 	}
 }
 
-// What the caller sent and what the endpoint answered pass unchanged.
-func TestNothingIsChangedOnTheWay(t *testing.T) {
-	b := newBench(t)
-	b.everywhere("s", reply(201, "made"))
+// The request and the answer are passed on unchanged.
+func TestRequestAndAnswerPassUnchanged(t *testing.T) {
+	b := newHarness(t)
+	b.setHandlers("s", reply(201, "made"))
 	pass, refusal := b.Admit("H:80", "/once/a%2Fb", "AA")
 	if refusal != nil {
 		t.Fatal(refusal)
 	}
-	got := &caller{}
+	got := &fakeCaller{}
 	req := &Request{
 		ID: "r", Method: "PUT", Target: "/once/a%2Fb?q=%20&q", Host: "H:80", Header: http.Header{"X-Own": {"1", "2"}},
 		Body: []byte("body"), Pass: pass,
@@ -192,7 +196,7 @@
 	if refusal := b.Serve(context.Background(), req, got); refusal != nil {
 		t.Fatal(refusal)
 	}
-	x := b.world.sent[0]
+	x := b.backends.sent[0]
 	if x.Method != "PUT" || x.Target != req.Target || x.Host != "H:80" || string(x.Body) != "body" || x.Organisation != "o" || len(x.Header["X-Own"]) != 2 {
 		t.Fatalf("the endpoint got %+v", x)
 	}
@@ -202,7 +206,7 @@
 }
 
 func TestAdmission(t *testing.T) {
-	b := newBench(t)
+	b := newHarness(t)
 	cases := []struct {
 		name, host, path, key string
 		cause                 Cause
@@ -229,10 +233,10 @@
 	}
 }
 
-// A daemon that has just started knows no routes. Whether a path or a key
-// exists it can't say: it refuses all for now, and none for good.
-func TestNothingIsDeniedBeforeTheRoutesAreKnown(t *testing.T) {
-	b := newBench(t)
+// A daemon that has just started has no routes and can't know whether a path or
+// a key exists: it refuses all requests with a retry time.
+func TestRefusalsAreTemporaryBeforeRoutesAreKnown(t *testing.T) {
+	b := newHarness(t)
 	b.index.Store(nil)
 	for _, path := range []string{"/safe/x", "/none/x"} {
 		if _, refusal := b.Admit("h", path, "bb"); refusal == nil || refusal.Cause != CauseNotSynced || refusal.RetryAfter == 0 {
@@ -244,11 +248,11 @@
 	}
 }
 
-// Versions of the routes arrive in any order, some unreadable: the one in force
-// never goes back.
-func TestRoutesNeverGoBack(t *testing.T) {
+// Versions of the routes arrive in any order and some are unreadable. The
+// version in force never decreases.
+func TestRouteVersionNeverDecreases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := newBench(nopT())
+		b := newHarness(unusedT())
 		highest := uint64(1)
 		for range rapid.IntRange(1, 10).Draw(t, "changes") {
 			version := rapid.Uint64Range(1, 9).Draw(t, "version")
@@ -269,38 +273,38 @@
 	})
 }
 
-func nopT() *testing.T { return &testing.T{} }
+func unusedT() *testing.T { return &testing.T{} }
 
-// Every call fails everywhere. Retries stay within the budget that all daemons
-// share, of which this one has its even part.
-func TestRetriesKeepToTheSharedBudget(t *testing.T) {
-	b := newBench(t)
+// Every call fails at every endpoint. Retries stay within this daemon's equal
+// share of the budget of all daemons.
+func TestRetriesStayWithinSharedBudget(t *testing.T) {
+	b := newHarness(t)
 	b.view.members = []port.Member{
 		{ID: "g", State: port.MemberLive},
 		{ID: "h", State: port.MemberLive},
 		{ID: "i", State: port.MemberLive},
 		{ID: "j", State: port.MemberDead},
 	}
-	b.everywhere("s", reply(500, "no"))
+	b.setHandlers("s", reply(500, "no"))
 	const calls = 200
 	for range calls {
-		b.ask(t, "/safe/", &caller{})
+		b.send(t, "/safe/", &fakeCaller{})
 	}
-	retries := len(b.world.arrivals()) - calls
+	retries := len(b.backends.arrivals()) - calls
 	o := b.options()
 	if most := int(o.RetryShare*calls) + o.RetryBurst/3 + 1; retries > most || retries < most/2 {
 		t.Fatalf("%d retries for %d calls at one of three daemons, want at most %d", retries, calls, most)
 	}
 }
 
-// A request names a model that no runner of its route's pool serves: it is told
-// so, and that it has not run.
-func TestUnknownModelIsSaid(t *testing.T) {
-	b := newBench(t)
+// A request for a model that no runner of its route's pool serves is refused
+// with that cause and with the outcome that it has not run.
+func TestUnknownModelIsRefused(t *testing.T) {
+	b := newHarness(t)
 	for i := range 3 {
-		b.leave(fmt.Sprint("e", i))
+		b.setLeaving(fmt.Sprint("e", i))
 	}
-	refusal := b.ask(t, "/stream/", &caller{})
+	refusal := b.send(t, "/stream/", &fakeCaller{})
 	if refusal == nil || refusal.Cause != CauseUnknownModel || refusal.Outcome != outcome.NotRun {
 		t.Fatalf("refused with %+v", refusal)
 	}
--- a/internal/gateway/coldness.go
+++ b/internal/gateway/coldness.go
@@ -7,11 +7,12 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// withColdness adds to an endpoint what it takes while it is cold.
+// withColdness sets the request rate that an endpoint accepts while it is cold;
+// zero if it is not cold.
 func (g *Gateway) withColdness(now time.Time, e port.Endpoint) port.Endpoint {
-	g.cold.Listed(now, &e)
+	g.coldTracker.Listed(now, &e)
 	e.ColdRate = 0
-	if !g.cold.IsCold(now, &e) {
+	if !g.coldTracker.IsCold(now, &e) {
 		return e
 	}
 	if index := g.index.Load(); index != nil {
@@ -22,48 +23,51 @@
 	return e
 }
 
-// heardColdness takes how long an endpoint says that it stays cold.
-func (g *Gateway) heardColdness(at port.Endpoint, left *time.Duration) {
-	if left == nil || !g.cold.Answered(g.Clock(), &at, left) {
+// observeColdness applies the time for which an endpoint reports that it stays
+// cold.
+func (g *Gateway) observeColdness(at port.Endpoint, coldFor *time.Duration) {
+	if coldFor == nil || !g.coldTracker.Answered(g.Clock(), &at, coldFor) {
 		return
 	}
-	g.takeAgain(at.ID)
+	g.refreshEndpoints(at.ID)
 }
 
-// warm has the endpoints take their usual share again whose coldness has ended.
-func (g *Gateway) warm() {
-	g.takeAgain(g.cold.Warmed(g.Clock())...)
+// restoreWarmed restores the usual share of the endpoints that are no longer
+// cold.
+func (g *Gateway) restoreWarmed() {
+	g.refreshEndpoints(g.coldTracker.Warmed(g.Clock())...)
 }
 
-// takeAgain works out again what this daemon holds of endpoints.
-func (g *Gateway) takeAgain(ids ...string) {
+// refreshEndpoints applies endpoints of the table again, after a change of what
+// this daemon observed of them.
+func (g *Gateway) refreshEndpoints(ids ...string) {
 	if len(ids) == 0 {
 		return
 	}
-	g.applying.Lock()
-	defer g.applying.Unlock()
-	var held []port.Endpoint
+	g.applyMu.Lock()
+	defer g.applyMu.Unlock()
+	var stored []port.Endpoint
 	for _, id := range ids {
-		if h, knew := g.known.get(id); knew {
-			held = append(held, h.Endpoint)
+		if h, found := g.endpointTable.get(id); found {
+			stored = append(stored, h.Endpoint)
 		}
 	}
-	g.takeEndpoints(held)
+	g.applyEndpoints(stored)
 }
 
-// noteColdness records that an endpoint has become cold, or warm.
-func (g *Gateway) noteColdness(before float64, e *port.Endpoint) {
+// recordColdnessChange records that an endpoint has become cold or warm.
+func (g *Gateway) recordColdnessChange(before float64, e *port.Endpoint) {
 	if before == e.ColdRate {
 		return
 	}
-	g.atLimit.forget(e.ID)
-	g.atLimit.forget(poolKey(e.Pool))
+	g.limitBackoffs.reset(e.ID)
+	g.limitBackoffs.reset(poolKey(e.Pool))
 	verdict, reason := verdictWarm, "gets its usual share again"
 	if e.ColdRate > 0 {
 		verdict = verdictCold
 		reason = "takes " + strconv.FormatFloat(e.ColdRate, 'g', 4, 64) + " requests a second from all daemons together while it is cold"
 	}
-	g.decide(&port.DecisionRecord{
+	g.recordDecision(&port.DecisionRecord{
 		Subject: "endpoint", SubjectID: e.ID, Verdict: verdict, Reason: reason, Endpoint: e.Address, Revision: e.Revision,
 	})
 }
--- a/internal/gateway/coldness_test.go
+++ b/internal/gateway/coldness_test.go
@@ -13,8 +13,8 @@
 
 const coldPerSecond = 4
 
-// withColdRate has the operators name what cold endpoints take.
-func (b *bench) withColdRate() {
+// setColdRate configures the rate of cold endpoints for all pools.
+func (b *harness) setColdRate() {
 	t := testTable(2)
 	for i := range t.Pools {
 		t.Pools[i].ColdRate = coldPerSecond
@@ -25,12 +25,12 @@
 	b.apply()
 }
 
-// listAsCold has the registry list an endpoint as cold.
-func (b *bench) listAsCold(id string, left time.Duration) {
+// listAsCold has the view list an endpoint as cold.
+func (b *harness) listAsCold(id string, coldFor time.Duration) {
 	b.view.mu.Lock()
 	for i := range b.view.endpoints {
 		if b.view.endpoints[i].ID == id {
-			b.view.endpoints[i].ColdFor = left
+			b.view.endpoints[i].ColdFor = coldFor
 			b.view.endpoints[i].Revision++
 		}
 	}
@@ -38,10 +38,11 @@
 	b.apply()
 }
 
-// Guards against calls that a cold endpoint doesn't bear, and against shunning it while and after it is cold.
-func TestColdEndpointGetsWhatItBears(t *testing.T) {
-	b := newBench(t)
-	b.withColdRate()
+// Guards against sending a cold endpoint more calls than its cold rate, and
+// against avoiding it while it is cold or afterwards.
+func TestColdEndpointLoadMatchesColdRate(t *testing.T) {
+	b := newHarness(t)
+	b.setColdRate()
 	now := time.Now()
 	var mu sync.Mutex
 	b.Clock = func() time.Time {
@@ -49,42 +50,42 @@
 		defer mu.Unlock()
 		return now
 	}
-	b.Placer = scheduling.NewClient(scheduling.Options{Self: "g", Members: b.view, Logger: quiet(), Clock: b.Clock}, nil)
-	pass := func(d time.Duration) {
+	b.Placer = scheduling.NewClient(scheduling.Options{Self: "g", Members: b.view, Logger: discardLogger(), Clock: b.Clock}, nil)
+	advance := func(d time.Duration) {
 		mu.Lock()
 		now = now.Add(d)
 		mu.Unlock()
 	}
 	got := countSends(b)
-	const lasting = 3 * time.Second
-	b.listAsCold("s0", lasting)
+	const coldFor = 3 * time.Second
+	b.listAsCold("s0", coldFor)
 	for range 300 {
-		pass(lasting / 300)
-		if refusal := b.ask(t, "/safe/x", &caller{}); refusal != nil {
+		advance(coldFor / 300)
+		if refusal := b.send(t, "/safe/x", &fakeCaller{}); refusal != nil {
 			t.Fatal(refusal)
 		}
 	}
 	cold := got()["s0"]
 	if most := coldPerSecond*3 + 2; cold > most || cold < coldPerSecond*3/2 {
-		t.Errorf("%d of 300 calls in 3 s, it bears %d a second", cold, coldPerSecond)
+		t.Errorf("%d of 300 calls in 3 s at a cold endpoint that accepts %d a second", cold, coldPerSecond)
 	}
-	pass(100 * time.Millisecond)
-	b.warm()
+	advance(100 * time.Millisecond)
+	b.restoreWarmed()
 	for range 300 {
-		pass(lasting / 300)
-		if refusal := b.ask(t, "/safe/x", &caller{}); refusal != nil {
+		advance(coldFor / 300)
+		if refusal := b.send(t, "/safe/x", &fakeCaller{}); refusal != nil {
 			t.Fatal(refusal)
 		}
 	}
 	if warm := got()["s0"] - cold; warm < 60 || warm > 160 {
-		t.Errorf("%d of 300 calls at one of three endpoints that are warm", warm)
+		t.Errorf("%d of 300 calls at one of three warm endpoints", warm)
 	}
 }
 
-// Guards against callers that wait where all endpoints are cold.
-func TestCallersAreRefusedAtOnceWhereAllEndpointsAreCold(t *testing.T) {
-	b := newBench(t)
-	b.withColdRate()
+// Guards against holding callers when all endpoints are cold.
+func TestExcessCallsAreRefusedAtOnceWhenAllEndpointsAreCold(t *testing.T) {
+	b := newHarness(t)
+	b.setColdRate()
 	countSends(b)
 	for _, id := range []string{"s0", "s1", "s2"} {
 		b.listAsCold(id, time.Minute)
@@ -93,7 +94,7 @@
 	began := time.Now()
 	answers := make(chan *Refusal, calls)
 	for i := range calls {
-		go func() { answers <- b.askAs(t, fmt.Sprint("cold", i), "/once/x", &caller{}) }()
+		go func() { answers <- b.sendWithID(t, fmt.Sprint("cold", i), "/once/x", &fakeCaller{}) }()
 	}
 	refused := 0
 	for range calls {
@@ -107,33 +108,33 @@
 		refused++
 	}
 	if refused == 0 || refused == calls {
-		t.Errorf("%d of %d calls were refused", refused, calls)
+		t.Errorf("%d of %d calls were refused, want some but not all", refused, calls)
 	}
 	if took := time.Since(began); took > 2*time.Second {
-		t.Errorf("the last one was answered after %v", took)
+		t.Errorf("the last call was answered after %v", took)
 	}
 }
 
-// Guards against an endpoint's own word on its coldness that is not heard.
-func TestColdnessIsHeardInAnswers(t *testing.T) {
-	b := newBench(t)
-	b.withColdRate()
-	left := 50 * time.Millisecond
-	b.everywhere("s", func(x *port.Exchange) (*port.Answer, error) {
+// Guards against ignoring the coldness that an endpoint reports in its answers.
+func TestColdnessIsReadFromAnswers(t *testing.T) {
+	b := newHarness(t)
+	b.setColdRate()
+	coldFor := 50 * time.Millisecond
+	b.setHandlers("s", func(x *port.Exchange) (*port.Answer, error) {
 		a, err := reply(200, "fine")(x)
-		a.ColdFor = &left
+		a.ColdFor = &coldFor
 		return a, err
 	})
-	if refusal := b.ask(t, "/safe/x", &caller{}); refusal != nil {
+	if refusal := b.send(t, "/safe/x", &fakeCaller{}); refusal != nil {
 		t.Fatal(refusal)
 	}
-	at := b.world.arrivals()[0]
-	if h, _ := b.known.get(at); h.ColdRate != coldPerSecond {
-		t.Fatalf("%s takes %v a second", at, h.ColdRate)
+	at := b.backends.arrivals()[0]
+	if h, _ := b.endpointTable.get(at); h.ColdRate != coldPerSecond {
+		t.Fatalf("%s accepts %v requests a second", at, h.ColdRate)
 	}
-	eventually.True(t, "it is warm", func() bool {
-		b.warm()
-		h, _ := b.known.get(at)
+	eventually.True(t, "the endpoint is warm", func() bool {
+		b.restoreWarmed()
+		h, _ := b.endpointTable.get(at)
 		return h.ColdRate == 0
 	})
 }
--- a/internal/gateway/crashes.go
+++ b/internal/gateway/crashes.go
@@ -9,15 +9,15 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// watchCrashes returns the watch over this gateway's attempts.
+// watchCrashes returns a crash watch for this gateway's attempts.
 func (g *Gateway) watchCrashes() *crashwatch.Watch {
 	return crashwatch.New(crashwatch.Options{
-		Quarantine: g.Quarantine, Look: g.look, Leaving: g.wasLeaving, Crashed: g.noteCrash, Clock: g.Clock,
+		Quarantine: g.Quarantine, Look: g.probe, Leaving: g.isLeaving, Crashed: g.recordCrash, Clock: g.Clock,
 	})
 }
 
-// look asks for an endpoint's health.
-func (g *Gateway) look(ctx context.Context, e port.Endpoint) port.Presence {
+// probe requests an endpoint's health check.
+func (g *Gateway) probe(ctx context.Context, e port.Endpoint) port.Presence {
 	path := "/"
 	if index := g.index.Load(); index != nil {
 		if p, ok := index.Pool(e.Pool); ok && p.HealthPath != "" {
@@ -27,31 +27,31 @@
 	return g.Endpoints.Look(ctx, e, path)
 }
 
-func (g *Gateway) wasLeaving(e port.Endpoint) bool {
-	h, knew := g.known.get(e.ID)
-	return knew && h.Incarnation == e.Incarnation && h.State != port.EndpointLive
+func (g *Gateway) isLeaving(e port.Endpoint) bool {
+	h, found := g.endpointTable.get(e.ID)
+	return found && h.Incarnation == e.Incarnation && h.State != port.EndpointLive
 }
 
-func (g *Gateway) noteCrash(e port.Endpoint, reason string, lost int) {
+func (g *Gateway) recordCrash(e port.Endpoint, reason string, lost int) {
 	g.metrics.crashes.Inc(1)
-	g.decideOn("endpoint", e.ID, verdictCrash, fmt.Sprintf("%s; %d requests were lost with it here", reason, lost), 0)
+	g.recordChange("endpoint", e.ID, verdictCrash, fmt.Sprintf("%s; %d requests were lost with it here", reason, lost), 0)
 }
 
-// quarantineRefusal is the refusal of a request that crashes endpoints, nil for any
-// other.
+// quarantineRefusal returns the refusal of a request that crashes endpoints,
+// nil for any other request.
 func (x *exchange) quarantineRefusal() *Refusal {
-	left, quarantined := x.g.Quarantine.Quarantined(x.g.Clock(), x.fingerprint())
+	remaining, quarantined := x.g.Quarantine.Quarantined(x.g.Clock(), x.fingerprint())
 	if !quarantined {
 		return nil
 	}
 	x.quarantined = true
 	return &Refusal{
-		Cause: CauseQuarantined, RetryAfter: left,
+		Cause: CauseQuarantined, RetryAfter: remaining,
 		Detail: "endpoints crash whenever they run this request; it is not sent to any other",
 	}
 }
 
-// fingerprint is worked out when first asked for.
+// fingerprint returns the request's fingerprint, computed at the first call.
 func (x *exchange) fingerprint() quarantine.Fingerprint {
 	if x.print == nil {
 		f := quarantine.FingerprintOf(x.req.Pass.Organisation, x.req.Method, x.req.Host, x.req.Target, x.req.Body)
--- a/internal/gateway/crashes_test.go
+++ b/internal/gateway/crashes_test.go
@@ -12,30 +12,31 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/testkit/eventually"
 )
 
-// Guards against log lines that don't show whether two lost attempts were of one request.
+// Guards against log lines that don't show whether two lost attempts were of
+// the same request.
 func TestLostAttemptsNameTheirFingerprint(t *testing.T) {
-	b := newBench(t)
-	b.everywhere("s", failure(port.ErrEndpointLost))
+	b := newHarness(t)
+	b.setHandlers("s", failure(port.ErrEndpointLost))
 	for _, id := range []string{"first", "again"} {
-		if refusal := b.askAs(t, id, "/once/same", &caller{}); refusal == nil {
+		if refusal := b.sendWithID(t, id, "/once/same", &fakeCaller{}); refusal == nil {
 			t.Fatal("not refused")
 		}
 	}
-	if refusal := b.askAs(t, "other", "/once/other", &caller{}); refusal == nil {
+	if refusal := b.sendWithID(t, "other", "/once/other", &fakeCaller{}); refusal == nil {
 		t.Fatal("not refused")
 	}
-	b.everywhere("s", reply(200, "fine"))
-	if refusal := b.askAs(t, "whole", "/once/same", &caller{}); refusal != nil {
+	b.setHandlers("s", reply(200, "fine"))
+	if refusal := b.sendWithID(t, "whole", "/once/same", &fakeCaller{}); refusal != nil {
 		t.Fatal(refusal)
 	}
-	first, again, other := b.fingerprint("first"), b.fingerprint("again"), b.fingerprint("other")
-	if first == "" || first != again || first == other || b.fingerprint("whole") != "" {
-		t.Fatalf("fingerprints %q, %q, %q, and %q of a whole answer", first, again, other, b.fingerprint("whole"))
+	first, repeated, other := b.lastFingerprint("first"), b.lastFingerprint("again"), b.lastFingerprint("other")
+	if first == "" || first != repeated || first == other || b.lastFingerprint("whole") != "" {
+		t.Fatalf("fingerprints %q, %q, %q, and %q of a complete answer", first, repeated, other, b.lastFingerprint("whole"))
 	}
 }
 
-// fingerprint is the one that the last line of a request names.
-func (b *bench) fingerprint(requestID string) string {
+// lastFingerprint returns the fingerprint in the last decision about a request.
+func (b *harness) lastFingerprint(requestID string) string {
 	name := ""
 	for _, d := range b.sink.All() {
 		if d.Subject == subjectRequest && d.SubjectID == requestID {
@@ -45,144 +46,149 @@
 	return name
 }
 
-// look sets what a look at all plain endpoints shows.
-func (b *bench) look(p port.Presence) {
-	b.world.mu.Lock()
-	defer b.world.mu.Unlock()
-	b.world.presence = map[string]port.Presence{"s0": p, "s1": p, "s2": p}
+// setPresence sets the result of probing any plain endpoint.
+func (b *harness) setPresence(p port.Presence) {
+	b.backends.mu.Lock()
+	defer b.backends.mu.Unlock()
+	b.backends.presence = map[string]port.Presence{"s0": p, "s1": p, "s2": p}
 }
 
-// fingerprintOf is that of a request which ask sends.
+// fingerprintOf returns the fingerprint of a request made by send.
 func fingerprintOf(path string) quarantine.Fingerprint {
 	return quarantine.FingerprintOf("o", "POST", "h", path, nil)
 }
 
-// quarantineRequest has endpoints that nobody knows crash under a request.
-func (b *bench) quarantineRequest(path string) {
+// quarantineRequest quarantines a request by reporting three crashes of
+// unrelated endpoints.
+func (b *harness) quarantineRequest(path string) {
 	for id := range quarantine.CrashID(3) {
 		b.quarantine.Crashed(time.Now(), 1000+id, []quarantine.Fingerprint{fingerprintOf(path)})
 	}
 }
 
-// Guards against sending a request on that is known to crash endpoints.
+// Guards against sending a request that is known to crash endpoints.
 func TestQuarantinedRequestIsNotSent(t *testing.T) {
 	for _, path := range []string{"/safe/fatal", "/once/fatal", "/stream/fatal"} {
-		b := newBench(t)
-		b.everywhere("s", reply(200, "fine"))
-		b.everywhere("e", reply(200, "fine"))
+		b := newHarness(t)
+		b.setHandlers("s", reply(200, "fine"))
+		b.setHandlers("e", reply(200, "fine"))
 		b.quarantineRequest(path)
-		refusal := b.ask(t, path, &caller{})
+		refusal := b.send(t, path, &fakeCaller{})
 		if refusal == nil || refusal.Cause != CauseQuarantined || refusal.Outcome != outcome.NotRun || refusal.RetryAfter <= time.Minute {
 			t.Errorf("%s: refused with %+v", path, refusal)
 		}
-		if arrivals := b.world.arrivals(); len(arrivals) != 0 {
+		if arrivals := b.backends.arrivals(); len(arrivals) != 0 {
 			t.Errorf("%s was sent to %v", path, arrivals)
 		}
-		if got := b.fingerprint(fmt.Sprint("r", requestNumber)); got != fingerprintOf(path).String() {
-			t.Errorf("%s: the refusal's line names fingerprint %q", path, got)
+		if got := b.lastFingerprint(fmt.Sprint("r", requestNumber)); got != fingerprintOf(path).String() {
+			t.Errorf("%s: the refusal's decision has fingerprint %q", path, got)
 		}
-		if refusal := b.ask(t, path+"not", &caller{}); refusal != nil {
+		if refusal := b.send(t, path+"not", &fakeCaller{}); refusal != nil {
 			t.Errorf("another request: %+v", refusal)
 		}
 	}
 }
 
-// Guards against a fatal request that is sent to a fourth endpoint.
-func TestRequestUnderWhichEndpointsEndIsQuarantined(t *testing.T) {
-	b := newBench(t)
-	b.everywhere("s", failure(port.ErrEndpointLost))
-	b.look(port.PresenceGone)
+// Guards against sending a request to a fourth endpoint after it has crashed
+// three.
+func TestRequestThatCrashesEndpointsIsQuarantined(t *testing.T) {
+	b := newHarness(t)
+	b.setHandlers("s", failure(port.ErrEndpointLost))
+	b.setPresence(port.PresenceGone)
 	eventually.True(t, "the request is quarantined", func() bool {
-		refusal := b.ask(t, "/once/fatal", &caller{})
+		refusal := b.send(t, "/once/fatal", &fakeCaller{})
 		return refusal != nil && refusal.Cause == CauseQuarantined
 	})
-	arrivals := len(b.world.arrivals())
-	if refusal := b.ask(t, "/once/fatal", &caller{}); refusal == nil || refusal.Cause != CauseQuarantined {
+	arrivals := len(b.backends.arrivals())
+	if refusal := b.send(t, "/once/fatal", &fakeCaller{}); refusal == nil || refusal.Cause != CauseQuarantined {
 		t.Fatalf("%+v", refusal)
 	}
-	if len(b.world.arrivals()) != arrivals {
-		t.Fatal("it was sent again")
+	if len(b.backends.arrivals()) != arrivals {
+		t.Fatal("the quarantined request was sent again")
 	}
 }
 
-// Guards against quarantining requests whose connections break at endpoints that go on serving.
-func TestBrokenConnectionIsNoCrash(t *testing.T) {
+// Guards against quarantining requests whose connections break at endpoints
+// that continue to serve.
+func TestBrokenConnectionIsNotACrash(t *testing.T) {
 	for _, presence := range []port.Presence{port.PresenceServing, port.PresenceUnknown} {
-		b := newBench(t)
-		b.everywhere("s", failure(port.ErrEndpointLost))
-		b.look(presence)
+		b := newHarness(t)
+		b.setHandlers("s", failure(port.ErrEndpointLost))
+		b.setPresence(presence)
 		for range 12 {
-			b.ask(t, "/once/unlucky", &caller{})
+			b.send(t, "/once/unlucky", &fakeCaller{})
 		}
-		b.looksEnd(t)
-		if refusal := b.ask(t, "/once/unlucky", &caller{}); refusal == nil || refusal.Cause == CauseQuarantined {
+		b.awaitProbes(t)
+		if refusal := b.send(t, "/once/unlucky", &fakeCaller{}); refusal == nil || refusal.Cause == CauseQuarantined {
 			t.Errorf("presence %d: %+v", presence, refusal)
 		}
 	}
 }
 
-// Endpoints end as planned, with what they still run: no request is to blame.
-func TestEndOfAnEndpointThatLeavesIsNoCrash(t *testing.T) {
-	b := newBench(t)
-	b.look(port.PresenceGone)
+// Endpoints that leave end as planned with the requests they still run; no
+// request is quarantined for it.
+func TestExitOfALeavingEndpointIsNotACrash(t *testing.T) {
+	b := newHarness(t)
+	b.setPresence(port.PresenceGone)
 	for _, id := range []string{"s0", "s1", "s2"} {
-		b.world.on[id] = func(*port.Exchange) (*port.Answer, error) {
-			b.leave(id)
+		b.backends.handlers[id] = func(*port.Exchange) (*port.Answer, error) {
+			b.setLeaving(id)
 			return nil, port.ErrEndpointLost
 		}
 	}
 	for range 3 {
-		b.ask(t, "/once/unlucky", &caller{})
+		b.send(t, "/once/unlucky", &fakeCaller{})
 	}
-	b.looksEnd(t)
+	b.awaitProbes(t)
 	if n := b.quarantine.Entries(); len(n) > 0 {
 		t.Fatalf("quarantined: %v", n)
 	}
 }
 
-// looksEnd waits until nobody looks at an endpoint any more.
-func (b *bench) looksEnd(t *testing.T) {
+// awaitProbes waits until no endpoint is being probed.
+func (b *harness) awaitProbes(t *testing.T) {
 	t.Helper()
-	eventually.True(t, "the looks have ended", func() bool { return b.crashes.Looking() == 0 })
+	eventually.True(t, "no endpoint is being probed", func() bool { return b.crashWatch.Looking() == 0 })
 }
 
 // Guards against a retry that crashes one more endpoint.
-func TestRetryOfAQuarantinedRequestIsNotMade(t *testing.T) {
-	b := newBench(t)
+func TestQuarantinedRequestIsNotRetried(t *testing.T) {
+	b := newHarness(t)
 	f := fingerprintOf("/safe/fatal")
-	b.everywhere("s", func(*port.Exchange) (*port.Answer, error) {
+	b.setHandlers("s", func(*port.Exchange) (*port.Answer, error) {
 		b.quarantineRequest("/safe/fatal")
 		return nil, port.ErrEndpointLost
 	})
-	refusal := b.ask(t, "/safe/fatal", &caller{})
+	refusal := b.send(t, "/safe/fatal", &fakeCaller{})
 	if refusal == nil || refusal.Cause != CauseQuarantined || refusal.Outcome != outcome.Unknown {
 		t.Fatalf("%+v, fingerprint %s", refusal, f)
 	}
-	if n := len(b.world.arrivals()); n != 1 {
+	if n := len(b.backends.arrivals()); n != 1 {
 		t.Fatalf("sent %d times", n)
 	}
 }
 
-// Guards against quarantining a request that was only lost with others.
-func TestRequestThatRunsToItsEndIsNotQuarantined(t *testing.T) {
-	b := newBench(t)
+// Guards against quarantining a request that was only lost together with
+// others.
+func TestCompletedRequestIsNotQuarantined(t *testing.T) {
+	b := newHarness(t)
 	f := fingerprintOf("/once/unlucky")
 	b.quarantine.Crashed(time.Now(), 1, []quarantine.Fingerprint{f})
 	b.quarantine.Crashed(time.Now(), 2, []quarantine.Fingerprint{f})
-	b.everywhere("s", reply(200, "fine"))
-	if refusal := b.ask(t, "/once/unlucky", &caller{}); refusal != nil {
+	b.setHandlers("s", reply(200, "fine"))
+	if refusal := b.send(t, "/once/unlucky", &fakeCaller{}); refusal != nil {
 		t.Fatal(refusal)
 	}
 	b.quarantine.Crashed(time.Now(), 3, []quarantine.Fingerprint{f})
-	if refusal := b.ask(t, "/once/unlucky", &caller{}); refusal != nil {
+	if refusal := b.send(t, "/once/unlucky", &fakeCaller{}); refusal != nil {
 		t.Fatal(refusal)
 	}
 }
 
-// quarantiningPlacer places a request once it has been found to be fatal.
+// quarantiningPlacer quarantines a request before placing it.
 type quarantiningPlacer struct {
 	Placer
-	b        *bench
+	b        *harness
 	finished int
 }
 
@@ -196,26 +202,27 @@
 	p.Placer.Finished(id, tokens, kind)
 }
 
-// Guards against sending a request that is quarantined while it waits, and against losing its place.
-func TestRequestFoundOutWhileItWaitsIsNotSent(t *testing.T) {
-	b := newBench(t)
-	b.everywhere("e", reply(200, "fine"))
+// Guards against sending a request that is quarantined while it is held, and
+// against leaking its placement.
+func TestRequestQuarantinedWhileHeldIsNotSent(t *testing.T) {
+	b := newHarness(t)
+	b.setHandlers("e", reply(200, "fine"))
 	placer := &quarantiningPlacer{Placer: b.Placer, b: b}
 	b.Placer = placer
-	refusal := b.ask(t, "/stream/fatal", &caller{})
+	refusal := b.send(t, "/stream/fatal", &fakeCaller{})
 	if refusal == nil || refusal.Cause != CauseQuarantined || refusal.Outcome != outcome.NotRun {
 		t.Fatalf("%+v", refusal)
 	}
-	if len(b.world.arrivals()) != 0 || placer.finished != 1 {
-		t.Fatalf("sent to %v, place given back %d times", b.world.arrivals(), placer.finished)
+	if len(b.backends.arrivals()) != 0 || placer.finished != 1 {
+		t.Fatalf("sent to %v, placement withdrawn %d times", b.backends.arrivals(), placer.finished)
 	}
 }
 
-// Guards against a quarantined request that holds a place in the queue.
-func TestQuarantinedRequestWaitsForNoPlace(t *testing.T) {
-	b := newBench(t)
+// Guards against a quarantined request that occupies a place in the queue.
+func TestQuarantinedRequestIsNotQueued(t *testing.T) {
+	b := newHarness(t)
 	b.quarantineRequest("/stream/fatal")
-	b.ask(t, "/stream/fatal", &caller{})
+	b.send(t, "/stream/fatal", &fakeCaller{})
 	for _, d := range b.sink.All() {
 		if d.Subject == subjectRequest && d.Verdict != verdictFinish {
 			t.Errorf("%s: %s", d.Verdict, d.Reason)
--- /dev/null
+++ b/internal/gateway/decisions.go
@@ -0,0 +1,57 @@
+package gateway
+
+import (
+	"math/rand/v2"
+	"strconv"
+	"sync/atomic"
+
+	"github.com/dragonflyrail/dragonflyrail/internal/port"
+)
+
+// Verdicts of decisions, besides those of the scheduler.
+const (
+	verdictFinish = "finish"
+	verdictRetry  = "retry"
+	verdictMove   = "move"
+	verdictCopy   = "copy"
+	verdictResume = "resume"
+	verdictPanic  = "panic"
+	// verdictCrash: an endpoint crashed with the requests that it was running.
+	verdictCrash = "crash"
+	// verdictRelease: a copy of a run is released.
+	verdictRelease = "release"
+	// verdictWithdraw: a placement is withdrawn before the request is sent.
+	verdictWithdraw = "withdraw"
+	// verdictCold and verdictWarm: an endpoint has become cold or warm.
+	verdictCold = "cold"
+	verdictWarm = "warm"
+	// verdictLimit: an endpoint has a new rate limit, or none any more.
+	verdictLimit = "limit"
+)
+
+const subjectRequest = "request"
+
+// randomIndex is the balancer's source of random numbers.
+func randomIndex(n int) int { return rand.IntN(n) }
+
+// decisionSequence counts this process's decisions, for their ids.
+var decisionSequence atomic.Uint64
+
+// recordDecision sets the id and time of a decision, records it and returns the
+// id.
+func (g *Gateway) recordDecision(d *port.DecisionRecord) string {
+	d.ID = g.options().ID + ".d." + strconv.FormatUint(decisionSequence.Add(1), 36)
+	d.Time = g.Clock()
+	if g.Freshness != nil && d.Verdict != verdictFinish {
+		d.PlatformAgeMillis = port.AgeMillis(g.Freshness())
+	}
+	g.Sink.Record(d)
+	return d.ID
+}
+
+// recordChange records a change in this daemon's own state of a subject.
+func (g *Gateway) recordChange(subject, id, verdict, reason string, version uint64) {
+	g.recordDecision(&port.DecisionRecord{
+		Subject: subject, SubjectID: id, Verdict: verdict, Reason: reason, ConfigurationVersion: version,
+	})
+}
--- a/internal/gateway/doc.go
+++ b/internal/gateway/doc.go
@@ -1,8 +1,8 @@
-// Package gateway serves the operators' routes: it finds a request's route
-// and organisation, places it at an endpoint of the route's pool, passes the
-// request and the answer on unchanged, and answers for the outcome.
+// Package gateway serves the requests of callers: it matches a request to a
+// route and an organisation, places it at an endpoint of the route's pool,
+// passes the request and the answer through unchanged, and reports the outcome.
 //
-// Requests to model engines are placed by the scheduler of package routing,
-// calls of plain services by the balancer. What may be sent again is decided
-// by package outcome from what is known of each attempt.
+// The scheduler of package routing places requests to model engines, and the
+// balancer of package balance places calls of plain services. Package outcome
+// decides from the results of all attempts whether a request may be sent again.
 package gateway
--- a/internal/gateway/entry.go
+++ b/internal/gateway/entry.go
@@ -8,13 +8,13 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// MaxEntryAddresses bounds the addresses of one entry answer.
+// MaxEntryAddresses bounds the addresses in one answer of Entry.
 const MaxEntryAddresses = 64
 
-// Entry lists the daemons that a caller in the failure domain should use, and
-// how long the answer may be kept. Callers choose among them at random. Where
-// there are more than an answer holds, those of the caller's own domain are
-// named first.
+// Entry lists the addresses of the daemons that a caller in the failure domain
+// should use, and how long the answer may be cached. Callers choose among them
+// at random. Addresses in the caller's own domain come first, so they are kept
+// if there are more than MaxEntryAddresses.
 func (g *Gateway) Entry(failureDomain string) (addresses []string, valid time.Duration) {
 	var near, far []string
 	for _, m := range g.View.Members() {
@@ -36,7 +36,7 @@
 	return addresses[:min(len(addresses), MaxEntryAddresses)], g.options().EntryValidity
 }
 
-// Ready reports whether this daemon wants new callers.
+// Ready reports whether this daemon accepts new callers.
 func (g *Gateway) Ready() bool { return g.Synced() && g.View.Synced() && !g.Leaving() }
 
 func shuffle(s []string) { rand.Shuffle(len(s), func(i, j int) { s[i], s[j] = s[j], s[i] }) }
--- a/internal/gateway/evacuations.go
+++ b/internal/gateway/evacuations.go
@@ -9,12 +9,13 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// placesTried bounds how often a request is placed again that was placed in an
-// evacuated failure domain, by a coordinator that has not heard of it yet.
-const placesTried = 3
+// maxPlacements bounds how often a request is placed again because a
+// coordinator that has not yet received an evacuation placed it in the
+// evacuated failure domain.
+const maxPlacements = 3
 
-// applyEvacuations puts the evacuations of the records in force. It returns the
-// endpoints that they concern.
+// applyEvacuations applies the evacuations in the records and returns the
+// endpoints whose evacuation changed.
 func (g *Gateway) applyEvacuations(records []port.Record) []port.Endpoint {
 	before, next := g.evacuated.Load(), g.Evacuations(records)
 	changes := before.ChangesTo(next)
@@ -24,43 +25,48 @@
 	}
 	g.metrics.evacuated.Update(int64(len(next.Domains())))
 	for _, d := range changes.Decisions(next) {
-		g.decide(d)
+		g.recordDecision(d)
 	}
-	return g.known.in(changes.Concerns)
+	return g.endpointTable.inDomains(changes.Concerns)
 }
 
-// isEvacuated reports whether the endpoint is to get nothing more.
+// isEvacuated reports whether the endpoint's failure domain is evacuated, so
+// that it gets no further requests.
 func (g *Gateway) isEvacuated(e port.Endpoint) bool {
 	return g.evacuated.Load().Has(e.FailureDomain)
 }
 
-// placeOutsideEvacuations chooses an endpoint for the next attempt. The evacuation
-// may have been heard of here and not by the coordinator, or while the request
-// waited for its turn.
+// placeOutsideEvacuations chooses an endpoint for the next attempt and rejects
+// one in an evacuated failure domain. Such a placement is possible if the
+// coordinator has not yet received the evacuation, or if it came into force
+// while the request was held.
 func (x *exchange) placeOutsideEvacuations(ctx context.Context) (*placement, *Refusal) {
-	for range placesTried {
+	for range maxPlacements {
 		p, refusal := x.place(ctx)
 		if refusal != nil || !x.g.isEvacuated(p.endpoint) {
 			return p, refusal
 		}
 		x.record(verdictWithdraw, "the endpoint's failure domain "+strconv.Quote(p.endpoint.FailureDomain)+" is evacuated", "", nil)
 		x.attempts--
-		x.misplaced = true
-		x.giveBack(p)
+		x.placedInEvacuated = true
+		x.withdraw(p)
 	}
 	return nil, x.allEvacuated()
 }
 
-// excluded names the endpoints that the request is not to be placed at. Where a
-// coordinator has not heard of an evacuation, it is told by this.
+// excluded returns the ids of the endpoints at which the request must not be
+// placed. After a placement in an evacuated domain it includes all evacuated
+// endpoints of the pool, because the coordinator has not yet received the
+// evacuation.
 func (x *exchange) excluded() []string {
-	if !x.misplaced {
+	if !x.placedInEvacuated {
 		return x.tried
 	}
-	return slices.Concat(x.tried, x.g.known.evacuatedOf(x.pool))
+	return slices.Concat(x.tried, x.g.endpointTable.evacuatedIDs(x.pool))
 }
 
-// allEvacuated refuses a request that no endpoint may be sent.
+// allEvacuated returns the refusal of a request whose possible endpoints are
+// all evacuated.
 func (x *exchange) allEvacuated() *Refusal {
 	return &Refusal{
 		Cause: CauseEvacuated, Detail: "the endpoints of pool " + x.pool + " are in failure domains that are evacuated",
--- a/internal/gateway/events.go
+++ b/internal/gateway/events.go
@@ -11,72 +11,74 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// relay passes on one stream of events, which may come from several runners
-// one after the other.
+// relay relays one stream of events, which may come from several runners one
+// after the other.
 type relay struct {
-	x    *exchange
-	p    *placement
-	run  *run
-	last time.Time
+	x           *exchange
+	p           *placement
+	run         *run
+	lastEventAt time.Time
 }
 
-// relayEvents passes on a stream of events, each whole and as it comes.
+// relayEvents relays a stream of events. Each event is sent as soon as it is
+// complete.
 func (x *exchange) relayEvents(ctx context.Context, p *placement, a *port.Answer) stream.Fate {
 	r := &relay{x: x, p: p, run: &run{x: x}}
-	x.delivered = &port.Delivery{HeldMillis: x.held.Milliseconds(), Runners: 1}
-	r.run.reads(p.endpoint, a.Body)
+	x.delivered = &port.Delivery{HeldMillis: x.heldFor.Milliseconds(), Runners: 1}
+	r.run.setSource(p.endpoint, a.Body)
 	defer func() { x.release(r.run.end()) }()
 	if p.generation {
 		x.g.runs.add(r.run)
 		defer x.g.runs.remove(r.run)
 	}
 	for {
-		err := r.read(a)
-		if errors.Is(err, errCallerLeft) {
-			return x.callerLeft(p, err)
+		err := r.relayFrom(a)
+		if errors.Is(err, errCallerGone) {
+			return x.endCallerGone(p, err)
 		}
-		next := r.handOver(ctx, a, err)
+		next := r.resumeFromCopy(ctx, a, err)
 		if next == nil {
-			return x.eventsEnded(ctx, p, a, err)
+			return x.finishStream(ctx, p, a, err)
 		}
 		defer next.Body.Close()
 		a = next
 	}
 }
 
-// errCallerLeft: the caller takes no more.
-var errCallerLeft = errors.New("the caller has gone")
+// errCallerGone means that writing to the caller failed.
+var errCallerGone = errors.New("the caller has gone")
 
-// read passes on one runner's events until their end, which it returns.
-func (r *relay) read(a *port.Answer) error {
+// relayFrom relays the events of one runner until its stream ends, and returns
+// the error that ended it, io.EOF included.
+func (r *relay) relayFrom(a *port.Answer) error {
 	reader := eventstream.NewReader(a.Body)
 	for {
 		event, err := reader.Next()
 		if err != nil {
 			return err
 		}
-		if err := r.pass(a, &event); err != nil {
-			return errors.Join(errCallerLeft, err)
+		if err := r.relayEvent(a, &event); err != nil {
+			return errors.Join(errCallerGone, err)
 		}
 	}
 }
 
-func (r *relay) pass(a *port.Answer, event *eventstream.Event) error {
+func (r *relay) relayEvent(a *port.Answer, event *eventstream.Event) error {
 	x := r.x
-	first := !x.begun
+	first := !x.responseStarted
 	if first {
 		observe(x.g.metrics.firstEvent, x.g.Clock().Sub(x.req.Arrived))
 		if err := x.beginAnswer(a); err != nil {
 			return err
 		}
 	}
-	if err := x.out.Write(event.Raw); err != nil {
+	if err := x.responder.Write(event.Raw); err != nil {
 		return err
 	}
-	if err := x.out.Flush(); err != nil {
+	if err := x.responder.Flush(); err != nil {
 		return err
 	}
-	r.took(event.ID)
+	r.countEvent(event.ID)
 	if first && r.p.generation {
 		x.g.moveIfLeaving(r.run)
 	}
@@ -84,75 +86,79 @@
 }
 
 func (x *exchange) beginAnswer(a *port.Answer) error {
-	x.begun, x.status = true, a.Status
-	return x.out.Begin(a.Status, a.Header, a.Length)
+	x.responseStarted, x.status = true, a.Status
+	return x.responder.Begin(a.Status, a.Header, a.Length)
 }
 
-// took counts an event that the caller has.
-func (r *relay) took(id string) {
+// countEvent updates the metrics and the scheduler after an event was sent to
+// the caller.
+func (r *relay) countEvent(id string) {
 	x := r.x
 	now := x.g.Clock()
 	x.g.metrics.events.Inc(1)
-	r.measure(now)
-	r.run.took(id)
+	r.recordTiming(now)
+	r.run.setLastID(id)
 	if r.p.generation {
 		r.p.tokens += max(1, x.engine.EventTokens)
 		x.g.Placer.Progress(x.req.ID, r.p.tokens)
 	}
 }
 
-// measure notes when an event came.
-func (r *relay) measure(now time.Time) {
+// recordTiming records the time to the first event or the gap since the
+// previous one.
+func (r *relay) recordTiming(now time.Time) {
 	d := r.x.delivered
 	d.Events++
-	if r.last.IsZero() {
+	if r.lastEventAt.IsZero() {
 		d.FirstMillis = now.Sub(r.x.req.Arrived).Milliseconds()
 	} else {
-		gap := now.Sub(r.last)
+		gap := now.Sub(r.lastEventAt)
 		observe(r.x.g.metrics.eventGap, gap)
 		if gap.Milliseconds() > d.GapMillis {
 			d.GapMillis, d.GapEvent = gap.Milliseconds(), d.Events
 		}
 	}
-	r.last = now
+	r.lastEventAt = now
 }
 
-// handOver takes the run up from its copy, where there is one and its stream
-// has not come to its own end. It returns the stream that goes on, or nil.
-func (r *relay) handOver(ctx context.Context, a *port.Answer, ended error) *port.Answer {
-	if errors.Is(ended, io.EOF) && a.Delimited || !r.x.begun {
+// resumeFromCopy resumes the run from its copy, at the destination or else at
+// the source, if there is a copy and the stream broke off before its end. It
+// returns the stream that continues, or nil.
+func (r *relay) resumeFromCopy(ctx context.Context, a *port.Answer, streamErr error) *port.Answer {
+	if errors.Is(streamErr, io.EOF) && a.Delimited || !r.x.responseStarted {
 		return nil
 	}
-	c, lastID := r.run.handover(ctx.Done())
+	c, lastID := r.run.awaitCopy(ctx.Done())
 	if c == nil || r.x.quarantineRefusal() != nil {
 		return nil
 	}
 	for _, at := range []port.Endpoint{c.to, c.from} {
 		if r.x.g.isEvacuated(at) {
-			r.x.note(verdictResume, "not taken up: the endpoint's failure domain is evacuated", at.ID, nil)
+			r.x.recordConcurrent(verdictResume, "not taken up: the endpoint's failure domain is evacuated", at.ID, nil)
 			continue
 		}
 		next, err := r.x.resume(ctx, r.p, at, c, lastID)
 		if err != nil {
-			r.x.note(verdictResume, "not taken up: "+err.Error(), at.ID, nil)
+			r.x.recordConcurrent(verdictResume, "not taken up: "+err.Error(), at.ID, nil)
 			continue
 		}
-		r.x.note(verdictResume, "taken up from the copy after event "+lastID, at.ID, nil)
+		r.x.recordConcurrent(verdictResume, "taken up from the copy after event "+lastID, at.ID, nil)
 		r.x.g.metrics.moves.Inc(1)
 		r.x.g.Placer.Relocated(r.x.req.ID, at.ID == c.to.ID, at.ID)
 		r.x.endpoint = at.ID
-		r.x.g.crashes.End(r.p.watched, false)
+		r.x.g.crashWatch.End(r.p.watched, false)
 		r.p.endpoint = at
-		r.p.watched = r.x.g.crashes.Begin(at, r.x.fingerprint())
+		r.p.watched = r.x.g.crashWatch.Begin(at, r.x.fingerprint())
 		r.x.delivered.Runners++
-		r.x.release(r.run.reads(at, next.Body))
+		r.x.release(r.run.setSource(at, next.Body))
 		return next
 	}
 	return nil
 }
 
-// resume sends the request again, to go on from a copy of its run.
-func (x *exchange) resume(ctx context.Context, p *placement, at port.Endpoint, c *copyAt, lastID string) (*port.Answer, error) {
+// resume sends the request again with the instruction to continue from a copy
+// of its run.
+func (x *exchange) resume(ctx context.Context, p *placement, at port.Endpoint, c *runCopy, lastID string) (*port.Answer, error) {
 	out := x.outbound(p)
 	out.Endpoint = at
 	out.Generation.Continue = &port.Continuation{Address: c.from.Address, Handle: c.handle, LastEventID: lastID}
@@ -167,24 +173,25 @@
 	return a, nil
 }
 
-// errNoContinuation: the answer is not the rest of the stream.
+// errNoContinuation means that the answer is not the continuation of the
+// stream.
 var errNoContinuation = errors.New("the answer is not a stream that goes on")
 
-// eventsEnded judges the end of a stream.
-func (x *exchange) eventsEnded(ctx context.Context, p *placement, a *port.Answer, err error) stream.Fate {
+// finishStream classifies the end of a stream and ends the attempt.
+func (x *exchange) finishStream(ctx context.Context, p *placement, a *port.Answer, err error) stream.Fate {
 	if !errors.Is(err, io.EOF) || ctx.Err() != nil {
 		x.reason = "the stream broke off: " + err.Error()
-		x.lost = ctx.Err() == nil
-		x.g.metrics.lost("cut")
-		x.endAttempt(p, finishOf(ctx, port.FinishFailed))
-		if x.begun {
+		x.connectionLost = ctx.Err() == nil
+		x.g.metrics.attemptFailed("cut")
+		x.endAttempt(p, finishKind(ctx, port.FinishFailed))
+		if x.responseStarted {
 			return stream.FateRan
 		}
 		return stream.FateUnknown
 	}
-	if !x.begun {
+	if !x.responseStarted {
 		if err := x.beginAnswer(a); err != nil {
-			return x.callerLeft(p, err)
+			return x.endCallerGone(p, err)
 		}
 	}
 	x.endAttempt(p, port.FinishDone)
@@ -192,7 +199,7 @@
 	return stream.FateDone
 }
 
-func (x *exchange) callerLeft(p *placement, err error) stream.Fate {
+func (x *exchange) endCallerGone(p *placement, err error) stream.Fate {
 	x.reason = "the caller has gone: " + err.Error()
 	x.cause = CauseCallerGone
 	x.endAttempt(p, port.FinishCancelled)
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -12,73 +12,80 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// exchange is one request on its way.
+// exchange is the state of one request while it is served.
 type exchange struct {
-	g   *Gateway
-	req *Request
-	out Responder
-	// deadline is the earlier of the caller's and the route's.
+	g         *Gateway
+	req       *Request
+	responder Responder
+	// deadline is the earlier of the caller's deadline and the route's.
 	deadline time.Time
 	pool     string
 	engine   *route.Engine
 	ledger   outcome.Ledger
 	tried    []string
-	// attempts counts the endpoints tried, ran those that may have run it.
-	attempts int
-	ran      int
-	// sending is the attempt that has not ended, nil for none.
-	sending *placement
-	// arrived: an endpoint has had the request, taken or not.
-	arrived bool
-	begun   bool
-	// coordinator names the daemon whose scheduler decided last.
+	// attempts counts the endpoints tried, mayHaveRun those of them that may
+	// have run the request.
+	attempts   int
+	mayHaveRun int
+	// inFlight is the attempt that has not ended yet, nil if there is none.
+	inFlight *placement
+	// reachedEndpoint: an endpoint has received the request, whether or not it
+	// accepted it.
+	reachedEndpoint bool
+	responseStarted bool
+	// coordinator is the id of the daemon whose scheduler made the last
+	// decision.
 	coordinator string
-	// held is the wait for the last place.
-	held time.Duration
-	// delivered is what the caller had of a stream, nil for other answers.
+	// heldFor is the time from the request's arrival to its last placement.
+	heldFor time.Duration
+	// delivered holds what the caller has received of a stream, nil for other
+	// answers.
 	delivered *port.Delivery
-	// status is that of the answer which the caller gets.
+	// status is the status code sent to the caller.
 	status   int
 	decision string
 	endpoint string
 	cause    Cause
 	reason   string
-	// kept is an endpoint's own failure, given where nothing better comes.
-	kept *buffered
-	// lost: the connection to the endpoint of the last attempt broke off.
-	lost bool
-	// misplaced: it was placed in an evacuated failure domain before.
-	misplaced bool
-	// quarantined: the request is not sent, as endpoints crash under it.
+	// keptFailure is an endpoint's own 5xx answer, which the caller gets if no
+	// later attempt succeeds.
+	keptFailure *bufferedAnswer
+	// connectionLost: the connection to the last attempt's endpoint broke.
+	connectionLost bool
+	// placedInEvacuated: the request was placed in an evacuated failure domain
+	// before.
+	placedInEvacuated bool
+	// quarantined: the request is not sent because it crashes endpoints.
 	quarantined bool
-	// print is read through fingerprint.
+	// print caches the fingerprint, which the method fingerprint computes.
 	print *quarantine.Fingerprint
 }
 
-// Serve answers one request. It returns nil once the caller has an endpoint's
-// whole answer, else the refusal.
+// Serve answers one request. It returns nil once the caller has received the
+// whole of an endpoint's answer, else the refusal.
 func (g *Gateway) Serve(ctx context.Context, req *Request, out Responder) (refusal *Refusal) {
 	x := g.newExchange(req, out)
-	if refusal = g.begin(req); refusal != nil {
-		return x.refused(refusal)
+	if refusal = g.openRequest(req); refusal != nil {
+		return x.refuse(refusal)
 	}
-	defer g.life.leave()
+	defer g.lifecycle.exit()
 	g.metrics.open.Inc(1)
 	defer g.metrics.open.Dec(1)
 	ctx, cancel := context.WithDeadline(ctx, x.deadline)
 	defer cancel()
-	stop := g.cancelAtCut(cancel)
+	stop := g.cancelAtForcedClose(cancel)
 	defer stop()
-	defer x.containServe(&refusal)
+	defer x.recoverServe(&refusal)
 	return x.serve(ctx)
 }
 
-// cancelAtCut ends a request that is still open at the end of the grace.
-func (g *Gateway) cancelAtCut(cancel context.CancelFunc) (stop func()) {
+// cancelAtForcedClose cancels a request that is still open at the end of the
+// shutdown's grace period.
+func (g *Gateway) cancelAtForcedClose(cancel context.CancelFunc) (stop func()) {
 	done := make(chan struct{})
 	go func() {
 		select {
-		case <-g.life.cut:
+		case <-g.lifecycle.forceClose:
 			cancel()
 		case <-done:
 		}
@@ -86,14 +93,14 @@
 	return func() { close(done) }
 }
 
-func (g *Gateway) newExchange(req *Request, out Responder) *exchange {
+func (g *Gateway) newExchange(req *Request, responder Responder) *exchange {
 	r := req.Pass.Route
-	x := &exchange{g: g, req: req, out: out, deadline: req.Arrived.Add(r.Timeout)}
+	x := &exchange{g: g, req: req, responder: responder, deadline: req.Arrived.Add(r.Timeout)}
 	if req.Patience > 0 && req.Patience < r.Timeout || r.Timeout <= 0 {
 		x.deadline = req.Arrived.Add(req.Patience)
 	}
 	x.ledger.Idempotent = r.Repeat == route.RepeatSafe
-	x.pool = r.Target(drawPart(req.ID))
+	x.pool = r.Target(hashFraction(req.ID))
 	if index := g.index.Load(); index != nil {
 		if p, ok := index.Pool(x.pool); ok {
 			x.engine = p.Engine
@@ -102,31 +109,32 @@
 	return x
 }
 
-// serve tries endpoints until one answers or nothing more may be tried.
+// serve tries endpoints until one answers or no further attempt is allowed.
 func (x *exchange) serve(ctx context.Context) *Refusal {
 	x.g.budgets.pool(x.pool).FirstTry()
 	for {
 		p, refusal := x.placeUnlessQuarantined(ctx)
 		if refusal != nil {
-			return x.lastWord(refusal)
+			return x.refuseOrDeliverFailure(refusal)
 		}
 		fate := x.attempt(ctx, p)
-		x.ledger.Add(fate, x.begun)
+		x.ledger.Add(fate, x.responseStarted)
 		if fate == stream.FateDone {
-			x.completed()
+			x.recordCompletion()
 			x.finish(outcome.Done, x.reason)
 			return nil
 		}
-		if refusal := x.stop(ctx, fate); refusal != nil {
-			return x.lastWord(refusal)
+		if refusal := x.retryRefusal(ctx, fate); refusal != nil {
+			return x.refuseOrDeliverFailure(refusal)
 		}
 		x.g.metrics.retries.Inc(1)
 		x.record(verdictRetry, x.reason, fate.String(), nil)
 	}
 }
 
-// placeUnlessQuarantined chooses an endpoint for the next attempt. The request may
-// have waited for its place while it was found out.
+// placeUnlessQuarantined chooses an endpoint for the next attempt. It checks
+// the quarantine again after the placement, because the request may have been
+// quarantined while it was held.
 func (x *exchange) placeUnlessQuarantined(ctx context.Context) (*placement, *Refusal) {
 	if refusal := x.quarantineRefusal(); refusal != nil {
 		return nil, refusal
@@ -136,34 +144,36 @@
 		return nil, refusal
 	}
 	if refusal := x.quarantineRefusal(); refusal != nil {
-		x.giveBack(p)
+		x.withdraw(p)
 		return nil, refusal
 	}
 	return p, nil
 }
 
-// completed notes that the request outlived its run, and the endpoint with it.
-func (x *exchange) completed() {
+// recordCompletion informs the quarantine that the request ran to its end
+// without crashing its endpoint.
+func (x *exchange) recordCompletion() {
 	if x.status < http.StatusInternalServerError {
 		x.g.Quarantine.Completed(x.g.Clock(), x.fingerprint())
 	}
 }
 
-// lastWord passes on an endpoint's own failure where nothing better came: it
-// tells the caller more than a failure of ours.
-func (x *exchange) lastWord(refusal *Refusal) *Refusal {
-	if x.kept == nil || x.begun {
-		return x.refused(refusal)
+// refuseOrDeliverFailure ends the request after its last attempt. If an
+// endpoint's own failure was kept, the caller gets that answer: it holds more
+// information than a refusal by the gateway.
+func (x *exchange) refuseOrDeliverFailure(refusal *Refusal) *Refusal {
+	if x.keptFailure == nil || x.responseStarted {
+		return x.refuse(refusal)
 	}
-	if err := x.deliver(x.kept); err != nil {
-		return x.refused(&Refusal{Cause: CauseCallerGone, Detail: "the caller has gone", Begun: true})
+	if err := x.deliver(x.keptFailure); err != nil {
+		return x.refuse(&Refusal{Cause: CauseCallerGone, Detail: "the caller has gone", Begun: true})
 	}
 	x.finish(outcome.Failed, "the endpoint's own failure was passed on")
 	return nil
 }
 
-// stop returns the refusal where no other attempt may follow, else nil.
-func (x *exchange) stop(ctx context.Context, fate stream.Fate) *Refusal {
+// retryRefusal returns the refusal if no further attempt is allowed, else nil.
+func (x *exchange) retryRefusal(ctx context.Context, fate stream.Fate) *Refusal {
 	refusal := &Refusal{Cause: x.cause, Detail: x.reason, RetryAfter: retrySoon}
 	if refusal.Cause == "" {
 		refusal.Cause = CauseEndpointFailed
@@ -171,8 +181,8 @@
 	switch {
 	case x.interrupted(ctx, refusal):
 	case !x.ledger.MayRetry():
-	case x.ran >= max(1, x.req.Pass.Route.MaxAttempts):
-	case x.attempts-x.ran >= x.g.options().RefusalsTried:
+	case x.mayHaveRun >= max(1, x.req.Pass.Route.MaxAttempts):
+	case x.attempts-x.mayHaveRun >= x.g.options().RefusalsTried:
 	case fate != stream.FateNotSent && !x.g.budgets.pool(x.pool).Retry():
 		refusal.Detail += "; the retry budget is spent"
 	default:
@@ -181,10 +191,12 @@
 	return refusal
 }
 
-// interrupted reports that the request is over whatever the endpoints do.
+// interrupted reports whether the request has to end regardless of its
+// endpoints: the daemon stops, its deadline has passed, or its caller has
+// disconnected. If so, it sets the cause and detail of the refusal.
 func (x *exchange) interrupted(ctx context.Context, refusal *Refusal) bool {
 	select {
-	case <-x.g.life.cut:
+	case <-x.g.lifecycle.forceClose:
 		refusal.Cause, refusal.Detail = CauseStopping, "this daemon stops"
 		return true
 	default:
@@ -201,14 +213,14 @@
 	return true
 }
 
-func (x *exchange) refused(refusal *Refusal) *Refusal {
+func (x *exchange) refuse(refusal *Refusal) *Refusal {
 	if refusal.Outcome == "" {
 		refusal.Outcome = x.ledger.Outcome()
 	}
-	refusal.settle(x.ledger.Idempotent)
-	refusal.Begun = refusal.Begun || x.begun
+	refusal.setRetryAfter(x.ledger.Idempotent)
+	refusal.Begun = refusal.Begun || x.responseStarted
 	refusal.Version = x.req.Pass.Version
-	x.g.metrics.refused(refusal.Cause)
+	x.g.metrics.requestRefused(refusal.Cause)
 	refusal.DecisionID = x.finish(refusal.Outcome, refusal.Error())
 	return refusal
 }
@@ -220,7 +232,7 @@
 	return x.record(verdictFinish, reason, string(o), nil)
 }
 
-// record writes the line of one decision on this request.
+// record records a decision about this request and returns the decision's id.
 func (x *exchange) record(verdict, reason, result string, candidates []port.CandidateScore) string {
 	d := &port.DecisionRecord{
 		Subject: subjectRequest, SubjectID: x.req.ID, Organisation: x.req.Pass.Organisation, Model: x.model(),
@@ -230,16 +242,18 @@
 	if verdict == verdictFinish {
 		d.Delivered = x.delivered
 	}
-	if x.lost || x.quarantined {
+	if x.connectionLost || x.quarantined {
 		d.Fingerprint = x.fingerprint().String()
 	}
-	x.decision = x.g.decide(d)
+	x.decision = x.g.recordDecision(d)
 	return x.decision
 }
 
-// note is record for those who move the run beside its relay.
-func (x *exchange) note(verdict, reason, endpoint string, candidates []port.CandidateScore) {
-	x.g.decide(&port.DecisionRecord{
+// recordConcurrent records a decision made by code that runs concurrently with
+// the exchange, such as a move of its run. Of the exchange it reads only the
+// request, which does not change.
+func (x *exchange) recordConcurrent(verdict, reason, endpoint string, candidates []port.CandidateScore) {
+	x.g.recordDecision(&port.DecisionRecord{
 		Subject: subjectRequest, SubjectID: x.req.ID, Organisation: x.req.Pass.Organisation, Model: x.model(),
 		Verdict: verdict, Reason: reason, Endpoint: endpoint, Candidates: candidates,
 		ConfigurationVersion: x.req.Pass.Version,
--- a/internal/gateway/fake_test.go
+++ b/internal/gateway/fake_test.go
@@ -27,56 +27,56 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/testkit/fakes"
 )
 
-// endpoints is the world behind a gateway: scripted answers by endpoint.
-type endpoints struct {
+// fakeEndpoints is a port.Exchanger whose endpoints answer with handlers.
+type fakeEndpoints struct {
 	mu sync.Mutex
-	// on answers a request at an endpoint.
-	on map[string]func(x *port.Exchange) (*port.Answer, error)
-	// copies answers copies.
-	copies func(from port.Endpoint, to port.Endpoint, stop bool) (port.Copy, error)
-	sent   []port.Exchange
-	// presence is what a look at an endpoint shows, in place of serving.
+	// handlers answer the requests, by endpoint id.
+	handlers map[string]func(x *port.Exchange) (*port.Answer, error)
+	// copyHandler answers copies of runs.
+	copyHandler func(from port.Endpoint, to port.Endpoint, stop bool) (port.Copy, error)
+	sent        []port.Exchange
+	// presence is the result of probing an endpoint, by id; others are serving.
 	presence map[string]port.Presence
-	looks    int
-	// released lists the copies that were freed, each as runner/handle.
+	probes   int
+	// released lists the released copies, each as runner/handle.
 	released []string
 }
 
-func (e *endpoints) Send(ctx context.Context, x *port.Exchange) (*port.Answer, error) {
+func (e *fakeEndpoints) Send(ctx context.Context, x *port.Exchange) (*port.Answer, error) {
 	e.mu.Lock()
 	e.sent = append(e.sent, *x)
-	answer := e.on[x.Endpoint.ID]
+	answer := e.handlers[x.Endpoint.ID]
 	e.mu.Unlock()
 	if answer == nil {
 		return nil, port.ErrNotSent
 	}
 	a, err := answer(x)
 	if a != nil {
-		a.Body = &endsWith{ReadCloser: a.Body, ctx: ctx}
+		a.Body = &contextBody{ReadCloser: a.Body, ctx: ctx}
 	}
 	return a, err
 }
 
-// endsWith is a body that ends with its request.
-type endsWith struct {
+// contextBody is a body that fails once its request's context has ended.
+type contextBody struct {
 	io.ReadCloser
 	ctx context.Context
 }
 
-func (b *endsWith) Read(p []byte) (int, error) {
+func (b *contextBody) Read(p []byte) (int, error) {
 	if err := b.ctx.Err(); err != nil {
 		return 0, err
 	}
 	return b.ReadCloser.Read(p)
 }
 
-func (e *endpoints) Load(context.Context, port.Endpoint) (port.LoadReport, error) {
+func (e *fakeEndpoints) Load(context.Context, port.Endpoint) (port.LoadReport, error) {
 	return port.LoadReport{}, port.ErrNotSent
 }
 
-func (e *endpoints) Copy(_ context.Context, from port.Endpoint, _ string, to port.Endpoint, stop bool) (port.Copy, error) {
+func (e *fakeEndpoints) Copy(_ context.Context, from port.Endpoint, _ string, to port.Endpoint, stop bool) (port.Copy, error) {
 	e.mu.Lock()
-	f := e.copies
+	f := e.copyHandler
 	e.mu.Unlock()
 	if f == nil {
 		return port.Copy{}, port.ErrNoGeneration
@@ -84,32 +84,32 @@
 	return f(from, to, stop)
 }
 
-func (e *endpoints) Look(_ context.Context, at port.Endpoint, _ string) port.Presence {
+func (e *fakeEndpoints) Look(_ context.Context, at port.Endpoint, _ string) port.Presence {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.looks++
+	e.probes++
 	if p, set := e.presence[at.ID]; set {
 		return p
 	}
 	return port.PresenceServing
 }
 
-func (e *endpoints) Release(_ context.Context, at port.Endpoint, handle string) error {
+func (e *fakeEndpoints) Release(_ context.Context, at port.Endpoint, handle string) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.released = append(e.released, at.ID+"/"+handle)
 	return nil
 }
 
-// freed lists the copies that were released.
-func (e *endpoints) freed() []string {
+// releasedCopies lists the copies that were released.
+func (e *fakeEndpoints) releasedCopies() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.Clone(e.released)
 }
 
-// arrivals lists the endpoints that got a request.
-func (e *endpoints) arrivals() []string {
+// arrivals lists the endpoints to which requests were sent, in order.
+func (e *fakeEndpoints) arrivals() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var out []string
@@ -119,7 +119,7 @@
 	return out
 }
 
-// reply is an answer with a body that is whole.
+// reply returns a handler that answers with a complete body.
 func reply(status int, body string) func(*port.Exchange) (*port.Answer, error) {
 	return func(*port.Exchange) (*port.Answer, error) {
 		return &port.Answer{
@@ -133,8 +133,9 @@
 	return func(*port.Exchange) (*port.Answer, error) { return nil, err }
 }
 
-// inTurn gives one script after the other, the last again and again.
-func inTurn(scripts ...func(*port.Exchange) (*port.Answer, error)) func(*port.Exchange) (*port.Answer, error) {
+// sequence returns a handler that calls one handler after the other, and the
+// last one for all further requests.
+func sequence(scripts ...func(*port.Exchange) (*port.Answer, error)) func(*port.Exchange) (*port.Answer, error) {
 	n := 0
 	return func(x *port.Exchange) (*port.Answer, error) {
 		script := scripts[min(n, len(scripts)-1)]
@@ -145,7 +146,7 @@
 
 var errReset = errors.New("connection reset")
 
-// cutBody gives its text and then breaks off.
+// cutBody returns its text and then fails.
 type cutBody struct{ io.Reader }
 
 func (b cutBody) Read(p []byte) (int, error) {
@@ -158,8 +159,8 @@
 
 func (cutBody) Close() error { return nil }
 
-// caller takes an answer.
-type caller struct {
+// fakeCaller is a Responder that stores the answer; its methods return err.
+type fakeCaller struct {
 	mu     sync.Mutex
 	status int
 	header http.Header
@@ -168,30 +169,30 @@
 	err    error
 }
 
-func (c *caller) Begin(status int, h http.Header, length int64) error {
+func (c *fakeCaller) Begin(status int, h http.Header, length int64) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.status, c.header, c.length = status, h, length
 	return c.err
 }
 
-func (c *caller) Write(p []byte) error {
+func (c *fakeCaller) Write(p []byte) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.body.Write(p)
 	return c.err
 }
 
-func (c *caller) Flush() error { return nil }
+func (c *fakeCaller) Flush() error { return nil }
 
-func (c *caller) text() string {
+func (c *fakeCaller) text() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.body.String()
 }
 
-// view is the state that the gateway follows.
-type view struct {
+// fakeView is the state that the gateway follows.
+type fakeView struct {
 	mu        sync.Mutex
 	records   []port.Record
 	endpoints []port.Endpoint
@@ -199,55 +200,55 @@
 	changed   chan struct{}
 }
 
-func (v *view) Records() []port.Record {
+func (v *fakeView) Records() []port.Record {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.records
 }
 
-func (v *view) Endpoints() []port.Endpoint {
+func (v *fakeView) Endpoints() []port.Endpoint {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return append([]port.Endpoint(nil), v.endpoints...)
 }
 
-func (v *view) FollowEndpoints() func() (changed []port.Endpoint, forgotten []string) {
-	handed := make(map[string]port.Endpoint)
+func (v *fakeView) FollowEndpoints() func() (changed []port.Endpoint, forgotten []string) {
+	reported := make(map[string]port.Endpoint)
 	return func() (changed []port.Endpoint, forgotten []string) {
-		held := make(map[string]bool)
+		present := make(map[string]bool)
 		for _, e := range v.Endpoints() {
-			if before, had := handed[e.ID]; !had || !reflect.DeepEqual(before, e) {
+			if before, existed := reported[e.ID]; !existed || !reflect.DeepEqual(before, e) {
 				changed = append(changed, e)
 			}
-			handed[e.ID], held[e.ID] = e, true
+			reported[e.ID], present[e.ID] = e, true
 		}
-		for id := range handed {
-			if !held[id] {
+		for id := range reported {
+			if !present[id] {
 				forgotten = append(forgotten, id)
-				delete(handed, id)
+				delete(reported, id)
 			}
 		}
 		return changed, forgotten
 	}
 }
 
-func (v *view) Members() []port.Member {
+func (v *fakeView) Members() []port.Member {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.members
 }
 
-func (v *view) Changed() <-chan struct{} {
+func (v *fakeView) Changed() <-chan struct{} {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.changed
 }
 
-func (v *view) Synced() bool { return true }
+func (v *fakeView) Synced() bool { return true }
 
-func (v *view) SetLeaving() {}
+func (v *fakeView) SetLeaving() {}
 
-func (v *view) TellLimit(endpoint string, incarnation uint64, perSecond float64) {
+func (v *fakeView) TellLimit(endpoint string, incarnation uint64, perSecond float64) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for i := range v.endpoints {
@@ -257,14 +258,14 @@
 	}
 }
 
-func quiet() *log.Logger { return &log.Logger{Writer: &log.IOWriter{Writer: io.Discard}} }
+func discardLogger() *log.Logger { return &log.Logger{Writer: &log.IOWriter{Writer: io.Discard}} }
 
-// bench is a gateway over fakes.
-type bench struct {
+// harness is a gateway with fake dependencies.
+type harness struct {
 	*Gateway
 	quarantine *quarantine.Register
-	world      *endpoints
-	view       *view
+	backends   *fakeEndpoints
+	view       *fakeView
 	sink       *fakes.Decisions
 }
 
@@ -299,12 +300,12 @@
 	return e
 }
 
-func newBench(t *testing.T) *bench {
+func newHarness(t *testing.T) *harness {
 	t.Helper()
-	b := &bench{
-		world: &endpoints{on: map[string]func(*port.Exchange) (*port.Answer, error){}},
-		sink:  &fakes.Decisions{},
-		view:  &view{changed: make(chan struct{}), records: []port.Record{recordOf(testTable(1))}},
+	b := &harness{
+		backends: &fakeEndpoints{handlers: map[string]func(*port.Exchange) (*port.Answer, error){}},
+		sink:     &fakes.Decisions{},
+		view:     &fakeView{changed: make(chan struct{}), records: []port.Record{recordOf(testTable(1))}},
 
 		quarantine: quarantine.NewRegister(node.New(), func(quarantine.Change) {}),
 	}
@@ -314,14 +315,14 @@
 			testEndpoint(fmt.Sprint("e", i), "engines", port.KindRunner))
 	}
 	scheduler := routing.NewScheduler(routing.Options{RouterID: "g"})
-	placer := scheduling.NewClient(scheduling.Options{Self: "g", Members: b.view, Logger: quiet()}, scheduling.NewPoolScheduler(scheduler, nil))
+	placer := scheduling.NewClient(scheduling.Options{Self: "g", Members: b.view, Logger: discardLogger()}, scheduling.NewPoolScheduler(scheduler, nil))
 	b.Gateway = New(Options{
 		ID: "g", CallerAddress: "127.0.0.1:1", MaxOpen: 100, RefusalsTried: 3, ReportMaxAge: time.Second,
 		RetryShare: 0.2, RetryBurst: 20, EntryValidity: time.Second, ReclaimNotice: 1500 * time.Millisecond,
 		Breaker: breaker.Options{Failures: 1000, OpenFor: time.Minute, MaxOpenFor: time.Minute, MaxEndpoints: 100},
 		Drain:   DrainOptions{TakeGenerations: time.Hour, TakeCalls: time.Hour, End: 2 * time.Hour},
 	}, Ports{
-		Endpoints: b.world, Scheduler: scheduler, Placer: placer, View: b.view, Announcer: b.view,
+		Endpoints: b.backends, Scheduler: scheduler, Placer: placer, View: b.view, Announcer: b.view,
 		Quarantine: b.quarantine, Limits: b.view,
 		Sink: b.sink, Policy: record.Policy,
 	})
@@ -329,17 +330,18 @@
 	return b
 }
 
-// everywhere sets the script of all endpoints of a pool.
-func (b *bench) everywhere(prefix string, script func(*port.Exchange) (*port.Answer, error)) {
-	b.world.mu.Lock()
-	defer b.world.mu.Unlock()
+// setHandlers sets the handler of all endpoints whose id starts with the
+// prefix.
+func (b *harness) setHandlers(prefix string, handler func(*port.Exchange) (*port.Answer, error)) {
+	b.backends.mu.Lock()
+	defer b.backends.mu.Unlock()
 	for i := range 3 {
-		b.world.on[fmt.Sprint(prefix, i)] = script
+		b.backends.handlers[fmt.Sprint(prefix, i)] = handler
 	}
 }
 
-// leave marks an endpoint as leaving in the view and has the gateway hear it.
-func (b *bench) leave(id string) {
+// setLeaving marks an endpoint as leaving in the view and applies the change.
+func (b *harness) setLeaving(id string) {
 	b.view.mu.Lock()
 	for i := range b.view.endpoints {
 		if b.view.endpoints[i].ID == id {
@@ -353,14 +355,14 @@
 
 var requestNumber int
 
-// ask sends one request through the gateway.
-func (b *bench) ask(t *testing.T, path string, c *caller) *Refusal {
+// send sends one request through the gateway.
+func (b *harness) send(t *testing.T, path string, c *fakeCaller) *Refusal {
 	t.Helper()
 	requestNumber++
-	return b.askAs(t, fmt.Sprint("r", requestNumber), path, c)
+	return b.sendWithID(t, fmt.Sprint("r", requestNumber), path, c)
 }
 
-func (b *bench) askAs(t *testing.T, id, path string, c *caller) *Refusal {
+func (b *harness) sendWithID(t *testing.T, id, path string, c *fakeCaller) *Refusal {
 	t.Helper()
 	pass, refusal := b.Admit("h", path, "aa")
 	if refusal != nil {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -19,61 +19,65 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// Announcer tells the rest of the system that this daemon is leaving.
+// Announcer announces to the other daemons that this one is leaving.
 type Announcer interface {
 	SetLeaving()
 }
 
-// Placer places generations and is told what becomes of them.
+// Placer places generations. It is informed of their progress and their end.
 type Placer interface {
-	// Place blocks while the request is held, of which held is told.
+	// Place blocks while the request is held, and calls held with the decision
+	// to hold it.
 	Place(ctx context.Context, r *port.GenerationRequest, held func(*port.Decision)) port.Decision
 	Progress(requestID string, tokens int)
 	Finished(requestID string, tokens int, kind port.FinishKind)
-	// Relocate chooses the runner that takes over a run.
-	Relocate(ctx context.Context, requestID string, terms port.Relocation) port.Decision
-	// Relocated ends a relocation; to is where the run is now.
+	// Relocate chooses the runner that a run moves to.
+	Relocate(ctx context.Context, requestID string, constraints port.Relocation) port.Decision
+	// Relocated ends a relocation; to is the runner that has the run now.
 	Relocated(requestID string, moved bool, to string)
 	Admitter
 }
 
-// View is what a gateway sees of the system.
+// View is the gateway's read access to the replicated state of the system.
 type View interface {
 	port.StateView
-	// FollowEndpoints returns a function that yields the endpoints that
-	// changed since it was last called, at first all, and the ids of those that
-	// were forgotten.
+	// FollowEndpoints returns a function that yields the endpoints changed
+	// since its last call and the ids of those removed since. Its first call
+	// yields all endpoints.
 	FollowEndpoints() func() (changed []port.Endpoint, forgotten []string)
 }
 
-// Scheduler is what the gateway tells the scheduler of this daemon.
+// Scheduler is the part of this daemon's scheduler that the gateway drives.
 type Scheduler interface {
-	// ChangeEndpoints takes what is new of some endpoints; the others stay.
+	// ChangeEndpoints updates the given endpoints; all others stay unchanged.
 	ChangeEndpoints(now time.Time, es []port.Endpoint)
 	SetPolicy(p port.Policy)
 	Tick(now time.Time)
 }
 
-// Ports are what a gateway reaches the world through.
+// Ports are the external dependencies of a gateway.
 type Ports struct {
 	Endpoints port.Exchanger
-	// Scheduler is this daemon's own, Placer finds the one that a pool falls to.
+	// Scheduler is this daemon's own scheduler. Placer forwards a request to
+	// the daemon whose scheduler is responsible for its pool.
 	Scheduler Scheduler
 	Placer    Placer
 	View      View
 	Announcer Announcer
-	// Quarantine keeps requests from endpoints that they would crash.
+	// Quarantine identifies requests that crash the endpoints that run them.
 	Quarantine crashwatch.Quarantine
-	Limits     LimitTeller
+	Limits     LimitPublisher
 	Sink       port.DecisionSink
-	// Freshness is how long ago the platform last answered any daemon, as far
-	// as this one knows; negative for never. It may be nil.
+	// Freshness returns how long ago any daemon last got an answer from the
+	// platform, as far as this daemon knows; negative if none ever did. It may
+	// be nil.
 	Freshness func() time.Duration
-	// Policy turns the records in force into the scheduler's policy.
+	// Policy derives the scheduler's policy from the records in force.
 	Policy func([]port.Record) port.Policy
-	// Evacuations returns those in force by the records.
+	// Evacuations returns the evacuations that the records put in force; nil
+	// means none.
 	Evacuations func([]port.Record) evacuation.Set
-	// Clock gives the time; nil is time.Now.
+	// Clock returns the current time; nil means time.Now.
 	Clock   func() time.Time
 	Metrics gometrics.Registry
 }
@@ -83,55 +87,59 @@
 	ID            string
 	CallerAddress string
 	Breaker       breaker.Options
-	// RetryShare and RetryBurst bound, for each pool, what is sent to a
-	// second endpoint, see breaker.Budget. They hold for all daemons together.
+	// RetryShare and RetryBurst bound, for each pool, the requests sent to a
+	// second endpoint, see breaker.Budget. The bounds apply to all daemons
+	// together.
 	RetryShare float64
 	RetryBurst int
-	// MaxOpen bounds the requests open at once.
+	// MaxOpen bounds the requests open at the same time.
 	MaxOpen int
-	// RefusalsTried bounds the endpoints that one request is offered to while
-	// each says that it didn't take it.
+	// RefusalsTried bounds the endpoints that one request is sent to while each
+	// of them answers that it did not accept it.
 	RefusalsTried int
-	// ReportMaxAge is the age past which a load report says nothing.
+	// ReportMaxAge is the age from which on a load report is ignored.
 	ReportMaxAge time.Duration
-	// ReclaimNotice is the time that an endpoint serves on at least after it
-	// was heard to leave.
+	// ReclaimNotice is the least time for which an endpoint continues to serve
+	// after this daemon learns that it is leaving.
 	ReclaimNotice time.Duration
-	// EntryValidity is how long callers may keep an answer of Entry.
+	// EntryValidity is how long callers may cache an answer of Entry.
 	EntryValidity time.Duration
-	// Drain bounds a graceful shutdown.
+	// Drain holds the time limits of a graceful shutdown.
 	Drain DrainOptions
 }
 
-// Gateway is the application. Create it with New, then call Run.
+// Gateway routes the requests of callers. Create it with New, then call Run.
 type Gateway struct {
 	Ports
-	o        atomic.Pointer[Options]
-	breakers *breaker.Set
-	budgets  *budgets
-	balancer *balance.Balancer
-	metrics  *instruments
-	departed membership.Departures
-	runs     runs
-	crashes  *crashwatch.Watch
-	limits   *ratelimit.Observer
-	cold     *coldstart.Tracker
-	// atLimit are endpoints and pools that take nothing now.
-	atLimit  refusals
-	promises promises
-	index    atomic.Pointer[route.Index]
-	known    known
-	// evacuated are the failure domains whose endpoints get nothing more.
+	o             atomic.Pointer[Options]
+	breakers      *breaker.Set
+	budgets       *budgets
+	balancer      *balance.Balancer
+	metrics       *instruments
+	seenLeaving   membership.Departures
+	runs          runs
+	crashWatch    *crashwatch.Watch
+	limitObserver *ratelimit.Observer
+	coldTracker   *coldstart.Tracker
+	// limitBackoffs holds the endpoints and pools that accept no requests for
+	// now, because of their rate limits.
+	limitBackoffs limitBackoffs
+	promises      poolPromises
+	index         atomic.Pointer[route.Index]
+	endpointTable endpointTable
+	// evacuated holds the evacuated failure domains, whose endpoints get no
+	// further requests.
 	evacuated atomic.Pointer[evacuation.Set]
-	// endpointChanges yields the endpoints that the view changed.
+	// endpointChanges returns the endpoints that changed in the view since its
+	// last call, see View.FollowEndpoints.
 	endpointChanges func() (changed []port.Endpoint, forgotten []string)
-	applying        sync.Mutex
+	applyMu         sync.Mutex
 	wasReady        atomic.Bool
 
-	life lifecycle
+	lifecycle lifecycle
 }
 
-// New returns a gateway that serves once Run is called.
+// New returns a gateway that needs Run to be called before it serves.
 func New(o Options, p Ports) *Gateway {
 	if p.Clock == nil {
 		p.Clock = time.Now
@@ -143,37 +151,38 @@
 		p.Metrics = gometrics.NewRegistry()
 	}
 	g := &Gateway{
-		Ports:    p,
-		breakers: breaker.NewSet(o.Breaker),
-		balancer: balance.New(balance.Options{Draw: draw, ReportMaxAge: o.ReportMaxAge}),
-		metrics:  newInstruments(p.Metrics),
-		limits:   ratelimit.NewObserver(),
-		cold:     coldstart.NewTracker(),
+		Ports:         p,
+		breakers:      breaker.NewSet(o.Breaker),
+		balancer:      balance.New(balance.Options{Draw: randomIndex, ReportMaxAge: o.ReportMaxAge}),
+		metrics:       newInstruments(p.Metrics),
+		limitObserver: ratelimit.NewObserver(),
+		coldTracker:   coldstart.NewTracker(),
 	}
 	g.o.Store(&o)
 	g.evacuated.Store(&evacuation.Set{})
-	g.crashes = g.watchCrashes()
-	g.budgets = newBudgets(g.options, g.daemons)
+	g.crashWatch = g.watchCrashes()
+	g.budgets = newBudgets(g.options, g.daemonCount)
 	g.endpointChanges = p.View.FollowEndpoints()
-	g.life.init()
+	g.lifecycle.init()
 	return g
 }
 
-// SetOptions takes over changed options. Those of the breakers and of reports
-// hold from the start on.
+// SetOptions replaces the options. Changes of the breaker options and of
+// ReportMaxAge have no effect: these are read by New only.
 func (g *Gateway) SetOptions(o Options) { g.o.Store(&o) }
 
 func (g *Gateway) options() *Options { return g.o.Load() }
 
-// tickInterval is the time between the scheduler's ticks: held requests are
-// released by ends of others, so a tick only finds those that grew too old.
+// tickInterval is the time between the scheduler's ticks. Held requests are
+// released when others end; a tick only finds those that were held for too
+// long.
 const tickInterval = 50 * time.Millisecond
 
-// Run keeps the routes and endpoints current until the context ends.
+// Run keeps the routes and endpoints up to date until the context ends.
 func (g *Gateway) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	wg.Go(func() { g.tick(ctx) })
-	g.follow(ctx)
+	g.followView(ctx)
 	wg.Wait()
 }
 
@@ -185,15 +194,15 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			g.warm()
+			g.restoreWarmed()
 			g.Scheduler.Tick(g.Clock())
-			g.crashes.Tick()
+			g.crashWatch.Tick()
 		}
 	}
 }
 
-// follow applies each change of the view.
-func (g *Gateway) follow(ctx context.Context) {
+// followView applies each change of the view.
+func (g *Gateway) followView(ctx context.Context) {
 	for {
 		changed := g.View.Changed()
 		g.apply()
@@ -205,11 +214,12 @@
 	}
 }
 
-// Synced reports whether the routes are known.
+// Synced reports whether the routes have been loaded.
 func (g *Gateway) Synced() bool { return g.index.Load() != nil }
 
-// daemons counts the daemons that share what holds for all together.
-func (g *Gateway) daemons() int {
+// daemonCount returns the number of daemons, at least 1, among which limits for
+// the whole system are divided.
+func (g *Gateway) daemonCount() int {
 	n := 0
 	for _, m := range g.View.Members() {
 		if m.State == port.MemberLive || m.State == port.MemberLeaving {
--- a/internal/gateway/lifecycle.go
+++ b/internal/gateway/lifecycle.go
@@ -8,76 +8,78 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/core/outcome"
 )
 
-// DrainOptions are the times of a graceful shutdown, each counted from its
-// beginning. The process is killed at the end of a grace that it doesn't
-// choose, so all of them come before.
+// DrainOptions are the time limits of a graceful shutdown, each counted from
+// its beginning. All must be shorter than the grace period after which the
+// process is killed, which the daemon does not control.
 type DrainOptions struct {
-	// TakeGenerations is how long new generations are taken: they last many
-	// seconds, and one that would outlast the grace is better begun elsewhere.
+	// TakeGenerations is how long new generations are accepted. They last many
+	// seconds, and one that would outlast the grace period is better started at
+	// another daemon.
 	TakeGenerations time.Duration
-	// TakeCalls is how long calls are taken from callers that still hold this
-	// daemon's address.
+	// TakeCalls is how long calls are accepted from callers that still have
+	// this daemon's address.
 	TakeCalls time.Duration
-	// End is when what is still open is broken off.
+	// End is when the requests that are still open are cancelled.
 	End time.Duration
 }
 
-// lifecycle follows a gateway from serving to its end.
+// lifecycle is the state of a gateway from its start to the end of its
+// shutdown.
 type lifecycle struct {
 	mu      sync.Mutex
 	leaving bool
-	// began is when the shutdown began.
-	began time.Time
-	open  int
-	begun chan struct{}
-	// idle is closed when nothing is open and nothing more is taken.
-	idle   chan struct{}
-	closed bool
-	// cut is closed when the open requests must end.
-	cut chan struct{}
-	// placing ends when generations are placed no more.
-	placing     context.Context
+	// drainStarted is when the shutdown began.
+	drainStarted time.Time
+	openRequests int
+	draining     chan struct{}
+	// idle is closed once no request is open and no more are accepted.
+	idle             chan struct{}
+	stoppedAccepting bool
+	// forceClose is closed when the requests still open must end.
+	forceClose chan struct{}
+	// placingCtx ends when generations are no longer placed.
+	placingCtx  context.Context
 	stopPlacing context.CancelFunc
 }
 
 func (l *lifecycle) init() {
-	l.begun = make(chan struct{})
+	l.draining = make(chan struct{})
 	l.idle = make(chan struct{})
-	l.cut = make(chan struct{})
-	l.placing, l.stopPlacing = context.WithCancel(context.Background())
+	l.forceClose = make(chan struct{})
+	l.placingCtx, l.stopPlacing = context.WithCancel(context.Background())
 }
 
-// enter counts a request in, or returns why it isn't taken.
-func (l *lifecycle) enter(now time.Time, limit int, takeFor time.Duration) Cause {
+// enter counts a request as open, or returns why it is not accepted.
+func (l *lifecycle) enter(now time.Time, limit int, acceptFor time.Duration) Cause {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
-	case l.leaving && now.Sub(l.began) >= takeFor:
+	case l.leaving && now.Sub(l.drainStarted) >= acceptFor:
 		return CauseStopping
-	case l.open >= limit:
+	case l.openRequests >= limit:
 		return CauseTooManyOpen
 	}
-	l.open++
+	l.openRequests++
 	return ""
 }
 
-func (l *lifecycle) leave() {
+func (l *lifecycle) exit() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.open--
+	l.openRequests--
 	l.checkIdle()
 }
 
-// stopTaking lets the shutdown end once nothing is open.
-func (l *lifecycle) stopTaking() {
+// stopAccepting lets the shutdown end once no request is open.
+func (l *lifecycle) stopAccepting() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.closed = true
+	l.stoppedAccepting = true
 	l.checkIdle()
 }
 
 func (l *lifecycle) checkIdle() {
-	if !l.closed || l.open > 0 {
+	if !l.stoppedAccepting || l.openRequests > 0 {
 		return
 	}
 	select {
@@ -87,68 +89,72 @@
 	}
 }
 
-// begin reports whether this is the first call.
-func (l *lifecycle) begin(now time.Time) bool {
+// beginDrain starts the shutdown and reports whether this is the first call.
+func (l *lifecycle) beginDrain(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.leaving {
 		return false
 	}
-	l.leaving, l.began = true, now
-	close(l.begun)
+	l.leaving, l.drainStarted = true, now
+	close(l.draining)
 	return true
 }
 
-// Leaving reports whether the daemon no longer wants new callers.
+// Leaving reports whether the shutdown has begun, so that the daemon accepts no
+// new callers.
 func (g *Gateway) Leaving() bool {
-	g.life.mu.Lock()
-	defer g.life.mu.Unlock()
-	return g.life.leaving
+	g.lifecycle.mu.Lock()
+	defer g.lifecycle.mu.Unlock()
+	return g.lifecycle.leaving
 }
 
-// Draining is closed when a graceful shutdown begins, whoever asked for it.
-func (g *Gateway) Draining() <-chan struct{} { return g.life.begun }
+// Draining returns a channel that is closed when a graceful shutdown begins,
+// whoever requested it.
+func (g *Gateway) Draining() <-chan struct{} { return g.lifecycle.draining }
 
-// Open counts the requests being served.
+// Open returns the number of requests being served.
 func (g *Gateway) Open() int {
-	g.life.mu.Lock()
-	defer g.life.mu.Unlock()
-	return g.life.open
+	g.lifecycle.mu.Lock()
+	defer g.lifecycle.mu.Unlock()
+	return g.lifecycle.openRequests
 }
 
-// Drain is the graceful shutdown. It returns once nothing is open, or at the
-// end of the grace.
+// Drain performs the graceful shutdown. It returns once no request is open, or
+// at the end of the grace period.
 //
-// The order matters. First the others hear that this daemon leaves, so that
-// no entry answer names it; then it serves on those who hold an older answer,
-// as a refusal or a closed connection there would be a cut by planned work;
-// long generations are refused first, as they could not end in time.
+// The order matters. First the other daemons are informed that this one is
+// leaving, so that no answer of Entry names it. Then it continues to serve
+// callers that have an older answer, because refusing them or closing their
+// connections would interrupt requests for planned work. New generations are
+// refused first, because they could not finish in time.
 func (g *Gateway) Drain(ctx context.Context) {
-	if !g.life.begin(g.Clock()) {
-		<-g.life.idle
+	if !g.lifecycle.beginDrain(g.Clock()) {
+		<-g.lifecycle.idle
 		return
 	}
-	g.noteReady()
+	g.recordReadiness()
 	g.Announcer.SetLeaving()
-	late := time.AfterFunc(g.options().Drain.TakeGenerations, g.life.stopPlacing)
-	defer late.Stop()
+	stopPlacing := time.AfterFunc(g.options().Drain.TakeGenerations, g.lifecycle.stopPlacing)
+	defer stopPlacing.Stop()
 	sleep(ctx, g.options().Drain.TakeCalls)
-	g.life.stopTaking()
+	g.lifecycle.stopAccepting()
 	end := time.NewTimer(g.options().Drain.End - g.options().Drain.TakeCalls)
 	defer end.Stop()
 	select {
-	case <-g.life.idle:
+	case <-g.lifecycle.idle:
 	case <-end.C:
-		close(g.life.cut)
+		close(g.lifecycle.forceClose)
 	case <-ctx.Done():
 	}
 }
 
-// whilePlacing is a context that also ends when generations are placed no more:
-// one that is held until then would be cut at the end of the grace.
-func (g *Gateway) whilePlacing(ctx context.Context) (placing context.Context, stop func()) {
+// placingContext returns a context that also ends when generations are no
+// longer placed. A generation that is held until then would be cut off at the
+// end of the grace period.
+func (g *Gateway) placingContext(ctx context.Context) (placing context.Context, stop func()) {
 	placing, cancel := context.WithCancel(ctx)
-	detach := context.AfterFunc(g.life.placing, cancel)
+	detach := context.AfterFunc(g.lifecycle.placingCtx, cancel)
 	return placing, func() { detach(); cancel() }
 }
 
@@ -161,14 +167,14 @@
 	}
 }
 
-// begin counts a request in or refuses it. A request that was let in must be
-// ended by life.leave.
-func (g *Gateway) begin(req *Request) *Refusal {
-	takeFor := g.options().Drain.TakeCalls
+// openRequest counts a request as open or refuses it. A request that is not
+// refused must be ended by lifecycle.exit.
+func (g *Gateway) openRequest(req *Request) *Refusal {
+	acceptFor := g.options().Drain.TakeCalls
 	if req.Generation != nil {
-		takeFor = g.options().Drain.TakeGenerations
+		acceptFor = g.options().Drain.TakeGenerations
 	}
-	cause := g.life.enter(g.Clock(), g.options().MaxOpen, takeFor)
+	cause := g.lifecycle.enter(g.Clock(), g.options().MaxOpen, acceptFor)
 	if cause == "" {
 		return nil
 	}
--- a/internal/gateway/lifecycle_test.go
+++ b/internal/gateway/lifecycle_test.go
@@ -9,10 +9,10 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/testkit/eventually"
 )
 
-// holding is a coordinator that holds everything.
-type holding struct{ Placer }
+// holdingPlacer is a coordinator that holds every request.
+type holdingPlacer struct{ Placer }
 
-func (holding) Place(ctx context.Context, _ *port.GenerationRequest, held func(*port.Decision)) port.Decision {
+func (holdingPlacer) Place(ctx context.Context, _ *port.GenerationRequest, held func(*port.Decision)) port.Decision {
 	d := port.Decision{Verdict: port.VerdictHold, Reason: "would_overflow"}
 	held(&d)
 	<-ctx.Done()
@@ -20,15 +20,16 @@
 	return d
 }
 
-// Guards against generations that are held through a stop, placed late, and cut at the end of the grace.
-func TestHeldGenerationsAreSentElsewhereAtAStop(t *testing.T) {
-	b := newBench(t)
-	b.Placer = holding{b.Placer}
+// Guards against generations that are held during a shutdown, placed late, and
+// cut off at the end of the grace period.
+func TestHeldGenerationsAreRefusedDuringDrain(t *testing.T) {
+	b := newHarness(t)
+	b.Placer = holdingPlacer{b.Placer}
 	o := *b.options()
 	o.Drain = DrainOptions{TakeGenerations: 50 * time.Millisecond, TakeCalls: time.Minute, End: 2 * time.Minute}
 	b.SetOptions(o)
 	done := make(chan *Refusal, 1)
-	go func() { done <- b.ask(t, "/stream/x", &caller{}) }()
+	go func() { done <- b.send(t, "/stream/x", &fakeCaller{}) }()
 	eventually.True(t, "the request is open", func() bool { return b.Open() == 1 })
 	go b.Drain(t.Context())
 	refusal := <-done
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -15,64 +15,68 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/scheduling"
 )
 
-// LimitTeller tells all daemons of a limit that an endpoint names.
-type LimitTeller interface {
-	// TellLimit takes the requests a second that an incarnation takes from all
-	// daemons together, zero for no limit.
+// LimitPublisher announces the rate limits that endpoints report to all
+// daemons.
+type LimitPublisher interface {
+	// TellLimit announces the requests per second that an incarnation of an
+	// endpoint accepts from all daemons together; zero means no limit.
 	TellLimit(endpoint string, incarnation uint64, perSecond float64)
 }
 
-// Admitter gives leave to send requests to endpoints that name limits.
+// Admitter grants permission to send requests to endpoints with rate limits.
 type Admitter interface {
-	// Admit asks for leave to send one request to one of the endpoints.
-	Admit(ctx context.Context, pool string, asks []ratelimit.Ask, patience time.Duration) scheduling.Admission
+	// Admit requests permission to send one request to one of the endpoints.
+	Admit(ctx context.Context, pool string, asks []ratelimit.Ask, maxWait time.Duration) scheduling.Admission
 }
 
-// heardLimit takes what an endpoint says of the requests that it takes.
-func (g *Gateway) heardLimit(at port.Endpoint, named *float64) {
-	h, knew := g.known.get(at.ID)
-	if !knew || h.Incarnation != at.Incarnation || h.State == port.EndpointGone {
+// observeLimit evaluates the rate limit reported with an endpoint's answer and
+// announces a change.
+func (g *Gateway) observeLimit(at port.Endpoint, reported *float64) {
+	h, found := g.endpointTable.get(at.ID)
+	if !found || h.Incarnation != at.Incarnation || h.State == port.EndpointGone {
 		return
 	}
-	perSecond, changed := g.limits.Answered(g.Clock(), &h.Endpoint, named)
+	perSecond, changed := g.limitObserver.Answered(g.Clock(), &h.Endpoint, reported)
 	if changed {
 		g.Limits.TellLimit(at.ID, at.Incarnation, perSecond)
 	}
 }
 
-// noteLimit records a change of the limit that an endpoint is known by.
-func (g *Gateway) noteLimit(before float64, e *port.Endpoint) {
+// recordLimitChange records a change of an endpoint's rate limit.
+func (g *Gateway) recordLimitChange(before float64, e *port.Endpoint) {
 	if before == e.RateLimit {
 		return
 	}
-	g.atLimit.forget(e.ID)
-	g.atLimit.forget(poolKey(e.Pool))
+	g.limitBackoffs.reset(e.ID)
+	g.limitBackoffs.reset(poolKey(e.Pool))
 	reason := "names no limit any more"
 	if e.RateLimit > 0 {
 		reason = "takes " + strconv.FormatFloat(e.RateLimit, 'g', 4, 64) + " requests a second from all daemons together"
 	}
-	g.decide(&port.DecisionRecord{
+	g.recordDecision(&port.DecisionRecord{
 		Subject: "endpoint", SubjectID: e.ID, Verdict: verdictLimit, Reason: reason, Endpoint: e.Address, Revision: e.Revision,
 	})
 }
 
-// Waits for endpoints that name limits.
+// Limits of the time for which a call waits at endpoints with rate limits.
 const (
-	// limitPatience is how long a call waits for its turn, one that comes back
-	// at the time that it was promised twice as long.
-	limitPatience = ratelimit.MaxPatience / 2
-	// limitPart is the part of the time in which an answer is on time, or in
-	// which it comes at all, that a call may wait.
-	limitPart = 3
+	// maxTurnWait is how long a call waits for its turn. A call that is retried
+	// at the time it was given waits up to twice as long.
+	maxTurnWait = ratelimit.MaxPatience / 2
+	// turnWaitDivisor: a call waits no longer than the time that is left
+	// divided by this number. The time left runs to the route's objective, or
+	// to the deadline once the objective has passed.
+	turnWaitDivisor = 3
 )
 
-// refusals remembers until when asking for leave to send makes no sense.
-type refusals struct {
+// limitBackoffs stores until when requesting admission for an endpoint or pool
+// is pointless.
+type limitBackoffs struct {
 	mu    sync.Mutex
 	until map[string]time.Time
 }
 
-func (r *refusals) set(key string, until time.Time) {
+func (r *limitBackoffs) set(key string, until time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.until == nil {
@@ -81,13 +85,13 @@
 	r.until[key] = until
 }
 
-func (r *refusals) forget(key string) {
+func (r *limitBackoffs) reset(key string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.until, key)
 }
 
-func (r *refusals) hold(now time.Time, key string) bool {
+func (r *limitBackoffs) active(now time.Time, key string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	until, set := r.until[key]
@@ -97,14 +101,15 @@
 	return now.Before(until)
 }
 
-// promises to callers of a pool whose endpoints take no more.
-type promises struct {
+// poolPromises holds, for each pool, the retry times given to callers that were
+// refused because all endpoints were at their limits.
+type poolPromises struct {
 	mu sync.Mutex
 	m  map[string]*admission.Promises
 }
 
-// of calls f with a pool's promises.
-func (p *promises) of(pool string, f func(*admission.Promises)) {
+// with calls f with a pool's promises, under the lock.
+func (p *poolPromises) with(pool string, f func(*admission.Promises)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.m == nil {
@@ -116,7 +121,7 @@
 	f(p.m[pool])
 }
 
-// unlimited returns the endpoints that name no limit.
+// unlimited returns the endpoints without a rate limit.
 func unlimited(es []port.Endpoint) []port.Endpoint {
 	if !slices.ContainsFunc(es, isLimited) {
 		return es
@@ -126,23 +131,23 @@
 
 func isLimited(e port.Endpoint) bool { return ratelimit.Of(&e).PerSecond > 0 }
 
-// withinLimits draws an endpoint that takes a call now. One that names a limit is
-// asked for where it is drawn, so that it gets its share of the calls and no more
-// than it takes.
-func (x *exchange) withinLimits(ctx context.Context, candidates []port.Endpoint) (*placement, *Refusal) {
+// placeWithinLimits chooses an endpoint that accepts a call now. Admission to
+// an endpoint with a rate limit is requested only after the balancer has chosen
+// it, so that it gets its share of the calls and no more than its limit.
+func (x *exchange) placeWithinLimits(ctx context.Context, candidates []port.Endpoint) (*placement, *Refusal) {
 	free := unlimited(candidates)
 	if len(free) == 0 && len(candidates) > 0 {
 		return x.awaitTurn(ctx, candidates)
 	}
-	return x.drawWithinLimits(ctx, candidates, free)
+	return x.chooseWithinLimits(ctx, candidates, free)
 }
 
-// drawWithinLimits draws among endpoints of which some name no limit.
-func (x *exchange) drawWithinLimits(ctx context.Context, candidates, free []port.Endpoint) (*placement, *Refusal) {
+// chooseWithinLimits chooses among endpoints of which some have no rate limit.
+func (x *exchange) chooseWithinLimits(ctx context.Context, candidates, free []port.Endpoint) (*placement, *Refusal) {
 	now := x.g.Clock()
-	drawn, excluded := x.g.outsideLimits(now, candidates)
-	endpoint, scores, ok := x.g.balancer.Choose(now, drawn)
-	if ok && isLimited(endpoint) && !x.admitted(ctx, endpoint) {
+	available, excluded := x.g.splitByLimits(now, candidates)
+	endpoint, scores, ok := x.g.balancer.Choose(now, available)
+	if ok && isLimited(endpoint) && !x.admitCall(ctx, endpoint) {
 		x.g.balancer.End(endpoint.ID)
 		excluded = append(excluded, excludedByLimit(endpoint))
 		endpoint, scores, ok = x.g.balancer.Choose(now, free)
@@ -150,31 +155,31 @@
 	if !ok {
 		return nil, x.noEndpoint()
 	}
-	return x.placedCall(endpoint, "least calls of two drawn in pool "+x.pool, append(scores, excluded...)), nil
+	return x.startCall(endpoint, "least calls of two drawn in pool "+x.pool, append(scores, excluded...)), nil
 }
 
-// outsideLimits divides candidates into those that can be drawn, and those that
-// are known to take nothing now.
-func (g *Gateway) outsideLimits(now time.Time, candidates []port.Endpoint) (drawn []port.Endpoint, excluded []port.CandidateScore) {
+// splitByLimits splits candidates into those that are available and those known
+// to be at their limit.
+func (g *Gateway) splitByLimits(now time.Time, candidates []port.Endpoint) (available []port.Endpoint, excluded []port.CandidateScore) {
 	if !slices.ContainsFunc(candidates, isLimited) {
 		return candidates, nil
 	}
 	for _, e := range candidates {
-		if isLimited(e) && g.atLimit.hold(now, e.ID) {
+		if isLimited(e) && g.limitBackoffs.active(now, e.ID) {
 			excluded = append(excluded, excludedByLimit(e))
 			continue
 		}
-		drawn = append(drawn, e)
+		available = append(available, e)
 	}
-	return drawn, excluded
+	return available, excluded
 }
 
 func excludedByLimit(e port.Endpoint) port.CandidateScore {
 	return port.CandidateScore{Endpoint: e.ID, Excluded: routing.ExcludedLimit}
 }
 
-func (x *exchange) placedCall(e port.Endpoint, reason string, scores []port.CandidateScore) *placement {
-	p := x.chosen(&placement{endpoint: e})
+func (x *exchange) startCall(e port.Endpoint, reason string, scores []port.CandidateScore) *placement {
+	p := x.startAttempt(&placement{endpoint: e})
 	x.record(port.VerdictPlace.String(), reason, "", scores)
 	return p
 }
@@ -187,45 +192,46 @@
 	return asks
 }
 
-// admitted asks for leave to send the call at once.
-func (x *exchange) admitted(ctx context.Context, e port.Endpoint) bool {
+// admitCall requests admission for the call at an endpoint, without a wait.
+func (x *exchange) admitCall(ctx context.Context, e port.Endpoint) bool {
 	a := x.g.Placer.Admit(ctx, x.pool, asksOf([]port.Endpoint{e}), 0)
 	x.coordinator = a.Coordinator
 	if a.Endpoint == e.ID {
 		return true
 	}
-	x.g.metrics.atLimit.Inc(1)
-	x.g.atLimit.set(e.ID, x.g.Clock().Add(a.Wait))
+	x.g.metrics.limitHits.Inc(1)
+	x.g.limitBackoffs.set(e.ID, x.g.Clock().Add(a.Wait))
 	return false
 }
 
-// awaitTurn waits for the endpoint that takes a call soonest, where all name
-// limits. A call for which that is too long is refused at once.
+// awaitTurn waits for the endpoint that accepts a call soonest, if all have
+// rate limits. A call for which the wait is too long is refused at once.
 func (x *exchange) awaitTurn(ctx context.Context, limited []port.Endpoint) (*placement, *Refusal) {
 	now := x.g.Clock()
-	patience, promised := x.limitPatience(now)
-	if !promised && x.g.atLimit.hold(now, poolKey(x.pool)) {
-		return nil, x.overLimits(now, limited)
+	maxWait, scheduledRetry := x.allowedTurnWait(now)
+	if !scheduledRetry && x.g.limitBackoffs.active(now, poolKey(x.pool)) {
+		return nil, x.refuseAtLimits(now, limited)
 	}
-	a := x.g.Placer.Admit(ctx, x.pool, asksOf(limited), patience)
+	a := x.g.Placer.Admit(ctx, x.pool, asksOf(limited), maxWait)
 	x.coordinator = a.Coordinator
-	at := slices.IndexFunc(limited, func(e port.Endpoint) bool { return e.ID == a.Endpoint })
-	if at < 0 {
-		x.g.atLimit.set(poolKey(x.pool), now.Add(a.Wait))
-		return nil, x.overLimits(now, limited)
+	index := slices.IndexFunc(limited, func(e port.Endpoint) bool { return e.ID == a.Endpoint })
+	if index < 0 {
+		x.g.limitBackoffs.set(poolKey(x.pool), now.Add(a.Wait))
+		return nil, x.refuseAtLimits(now, limited)
 	}
-	if refusal := x.waitTurn(ctx, a.Wait); refusal != nil {
+	if refusal := x.sleepUntilTurn(ctx, a.Wait); refusal != nil {
 		return nil, refusal
 	}
-	endpoint, scores, _ := x.g.balancer.Choose(now, limited[at:at+1])
+	endpoint, scores, _ := x.g.balancer.Choose(now, limited[index:index+1])
 	reason := fmt.Sprintf("takes a call soonest of all in pool %s, which name limits, after %v", x.pool, a.Wait.Round(time.Millisecond))
-	return x.placedCall(endpoint, reason, scores), nil
+	return x.startCall(endpoint, reason, scores), nil
 }
 
-// poolKey tells pools from endpoints among what is refused.
+// poolKey returns the key of a pool in limitBackoffs, distinct from the ids of
+// endpoints.
 func poolKey(pool string) string { return "pool/" + pool }
 
-func (x *exchange) waitTurn(ctx context.Context, wait time.Duration) *Refusal {
+func (x *exchange) sleepUntilTurn(ctx context.Context, wait time.Duration) *Refusal {
 	if wait <= 0 {
 		return nil
 	}
@@ -241,26 +247,26 @@
 	return refusal
 }
 
-// limitPatience is how long the call may wait for its turn, and whether it comes
-// back as it was promised.
-func (x *exchange) limitPatience(now time.Time) (patience time.Duration, promised bool) {
-	x.g.promises.of(x.pool, func(p *admission.Promises) { promised = p.Redeem(now) })
-	patience = limitPatience
-	if promised {
-		patience *= 2
+// allowedTurnWait returns how long the call may wait for its turn, and whether
+// it is retried at the time it was given.
+func (x *exchange) allowedTurnWait(now time.Time) (maxWait time.Duration, scheduledRetry bool) {
+	x.g.promises.with(x.pool, func(p *admission.Promises) { scheduledRetry = p.Redeem(now) })
+	maxWait = maxTurnWait
+	if scheduledRetry {
+		maxWait *= 2
 	}
-	left := x.deadline.Sub(now)
+	timeLeft := x.deadline.Sub(now)
 	if onTime := x.req.Arrived.Add(x.req.Pass.Route.Objective).Sub(now); onTime > 0 {
-		left = min(left, onTime)
+		timeLeft = min(timeLeft, onTime)
 	}
-	return max(0, min(patience, left/limitPart)), promised
+	return max(0, min(maxWait, timeLeft/turnWaitDivisor)), scheduledRetry
 }
 
-// overLimits refuses a call that no endpoint takes in time. Those refused here
-// come back one after the other, at this daemon's share of what the endpoints
-// take.
-func (x *exchange) overLimits(now time.Time, limited []port.Endpoint) *Refusal {
-	x.g.metrics.atLimit.Inc(1)
+// refuseAtLimits refuses a call that no endpoint accepts in time. The retry
+// times given to the callers are spaced by this daemon's share of the
+// endpoints' limits.
+func (x *exchange) refuseAtLimits(now time.Time, limited []port.Endpoint) *Refusal {
+	x.g.metrics.limitHits.Inc(1)
 	perSecond := 0.0
 	for i := range limited {
 		perSecond += ratelimit.Of(&limited[i]).PerSecond
@@ -269,7 +275,7 @@
 		Cause:  CauseOverloaded,
 		Detail: fmt.Sprintf("at_rate_limit: the %d endpoints of pool %s take %.4g requests a second", len(limited), x.pool, perSecond),
 	}
-	share := perSecond / float64(x.g.daemons())
-	x.g.promises.of(x.pool, func(p *admission.Promises) { refusal.RetryAfter = p.Book(now, 0, share) })
+	share := perSecond / float64(x.g.daemonCount())
+	x.g.promises.with(x.pool, func(p *admission.Promises) { refusal.RetryAfter = p.Book(now, 0, share) })
 	return refusal
 }
--- a/internal/gateway/limits_test.go
+++ b/internal/gateway/limits_test.go
@@ -15,8 +15,8 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/scheduling"
 )
 
-// limited is an answer that names a limit.
-func limited(perSecond float64) func(*port.Exchange) (*port.Answer, error) {
+// replyWithLimit returns a handler whose answer reports a rate limit.
+func replyWithLimit(perSecond float64) func(*port.Exchange) (*port.Answer, error) {
 	return func(x *port.Exchange) (*port.Answer, error) {
 		a, err := reply(200, "fine")(x)
 		a.RateLimit = &perSecond
@@ -24,27 +24,28 @@
 	}
 }
 
-// An operator sees when an endpoint's limit was believed, and when not any more.
-func TestChangeOfALimitIsLogged(t *testing.T) {
-	b := newBench(t)
-	b.everywhere("s", limited(2.6))
-	if refusal := b.ask(t, "/safe/x", &caller{}); refusal != nil {
+// The decision log shows when an endpoint's rate limit is adopted and when it
+// is removed.
+func TestLimitChangeIsRecorded(t *testing.T) {
+	b := newHarness(t)
+	b.setHandlers("s", replyWithLimit(2.6))
+	if refusal := b.send(t, "/safe/x", &fakeCaller{}); refusal != nil {
 		t.Fatal(refusal)
 	}
 	b.apply()
-	id := b.world.arrivals()[0]
-	if got := b.limitLines(id); len(got) != 1 || !strings.Contains(got[0], "2.6 requests a second") {
-		t.Fatalf("lines on %s: %q", id, got)
+	id := b.backends.arrivals()[0]
+	if got := b.limitReasons(id); len(got) != 1 || !strings.Contains(got[0], "2.6 requests a second") {
+		t.Fatalf("decisions about the limit of %s: %q", id, got)
 	}
 	b.view.TellLimit(id, 1, 0)
 	b.apply()
-	if got := b.limitLines(id); len(got) != 2 || !strings.Contains(got[1], "no limit any more") {
-		t.Fatalf("lines on %s: %q", id, got)
+	if got := b.limitReasons(id); len(got) != 2 || !strings.Contains(got[1], "no limit any more") {
+		t.Fatalf("decisions about the limit of %s: %q", id, got)
 	}
 }
 
-// limitLines are the reasons of the lines on an endpoint's limit.
-func (b *bench) limitLines(endpoint string) []string {
+// limitReasons returns the reasons of the decisions about an endpoint's limit.
+func (b *harness) limitReasons(endpoint string) []string {
 	var out []string
 	for _, d := range b.sink.All() {
 		if d.Verdict == verdictLimit && d.SubjectID == endpoint {
@@ -54,85 +55,87 @@
 	return out
 }
 
-// admitting answers asks for leave to send.
-type admitting struct {
+// fakeAdmitter answers admission requests with the function admit.
+type fakeAdmitter struct {
 	Placer
 	mu    sync.Mutex
-	admit func(asks []ratelimit.Ask, patience time.Duration) ratelimit.Grant
-	asked int
+	admit func(asks []ratelimit.Ask, maxWait time.Duration) ratelimit.Grant
+	calls int
 }
 
-func (a *admitting) Admit(_ context.Context, _ string, asks []ratelimit.Ask, patience time.Duration) scheduling.Admission {
+func (a *fakeAdmitter) Admit(_ context.Context, _ string, asks []ratelimit.Ask, maxWait time.Duration) scheduling.Admission {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.asked++
-	return scheduling.Admission{Grant: a.admit(asks, patience), Coordinator: "c"}
+	a.calls++
+	return scheduling.Admission{Grant: a.admit(asks, maxWait), Coordinator: "c"}
 }
 
-// newLimitedBench is a gateway that knows limits of endpoints, over a coordinator
-// that answers as told.
-func newLimitedBench(t *testing.T, limits []float64, admit func([]ratelimit.Ask, time.Duration) ratelimit.Grant) (*bench, *admitting) {
+// newLimitedHarness returns a gateway that knows the given limits of its
+// endpoints and whose coordinator answers with admit.
+func newLimitedHarness(t *testing.T, limits []float64, admit func([]ratelimit.Ask, time.Duration) ratelimit.Grant) (*harness, *fakeAdmitter) {
 	t.Helper()
-	b := newBench(t)
-	a := &admitting{Placer: b.Placer, admit: admit}
+	b := newHarness(t)
+	a := &fakeAdmitter{Placer: b.Placer, admit: admit}
 	b.Placer = a
-	b.everywhere("s", reply(200, "fine"))
+	b.setHandlers("s", reply(200, "fine"))
 	for i, perSecond := range limits {
 		b.view.TellLimit(fmt.Sprint("s", i), 1, perSecond)
 		id := fmt.Sprint("s", i)
 		if perSecond > 0 {
-			b.world.on[id] = limited(perSecond)
+			b.backends.handlers[id] = replyWithLimit(perSecond)
 		}
 	}
 	b.apply()
 	return b, a
 }
 
-func none(wait time.Duration) func([]ratelimit.Ask, time.Duration) ratelimit.Grant {
+func denyAll(wait time.Duration) func([]ratelimit.Ask, time.Duration) ratelimit.Grant {
 	return func([]ratelimit.Ask, time.Duration) ratelimit.Grant { return ratelimit.Grant{Wait: wait} }
 }
 
-func first(wait time.Duration) func([]ratelimit.Ask, time.Duration) ratelimit.Grant {
+func admitFirst(wait time.Duration) func([]ratelimit.Ask, time.Duration) ratelimit.Grant {
 	return func(asks []ratelimit.Ask, _ time.Duration) ratelimit.Grant {
 		return ratelimit.Grant{Endpoint: asks[0].Endpoint, Wait: wait}
 	}
 }
 
-// Guards against waiting for a limited endpoint, or asking for it at each call, while another has room.
-func TestCallsGoToTheEndpointThatTakesThem(t *testing.T) {
-	b, a := newLimitedBench(t, []float64{3, 3, 0}, none(time.Hour))
+// Guards against waiting for a limited endpoint, or requesting its admission
+// for each call, while another endpoint accepts calls.
+func TestCallsAvoidEndpointsAtTheirLimit(t *testing.T) {
+	b, a := newLimitedHarness(t, []float64{3, 3, 0}, denyAll(time.Hour))
 	for i := range 50 {
-		if refusal := b.ask(t, "/safe/x", &caller{}); refusal != nil {
+		if refusal := b.send(t, "/safe/x", &fakeCaller{}); refusal != nil {
 			t.Fatalf("call %d: %v", i, refusal)
 		}
 	}
-	for _, id := range b.world.arrivals() {
+	for _, id := range b.backends.arrivals() {
 		if id != "s2" {
-			t.Fatalf("a call went to %s", id)
+			t.Fatalf("a call was sent to %s", id)
 		}
 	}
-	if a.asked > 2 {
-		t.Errorf("asked %d times", a.asked)
+	if a.calls > 2 {
+		t.Errorf("admission was requested %d times", a.calls)
 	}
 }
 
-// Guards against starving a limited endpoint, and against log lines that don't show why it was passed over.
-func TestLimitedEndpointGetsWhatIsAdmitted(t *testing.T) {
-	left := 5
-	b, _ := newLimitedBench(t, []float64{3, 0, 0}, func(asks []ratelimit.Ask, _ time.Duration) ratelimit.Grant {
-		if left == 0 {
+// Guards against starving a limited endpoint, and against decisions that don't
+// show why it was excluded.
+func TestLimitedEndpointGetsAdmittedCallsOnly(t *testing.T) {
+	remaining := 5
+	b, _ := newLimitedHarness(t, []float64{3, 0, 0}, func(asks []ratelimit.Ask, _ time.Duration) ratelimit.Grant {
+		if remaining == 0 {
 			return ratelimit.Grant{Wait: time.Hour}
 		}
-		left--
+		remaining--
 		return ratelimit.Grant{Endpoint: asks[0].Endpoint}
 	})
 	for range 100 {
-		if refusal := b.ask(t, "/safe/x", &caller{}); refusal != nil {
+		if refusal := b.send(t, "/safe/x", &fakeCaller{}); refusal != nil {
 			t.Fatal(refusal)
 		}
 	}
 	got := 0
-	for _, id := range b.world.arrivals() {
+	for _, id := range b.backends.arrivals() {
 		if id == "s0" {
 			got++
 		}
@@ -147,19 +150,20 @@
 		}
 	}
 	if !excluded {
-		t.Error("no line shows that s0 took no more")
+		t.Error("no decision shows that s0 was excluded for its limit")
 	}
 	if _, scores, _ := b.balancer.Choose(time.Now(), []port.Endpoint{{ID: "s0"}}); scores[0].Score != 0 {
 		t.Errorf("%v calls are counted at s0 after all have ended", scores[0].Score)
 	}
 }
 
-// All endpoints are in need: a call waits for its turn, as long as that is short.
-func TestCallWaitsForItsTurn(t *testing.T) {
+// If all endpoints are at their limits, a call waits for its turn as long as
+// the wait is short.
+func TestCallWaitsForAdmission(t *testing.T) {
 	const wait = 50 * time.Millisecond
-	b, _ := newLimitedBench(t, []float64{3, 3, 3}, first(wait))
+	b, _ := newLimitedHarness(t, []float64{3, 3, 3}, admitFirst(wait))
 	began := time.Now()
-	if refusal := b.ask(t, "/once/x", &caller{}); refusal != nil {
+	if refusal := b.send(t, "/once/x", &fakeCaller{}); refusal != nil {
 		t.Fatal(refusal)
 	}
 	if took := time.Since(began); took < wait {
@@ -167,63 +171,65 @@
 	}
 }
 
-// A caller who leaves while the call waits gets nothing sent.
-func TestCallWhoseCallerLeavesBeforeItsTurnIsNotSent(t *testing.T) {
-	b, _ := newLimitedBench(t, []float64{3, 3, 3}, first(time.Minute))
-	refusal := b.ask(t, "/brief/x", &caller{})
+// A call whose time is over while it waits for its turn is not sent.
+func TestCallIsNotSentWhenItTimesOutWaitingForAdmission(t *testing.T) {
+	b, _ := newLimitedHarness(t, []float64{3, 3, 3}, admitFirst(time.Minute))
+	refusal := b.send(t, "/brief/x", &fakeCaller{})
 	if refusal == nil || refusal.Outcome != outcome.NotRun || refusal.Cause != CauseTimeout {
 		t.Fatalf("%+v", refusal)
 	}
-	if got := b.world.arrivals(); len(got) != 0 {
+	if got := b.backends.arrivals(); len(got) != 0 {
 		t.Fatalf("sent to %v", got)
 	}
 }
 
-// Guards against a herd of refused callers, and promised times that mean nothing.
-func TestCallersBeyondAllLimitsComeBackInTurn(t *testing.T) {
-	var patience []time.Duration
-	b, a := newLimitedBench(t, []float64{3, 3, 3}, func(_ []ratelimit.Ask, p time.Duration) ratelimit.Grant {
-		patience = append(patience, p)
+// Guards against refused callers that all retry at the same time, and against
+// retry times that are not honoured.
+func TestRefusedCallersGetSpacedRetryTimes(t *testing.T) {
+	var waits []time.Duration
+	b, a := newLimitedHarness(t, []float64{3, 3, 3}, func(_ []ratelimit.Ask, p time.Duration) ratelimit.Grant {
+		waits = append(waits, p)
 		return ratelimit.Grant{Wait: 2 * time.Second}
 	})
-	told := map[time.Duration]bool{}
+	retryTimes := map[time.Duration]bool{}
 	for range 5 {
-		refusal := b.ask(t, "/once/x", &caller{})
+		refusal := b.send(t, "/once/x", &fakeCaller{})
 		if refusal == nil || refusal.Cause != CauseOverloaded || refusal.Outcome != outcome.NotRun || !strings.Contains(refusal.Detail, "at_rate_limit") {
 			t.Fatalf("%+v", refusal)
 		}
-		told[refusal.RetryAfter] = true
+		retryTimes[refusal.RetryAfter] = true
 	}
-	if len(told) < 2 || a.asked != 1 {
-		t.Errorf("told %v, the coordinator was asked %d times", told, a.asked)
+	if len(retryTimes) < 2 || a.calls != 1 {
+		t.Errorf("retry times %v, admission was requested %d times", retryTimes, a.calls)
 	}
 	now := time.Now()
 	b.Clock = func() time.Time { return now.Add(1100 * time.Millisecond) }
 	a.admit = func(asks []ratelimit.Ask, p time.Duration) ratelimit.Grant {
-		patience = append(patience, p)
+		waits = append(waits, p)
 		return ratelimit.Grant{Endpoint: asks[0].Endpoint}
 	}
-	if refusal := b.ask(t, "/once/x", &caller{}); refusal != nil {
+	if refusal := b.send(t, "/once/x", &fakeCaller{}); refusal != nil {
 		t.Fatal(refusal)
 	}
-	if len(patience) != 2 || patience[1] != 2*patience[0] {
-		t.Errorf("patience %v", patience)
+	if len(waits) != 2 || waits[1] != 2*waits[0] {
+		t.Errorf("allowed waits %v", waits)
 	}
 }
 
-// The lifted limit frees the endpoint at once, whatever was refused before.
-func TestLiftedLimitFreesTheEndpoint(t *testing.T) {
-	b, _ := newLimitedBench(t, []float64{3, 3, 3}, none(time.Hour))
-	if refusal := b.ask(t, "/safe/x", &caller{}); refusal == nil {
+// Once its limit is removed, an endpoint accepts calls at once, regardless of
+// earlier refusals.
+func TestRemovedLimitFreesTheEndpoint(t *testing.T) {
+	b, _ := newLimitedHarness(t, []float64{3, 3, 3}, denyAll(time.Hour))
+	if refusal := b.send(t, "/safe/x", &fakeCaller{}); refusal == nil {
 		t.Fatal("not refused")
 	}
 	b.view.TellLimit("s1", 1, 0)
-	b.world.on["s1"] = reply(200, "fine")
+	b.backends.handlers["s1"] = reply(200, "fine")
 	b.apply()
-	if refusal := b.ask(t, "/safe/x", &caller{}); refusal != nil {
+	if refusal := b.send(t, "/safe/x", &fakeCaller{}); refusal != nil {
 		t.Fatal(refusal)
 	}
-	if got := b.world.arrivals(); len(got) != 1 || got[0] != "s1" {
+	if got := b.backends.arrivals(); len(got) != 1 || got[0] != "s1" {
 		t.Fatalf("sent to %v", got)
 	}
 }
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -6,7 +6,8 @@
 	gometrics "github.com/rcrowley/go-metrics"
 )
 
-// Sample of the histograms: exponentially decaying, for the last minutes.
+// Parameters of the exponentially decaying samples of the histograms, which
+// cover the last minutes.
 const (
 	sampleSize  = 1028
 	sampleAlpha = 0.015
@@ -16,21 +17,21 @@
 type instruments struct {
 	registry gometrics.Registry
 
-	open       gometrics.Counter
-	answered   gometrics.Counter
-	retries    gometrics.Counter
-	events     gometrics.Counter
-	version    gometrics.Gauge
-	hold       gometrics.Histogram
-	firstEvent gometrics.Histogram
-	eventGap   gometrics.Histogram
-	calls      gometrics.Histogram
-	copies     gometrics.Histogram
-	moves      gometrics.Counter
-	panics     gometrics.Counter
-	crashes    gometrics.Counter
-	atLimit    gometrics.Counter
-	evacuated  gometrics.Gauge
+	open           gometrics.Counter
+	answered       gometrics.Counter
+	retries        gometrics.Counter
+	events         gometrics.Counter
+	routesVersion  gometrics.Gauge
+	placementDelay gometrics.Histogram
+	firstEvent     gometrics.Histogram
+	eventGap       gometrics.Histogram
+	answerDelay    gometrics.Histogram
+	copyDuration   gometrics.Histogram
+	moves          gometrics.Counter
+	panics         gometrics.Counter
+	crashes        gometrics.Counter
+	limitHits      gometrics.Counter
+	evacuated      gometrics.Gauge
 }
 
 func newInstruments(r gometrics.Registry) *instruments {
@@ -39,32 +40,32 @@
 		return gometrics.GetOrRegisterHistogram(name, r, gometrics.NewExpDecaySample(sampleSize, sampleAlpha))
 	}
 	return &instruments{
-		registry:   r,
-		open:       counter("requests_open_count"),
-		answered:   counter("requests_answered_total"),
-		retries:    counter("request_retries_total"),
-		events:     counter("stream_events_total"),
-		version:    gometrics.GetOrRegisterGauge("routes_version", r),
-		hold:       histogram("request_hold_us"),
-		firstEvent: histogram("stream_first_event_us"),
-		eventGap:   histogram("stream_event_gap_us"),
-		calls:      histogram("endpoint_answer_us"),
-		copies:     histogram("run_copy_us"),
-		moves:      counter("runs_moved_total"),
-		panics:     counter("panics_total"),
-		crashes:    counter("endpoint_crashes_total"),
-		atLimit:    counter("endpoint_limits_kept_total"),
-		evacuated:  gometrics.GetOrRegisterGauge("evacuated_failure_domains", r),
+		registry:       r,
+		open:           counter("requests_open_count"),
+		answered:       counter("requests_answered_total"),
+		retries:        counter("request_retries_total"),
+		events:         counter("stream_events_total"),
+		routesVersion:  gometrics.GetOrRegisterGauge("routes_version", r),
+		placementDelay: histogram("request_hold_us"),
+		firstEvent:     histogram("stream_first_event_us"),
+		eventGap:       histogram("stream_event_gap_us"),
+		answerDelay:    histogram("endpoint_answer_us"),
+		copyDuration:   histogram("run_copy_us"),
+		moves:          counter("runs_moved_total"),
+		panics:         counter("panics_total"),
+		crashes:        counter("endpoint_crashes_total"),
+		limitHits:      counter("endpoint_limits_kept_total"),
+		evacuated:      gometrics.GetOrRegisterGauge("evacuated_failure_domains", r),
 	}
 }
 
-// refused counts a request without a whole answer by its cause.
-func (i *instruments) refused(c Cause) {
+// requestRefused counts a request that was refused for a cause.
+func (i *instruments) requestRefused(c Cause) {
 	gometrics.GetOrRegisterCounter("requests_refused_"+string(c)+"_total", i.registry).Inc(1)
 }
 
-// lost counts a failed attempt by what failed.
-func (i *instruments) lost(kind string) {
+// attemptFailed counts a failed attempt by the kind of failure.
+func (i *instruments) attemptFailed(kind string) {
 	gometrics.GetOrRegisterCounter("endpoint_failures_"+kind+"_total", i.registry).Inc(1)
 }
 
--- a/internal/gateway/moves.go
+++ b/internal/gateway/moves.go
@@ -9,20 +9,21 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// copyTimeout bounds one copy: several wait on one link behind each other.
+// copyTimeout bounds one copy, including the wait for other copies on the same
+// link.
 const copyTimeout = 3 * time.Second
 
-// moveAway begins to move the runs of endpoints that leave.
-func (g *Gateway) moveAway() {
+// moveLeavingRuns begins to move the runs whose endpoints are leaving.
+func (g *Gateway) moveLeavingRuns() {
 	for _, r := range g.runs.all() {
 		g.moveIfLeaving(r)
 	}
 }
 
 func (g *Gateway) moveIfLeaving(r *run) {
-	at := r.at()
-	h, knew := g.known.get(at.ID)
-	if knew && h.Incarnation == at.Incarnation && h.State == port.EndpointLive {
+	at := r.currentEndpoint()
+	h, found := g.endpointTable.get(at.ID)
+	if found && h.Incarnation == at.Incarnation && h.State == port.EndpointLive {
 		return
 	}
 	if r.x.engine == nil || !r.x.engine.CopiesOnRequest {
@@ -38,8 +39,8 @@
 	go m.drive(ctx)
 }
 
-// mover is one move under way: it copies a run to another runner, and stops it
-// once the copy is fresh.
+// mover performs one move: it copies a run to another runner, and stops the run
+// once the copy is recent enough.
 type mover struct {
 	g     *Gateway
 	run   *run
@@ -47,30 +48,30 @@
 	from  port.Endpoint
 	move  *continuity.Move
 	to    port.Endpoint
-	// refused names the runners that could not take the copy.
-	refused []string
+	// excluded holds the ids of the runners that could not accept the copy.
+	excluded []string
 }
 
 func (m *mover) drive(ctx context.Context) {
 	defer m.state.cancel()
-	defer m.end()
-	defer m.run.x.containMove()
+	defer m.finish()
+	defer m.run.x.recoverMove()
 	step := continuity.StepElsewhere
 	for ctx.Err() == nil {
 		switch step {
 		case continuity.StepElsewhere:
-			if !m.choose(ctx) {
+			if !m.chooseDestination(ctx) {
 				return
 			}
-			step = m.copyIfFitting(ctx)
+			step = m.copyIfAllowed(ctx)
 		case continuity.StepCopy:
-			step = m.copyIfFitting(ctx)
+			step = m.copyIfAllowed(ctx)
 		case continuity.StepStop:
-			if !m.isFitting() {
-				step = m.elsewhere()
+			if !m.isDestinationAllowed() {
+				step = m.rejectDestination()
 				continue
 			}
-			if m.run.stop(m.state) {
+			if m.run.tryStop(m.state) {
 				m.copy(ctx, true)
 			}
 			return
@@ -80,85 +81,89 @@
 	}
 }
 
-// end ends the move. Where it left no copy, the room that the scheduler keeps at
-// the destination is given back; else prompts would wait for it until the run
-// ends.
-func (m *mover) end() {
+// finish ends the move. If it left no copy, the room that the scheduler
+// reserves at the destination is released; otherwise prompts would wait for
+// that room until the run ends.
+func (m *mover) finish() {
 	if m.run.endMove(m.state) {
 		m.g.Placer.Relocated(m.run.x.req.ID, false, m.from.ID)
 	}
 }
 
-// choose asks the scheduler for the runner that takes over.
-func (m *mover) choose(ctx context.Context) bool {
+// chooseDestination requests the runner to move to from the scheduler.
+func (m *mover) chooseDestination(ctx context.Context) bool {
 	x := m.run.x
 	d := m.g.Placer.Relocate(ctx, x.req.ID, port.Relocation{
-		Excluded: m.refused, FailureDomain: m.from.FailureDomain,
+		Excluded: m.excluded, FailureDomain: m.from.FailureDomain,
 	})
-	x.note(verdictMove, d.Reason, d.Endpoint.ID, d.Candidates)
+	x.recordConcurrent(verdictMove, d.Reason, d.Endpoint.ID, d.Candidates)
 	m.to = d.Endpoint
 	return d.Verdict == port.VerdictPlace
 }
 
-// isFitting reports whether the destination may still be sent the run.
-func (m *mover) isFitting() bool { return !m.g.isEvacuated(m.to) }
+// isDestinationAllowed reports whether the run may still be sent to the
+// destination.
+func (m *mover) isDestinationAllowed() bool { return !m.g.isEvacuated(m.to) }
 
-// copyIfFitting makes one pass, unless the destination was evacuated meanwhile.
-func (m *mover) copyIfFitting(ctx context.Context) continuity.Step {
-	if !m.isFitting() {
-		return m.elsewhere()
+// copyIfAllowed copies once, unless the destination has been evacuated in the
+// meantime.
+func (m *mover) copyIfAllowed(ctx context.Context) continuity.Step {
+	if !m.isDestinationAllowed() {
+		return m.rejectDestination()
 	}
 	return m.copy(ctx, false)
 }
 
-// elsewhere gives up a destination that is evacuated, and with it all others that
-// are: a scheduler that hasn't heard of it would name them one after the other.
-func (m *mover) elsewhere() continuity.Step {
-	m.refused = append(m.refused, m.to.ID)
-	m.refused = append(m.refused, m.g.known.evacuatedOf(m.run.x.pool)...)
+// rejectDestination excludes the destination, which is evacuated, and all other
+// evacuated runners of the pool: a scheduler that has not yet received the
+// evacuation would propose them one after the other.
+func (m *mover) rejectDestination() continuity.Step {
+	m.excluded = append(m.excluded, m.to.ID)
+	m.excluded = append(m.excluded, m.g.endpointTable.evacuatedIDs(m.run.x.pool)...)
 	return continuity.StepElsewhere
 }
 
-// copy makes one pass and returns what follows from it.
+// copy copies once and returns the next step of the move.
 func (m *mover) copy(ctx context.Context, stop bool) continuity.Step {
 	began := m.g.Clock()
 	ctx, cancel := context.WithTimeout(ctx, copyTimeout)
 	defer cancel()
 	c, err := m.g.Endpoints.Copy(ctx, m.from, m.run.x.req.ID, m.to, stop)
 	now := m.g.Clock()
-	observe(m.g.metrics.copies, now.Sub(began))
+	observe(m.g.metrics.copyDuration, now.Sub(began))
 	if c.Handle != "" {
-		m.run.x.release(m.run.setCopy(m.state, &copyAt{from: m.from, to: m.to, handle: c.Handle}))
+		m.run.x.release(m.run.setCopy(m.state, &runCopy{from: m.from, to: m.to, handle: c.Handle}))
 	}
 	result := resultOf(err)
-	m.run.x.note(verdictCopy, copyReason(stop, result, err), m.to.ID, nil)
+	m.run.x.recordConcurrent(verdictCopy, copyReason(stop, result, err), m.to.ID, nil)
 	if result == continuity.Full {
-		m.refused = append(m.refused, m.to.ID)
+		m.excluded = append(m.excluded, m.to.ID)
 	}
 	return m.move.Next(result, began, now)
 }
 
-// releaseTimeout bounds a call that frees a copy. One that fails leaves the copy
-// to the runner's own bound.
+// releaseTimeout bounds a call that releases a copy. If the call fails, the
+// copy stays until the runner's own limit drops it.
 const releaseTimeout = time.Second
 
-// release frees a copy that nobody will use; nil is none. Runs that end while
-// they are copied, and moves that find no room for the rest, left copies that
-// took a twentieth of a full pool's caches until the runners dropped them, while
-// prompts waited for room there.
-func (x *exchange) release(c *copyAt) {
+// release releases a copy that will not be used; nil means none. Copies are
+// left behind by runs that end while they are copied and by moves whose
+// destination has no room for the rest. Unreleased, they took a twentieth of a
+// full pool's caches until the runners dropped them, while prompts waited for
+// room there.
+func (x *exchange) release(c *runCopy) {
 	if c == nil {
 		return
 	}
 	go func() {
-		defer x.containMove()
+		defer x.recoverMove()
 		ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 		defer cancel()
 		reason := "a copy that nobody uses is freed"
 		if err := x.g.Endpoints.Release(ctx, c.to, c.handle); err != nil {
 			reason = "a copy that nobody uses is left to the runner: " + err.Error()
 		}
-		x.note(verdictRelease, reason, c.to.ID, nil)
+		x.recordConcurrent(verdictRelease, reason, c.to.ID, nil)
 	}()
 }
 
--- a/internal/gateway/moves_test.go
+++ b/internal/gateway/moves_test.go
@@ -16,55 +16,55 @@
 	_ "github.com/dragonflyrail/dragonflyrail/internal/testkit/fixedseed"
 )
 
-// slowCopies answers the first copy off each runner at once and keeps the
-// second one waiting until the test lets it go.
+// slowCopies answers the first copy from each runner at once and blocks the
+// later ones until the test closes unblock.
 type slowCopies struct {
-	mu   sync.Mutex
-	seen map[string]int
-	held chan struct{}
+	mu      sync.Mutex
+	copies  map[string]int
+	unblock chan struct{}
 }
 
 func (s *slowCopies) copy(from, _ port.Endpoint, _ bool) (port.Copy, error) {
 	s.mu.Lock()
-	s.seen[from.ID]++
-	n := s.seen[from.ID]
+	s.copies[from.ID]++
+	n := s.copies[from.ID]
 	s.mu.Unlock()
 	if n > 1 {
-		<-s.held
+		<-s.unblock
 	}
 	return port.Copy{Handle: "h"}, nil
 }
 
-// waiting reports whether a second copy off the runner is under way.
+// waiting reports whether a second copy from the runner is in progress.
 func (s *slowCopies) waiting(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.seen[id] > 1
+	return s.copies[id] > 1
 }
 
-// A caller reads a report whose runner leaves. While a second copy is under way
-// the runner dies, and the run goes on from the first copy at a runner that
-// leaves too, so a second move begins before the first one's copy has come back.
-// The end of the first move must not end the second: it closed the second's
-// channel, the second closed it once more, and the whole daemon fell.
-func TestMoveOutlivesTheRunThatItCopied(t *testing.T) {
-	b := newBench(t)
-	copies := &slowCopies{seen: map[string]int{}, held: make(chan struct{})}
-	b.world.copies = copies.copy
+// A runner leaves, and it fails while a second copy of its run is in progress.
+// The run is resumed from the first copy at a runner that leaves too, so a
+// second move begins before the first one's copy returns. Guards against the
+// end of the first move ending the second: the second move's channel was then
+// closed twice, and the panic ended the daemon.
+func TestLateEndOfAMoveDoesNotEndTheNextMove(t *testing.T) {
+	b := newHarness(t)
+	copies := &slowCopies{copies: map[string]int{}, unblock: make(chan struct{})}
+	b.backends.copyHandler = copies.copy
 	var mu sync.Mutex
 	var at []string
 	var pipes []*io.PipeWriter
-	b.everywhere("e", func(x *port.Exchange) (*port.Answer, error) {
+	b.setHandlers("e", func(x *port.Exchange) (*port.Answer, error) {
 		reader, writer := io.Pipe()
 		mu.Lock()
 		at, pipes = append(at, x.Endpoint.ID), append(pipes, writer)
 		mu.Unlock()
 		return streamed(reader)
 	})
-	where := func(n int) (string, *io.PipeWriter) {
+	nthRunner := func(n int) (string, *io.PipeWriter) {
 		var id string
 		var pipe *io.PipeWriter
-		eventually.True(t, "the run is taken up", func() bool {
+		eventually.True(t, "the run is resumed", func() bool {
 			mu.Lock()
 			defer mu.Unlock()
 			if len(at) > n {
@@ -74,45 +74,45 @@
 		})
 		return id, pipe
 	}
-	got := &caller{}
+	got := &fakeCaller{}
 	done := make(chan *Refusal, 1)
-	go func() { done <- b.ask(t, "/stream/", got) }()
+	go func() { done <- b.send(t, "/stream/", got) }()
 	for n := range 2 {
-		id, pipe := where(n)
+		id, pipe := nthRunner(n)
 		_, _ = io.WriteString(pipe, event(n+1))
 		eventually.True(t, "the event is relayed", func() bool { return strings.Contains(got.text(), event(n+1)) })
-		b.leave(id)
+		b.setLeaving(id)
 		eventually.True(t, "a second copy is under way", func() bool { return copies.waiting(id) })
 		if n == 0 {
 			pipe.CloseWithError(errReset)
 		}
 	}
-	close(copies.held)
-	_, second := where(1)
-	second.CloseWithError(errReset)
-	_, last := where(2)
-	_, _ = io.WriteString(last, event(3))
-	last.Close()
+	close(copies.unblock)
+	_, secondPipe := nthRunner(1)
+	secondPipe.CloseWithError(errReset)
+	_, thirdPipe := nthRunner(2)
+	_, _ = io.WriteString(thirdPipe, event(3))
+	thirdPipe.Close()
 	if refusal := <-done; refusal != nil || got.text() != events(1, 3) {
 		t.Fatalf("%v after %q", refusal, got.text())
 	}
 }
 
 // runMachine drives one run as its relay and its movers do, in any order, and
-// holds beside it what it must know.
+// keeps the expected state beside it.
 type runMachine struct {
 	run *run
-	// open are the moves that have begun and not ended.
+	// open holds the moves that have begun and not ended.
 	open []*moveState
-	// current is the last move off the source that is read now, nil for none;
-	// copied is the copy that it left.
+	// current is the last move away from the current source, nil if there is
+	// none; copied is the copy that it made.
 	current *moveState
-	copied  *copyAt
-	// stopped: the current move has stopped the run. taken: the relay has asked
-	// for the copy since the move began.
-	stopped bool
-	taken   bool
-	copies  int
+	copied  *runCopy
+	// stopped: the current move has stopped the run. detached: the relay has
+	// requested the copy since the move began.
+	stopped  bool
+	detached bool
+	copies   int
 }
 
 func (m *runMachine) begin(t *rapid.T) {
@@ -122,12 +122,12 @@
 		t.Fatalf("a move begins: %v, want %v", s != nil, mayBegin)
 	}
 	if s != nil {
-		m.open, m.current, m.taken = append(m.open, s), s, false
+		m.open, m.current, m.detached = append(m.open, s), s, false
 	}
 }
 
-// draw picks one of the open moves, nil where there is none.
-func (m *runMachine) draw(t *rapid.T) *moveState {
+// drawMove returns one of the open moves, nil if there is none.
+func (m *runMachine) drawMove(t *rapid.T) *moveState {
 	if len(m.open) == 0 {
 		return nil
 	}
@@ -135,34 +135,34 @@
 }
 
 func (m *runMachine) copy(t *rapid.T) {
-	s := m.draw(t)
+	s := m.drawMove(t)
 	if s == nil {
 		return
 	}
 	m.copies++
-	c := &copyAt{handle: fmt.Sprint(m.copies)}
-	useless := m.run.setCopy(s, c)
-	if s == m.current && !m.taken {
+	c := &runCopy{handle: fmt.Sprint(m.copies)}
+	unused := m.run.setCopy(s, c)
+	if s == m.current && !m.detached {
 		m.copied = c
-	} else if useless != c {
-		t.Fatal("a copy of a move that the run has left is not freed")
+	} else if unused != c {
+		t.Fatal("the copy of a detached move is not returned for release")
 	}
 }
 
 func (m *runMachine) stop(t *rapid.T) {
-	s := m.draw(t)
+	s := m.drawMove(t)
 	if s == nil {
 		return
 	}
-	got := m.run.stop(s)
-	if want := s == m.current && !m.taken; got != want {
+	got := m.run.tryStop(s)
+	if want := s == m.current && !m.detached; got != want {
 		t.Fatalf("the run is stopped: %v, want %v", got, want)
 	}
 	m.stopped = m.stopped || got
 }
 
 func (m *runMachine) end(t *rapid.T) {
-	s := m.draw(t)
+	s := m.drawMove(t)
 	if s == nil {
 		return
 	}
@@ -170,136 +170,137 @@
 	m.open = slices.DeleteFunc(m.open, func(o *moveState) bool { return o == s })
 }
 
-func (m *runMachine) takeUp(t *rapid.T) {
+func (m *runMachine) resume(t *rapid.T) {
 	if m.stopped && slices.Contains(m.open, m.current) {
 		// The relay waits for the last copy.
 		return
 	}
-	c, _ := m.run.handover(nil)
+	c, _ := m.run.awaitCopy(nil)
 	if c != m.copied {
-		t.Fatalf("the relay goes on from %+v, want %+v", c, m.copied)
+		t.Fatalf("the relay resumes from %+v, want %+v", c, m.copied)
 	}
-	m.taken = true
+	m.detached = true
 	if c == nil {
 		return
 	}
-	m.run.reads(port.Endpoint{ID: c.handle}, io.NopCloser(nil))
+	m.run.setSource(port.Endpoint{ID: c.handle}, io.NopCloser(nil))
 	m.current, m.copied, m.stopped = nil, nil, false
 }
 
-// Moves begin, copy, stop the run and end in any order while the relay takes
-// the run up from copies at other runners. One move at a time has a part in the
-// run; what an earlier one still does changes nothing for the later one, and no
-// end of a move is taken for another's.
+// Moves begin, copy, stop the run and end in any order while the relay resumes
+// the run from copies at other runners. Only one move at a time affects the
+// run: later calls of an earlier move change nothing, and the end of one move
+// is never taken for the end of another.
 func TestMovesOfOneRunInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &runMachine{run: &run{}}
 		t.Repeat(map[string]func(*rapid.T){
-			"begin": m.begin, "copy": m.copy, "stop": m.stop, "end": m.end, "take up": m.takeUp,
+			"begin": m.begin, "copy": m.copy, "stop": m.stop, "end": m.end, "take up": m.resume,
 		})
 	})
 }
 
-// The code of one move meets a fault: the runner's reply to a copy makes it
-// panic. The run goes on where it is and its caller has the whole answer; a
-// panic in a goroutine ended the daemon, and all its callers' streams with it.
-func TestPanicOfAMoveEndsTheMoveOnly(t *testing.T) {
-	b := newBench(t)
-	b.world.copies = nil
-	e := &engine{next: 1, total: 6}
-	got, refusal := play(t, b, e, func(n int) {
+// A runner's reply to a copy makes the code of a move panic. The run must
+// continue where it is and its caller must get the whole answer. Without a
+// recover, a panic in the move's goroutine ended the daemon and the streams of
+// all its callers.
+func TestPanicInAMoveEndsOnlyTheMove(t *testing.T) {
+	b := newHarness(t)
+	b.backends.copyHandler = nil
+	e := &fakeEngine{next: 1, total: 6}
+	got, refusal := serveStream(t, b, e, func(n int) {
 		if n != 3 {
 			return
 		}
-		b.world.mu.Lock()
-		b.world.copies = func(_, _ port.Endpoint, _ bool) (port.Copy, error) { panic("a reply that nobody expects") }
-		b.world.mu.Unlock()
-		b.leave(e.where())
-		eventually.True(t, "the fault is in the log", func() bool { return slices.Contains(b.sink.Verdicts(), verdictPanic) })
+		b.backends.mu.Lock()
+		b.backends.copyHandler = func(_, _ port.Endpoint, _ bool) (port.Copy, error) { panic("unexpected reply") }
+		b.backends.mu.Unlock()
+		b.setLeaving(e.currentRunner())
+		eventually.True(t, "the panic is recorded", func() bool { return slices.Contains(b.sink.Verdicts(), verdictPanic) })
 	})
 	if refusal != nil || got.text() != events(1, 6) {
 		t.Fatalf("%v after %q", refusal, got.text())
 	}
 }
 
-// The code that serves a request meets a fault before anything was sent, or
-// while an endpoint has it. The caller is told, truthfully, whether it can have
-// run, and the next request is served.
-func TestPanicOfARequestEndsTheRequestOnly(t *testing.T) {
-	b := newBench(t)
-	b.everywhere("s", func(*port.Exchange) (*port.Answer, error) { panic("an answer that nobody expects") })
-	refusal := b.ask(t, "/once/", &caller{})
+// The code that serves a request panics while an endpoint has it. The caller
+// must be informed that the request may have run, and the next request must be
+// served.
+func TestPanicInARequestEndsOnlyTheRequest(t *testing.T) {
+	b := newHarness(t)
+	b.setHandlers("s", func(*port.Exchange) (*port.Answer, error) { panic("unexpected answer") })
+	refusal := b.send(t, "/once/", &fakeCaller{})
 	if refusal == nil || refusal.Cause != CauseInternal || refusal.Outcome != outcome.Unknown || refusal.RetryAfter != 0 {
 		t.Fatalf("refused with %+v", refusal)
 	}
-	b.everywhere("s", reply(200, "fine"))
-	got := &caller{}
-	if refusal := b.ask(t, "/once/", got); refusal != nil || got.status != 200 {
+	b.setHandlers("s", reply(200, "fine"))
+	got := &fakeCaller{}
+	if refusal := b.send(t, "/once/", got); refusal != nil || got.status != 200 {
 		t.Fatalf("status %d, refusal %+v", got.status, refusal)
 	}
 }
 
-// A report ends at its leaving runner while a copy of it lies at another one.
-// Nobody will take it up there: its room is freed at once, as prompts wait for
-// it. The copy from which a run goes on is not freed.
-func TestCopiesThatNobodyUsesAreFreed(t *testing.T) {
-	b := newBench(t)
-	copies := &slowCopies{seen: map[string]int{}, held: make(chan struct{})}
-	b.world.copies = copies.copy
+// A run ends at its leaving runner while another runner holds a copy of it. The
+// copy will not be used, so its room is released at once for the prompts that
+// wait for it.
+func TestUnusedCopiesAreReleased(t *testing.T) {
+	b := newHarness(t)
+	copies := &slowCopies{copies: map[string]int{}, unblock: make(chan struct{})}
+	b.backends.copyHandler = copies.copy
 	body, writer := io.Pipe()
-	first := make(chan string, 1)
-	b.everywhere("e", func(x *port.Exchange) (*port.Answer, error) {
-		first <- x.Endpoint.ID
+	sentTo := make(chan string, 1)
+	b.setHandlers("e", func(x *port.Exchange) (*port.Answer, error) {
+		sentTo <- x.Endpoint.ID
 		return streamed(body)
 	})
-	got := &caller{}
+	got := &fakeCaller{}
 	done := make(chan *Refusal, 1)
-	go func() { done <- b.ask(t, "/stream/", got) }()
-	from := <-first
+	go func() { done <- b.send(t, "/stream/", got) }()
+	from := <-sentTo
 	_, _ = io.WriteString(writer, event(1))
 	eventually.True(t, "the event is relayed", func() bool { return got.text() == event(1) })
-	b.leave(from)
+	b.setLeaving(from)
 	eventually.True(t, "a second copy is under way", func() bool { return copies.waiting(from) })
 	writer.Close()
 	if refusal := <-done; refusal != nil {
 		t.Fatal(refusal)
 	}
-	eventually.True(t, "the first copy is freed", func() bool { return len(b.world.freed()) == 1 })
-	close(copies.held)
-	eventually.True(t, "the copy that came late is freed too", func() bool { return len(b.world.freed()) == 2 })
+	eventually.True(t, "the first copy is released", func() bool { return len(b.backends.releasedCopies()) == 1 })
+	close(copies.unblock)
+	eventually.True(t, "the late copy is released too", func() bool { return len(b.backends.releasedCopies()) == 2 })
 }
 
-func TestCopyThatIsTakenUpIsKept(t *testing.T) {
-	b := newBench(t)
-	e := &engine{next: 1, total: 8}
-	got, refusal := play(t, b, e, func(n int) {
+func TestResumedCopyIsNotReleased(t *testing.T) {
+	b := newHarness(t)
+	e := &fakeEngine{next: 1, total: 8}
+	got, refusal := serveStream(t, b, e, func(n int) {
 		if n != 4 {
 			return
 		}
-		from := e.where()
-		b.leave(from)
-		eventually.True(t, "the run is taken up elsewhere", func() bool { return e.where() != from })
+		from := e.currentRunner()
+		b.setLeaving(from)
+		eventually.True(t, "the run is resumed at another runner", func() bool { return e.currentRunner() != from })
 	})
 	if refusal != nil || got.text() != events(1, 8) {
 		t.Fatalf("%v after %q", refusal, got.text())
 	}
-	if freed := b.world.freed(); len(freed) != 0 {
-		t.Fatalf("freed %v", freed)
+	if released := b.backends.releasedCopies(); len(released) != 0 {
+		t.Fatalf("released %v", released)
 	}
 }
 
-// Two organisations of different ranks ask a pool. Its queue knows who goes
-// first; the engine is told of one rank, or it would preempt the run of one for
-// the prompt of the other.
-func TestEnginesAreToldOfOneRank(t *testing.T) {
-	b := newBench(t)
-	b.everywhere("e", func(x *port.Exchange) (*port.Answer, error) {
+// Requests of different ranks are ordered by the pool's queue. The engine gets
+// the same rank for all of them, or it would preempt one run for the prompt of
+// another.
+func TestEnginesGetTheSameRankForAllRequests(t *testing.T) {
+	b := newHarness(t)
+	b.setHandlers("e", func(x *port.Exchange) (*port.Answer, error) {
 		if x.Generation.Rank != engineRank {
 			t.Errorf("rank %d at the engine", x.Generation.Rank)
 		}
 		return streamed(io.NopCloser(strings.NewReader(events(1, 1))))
 	})
-	if refusal := b.ask(t, "/stream/", &caller{}); refusal != nil {
+	if refusal := b.send(t, "/stream/", &fakeCaller{}); refusal != nil {
 		t.Fatal(refusal)
 	}
 }
--- a/internal/gateway/place.go
+++ b/internal/gateway/place.go
@@ -13,92 +13,96 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// placement is an endpoint that was chosen for one attempt.
+// placement is the endpoint chosen for one attempt.
 type placement struct {
 	endpoint port.Endpoint
-	// generation: the scheduler placed it, and is told of its end.
+	// generation: the endpoint was chosen by the scheduler, which has to be
+	// informed when the attempt ends.
 	generation bool
-	// tokens are those seen of the answer.
+	// tokens counts the tokens of the answer relayed so far.
 	tokens int
-	// watched is the attempt while it is under way.
+	// watched is the crash watch's entry of the attempt while it is in
+	// progress.
 	watched *crashwatch.Attempt
 }
 
-// blockTokens is the part of a prompt that one hash stands for, where shared
-// prompts are recognised.
+// blockTokens is the number of prompt tokens covered by one prefix hash. The
+// hashes identify prompts with a common prefix.
 const blockTokens = 16
 
-// holdPart is the part of a caller's time within which a generation must be
-// placed: one that is placed later can hardly end in time.
-const holdPart = 2
+// placementDivisor: a generation must be placed within the caller's time limit
+// divided by this number. One that is placed later can hardly finish in time.
+const placementDivisor = 2
 
-// drawPart turns an id into a number from 0 up to 1, the same at each try.
-func drawPart(id string) float64 {
+// hashFraction maps an id to a number in [0, 1), the same at each attempt.
+func hashFraction(id string) float64 {
 	return float64(xxhash.Sum64String(id)>>11) / (1 << 53)
 }
 
-// place chooses an endpoint for the next attempt, or says why there is none.
+// place chooses an endpoint for the next attempt, or returns the reason why
+// there is none.
 func (x *exchange) place(ctx context.Context) (*placement, *Refusal) {
 	if x.req.Generation != nil && x.engine != nil {
 		return x.schedule(ctx)
 	}
-	return x.balance(ctx)
+	return x.chooseBalanced(ctx)
 }
 
-// schedule asks for a place among the pool's runners.
+// schedule requests a placement at one of the pool's runners.
 func (x *exchange) schedule(ctx context.Context) (*placement, *Refusal) {
-	ask := x.ask()
-	placing, stop := x.g.whilePlacing(ctx)
+	request := x.generationRequest()
+	placingCtx, stop := x.g.placingContext(ctx)
 	defer stop()
-	d := x.g.Placer.Place(placing, ask, func(d *port.Decision) {
+	d := x.g.Placer.Place(placingCtx, request, func(d *port.Decision) {
 		x.coordinator = d.Coordinator
 		x.record(d.Verdict.String(), d.Reason, "", d.Candidates)
 	})
 	x.endpoint, x.coordinator = d.Endpoint.ID, d.Coordinator
 	x.record(d.Verdict.String(), d.Reason, "", d.Candidates)
 	if d.Verdict == port.VerdictPlace {
-		x.held = x.g.Clock().Sub(x.req.Arrived)
-		observe(x.g.metrics.hold, x.held)
-		return x.chosen(&placement{endpoint: d.Endpoint, generation: true}), nil
+		x.heldFor = x.g.Clock().Sub(x.req.Arrived)
+		observe(x.g.metrics.placementDelay, x.heldFor)
+		return x.startAttempt(&placement{endpoint: d.Endpoint, generation: true}), nil
 	}
 	refusal := &Refusal{Cause: CauseOverloaded, Detail: d.Reason, RetryAfter: d.RetryAfter}
 	switch d.Reason {
 	case routing.ReasonRefusedModel:
 		refusal.Cause = CauseUnknownModel
-		refusal.Detail = "no known endpoint of pool " + x.pool + " serves the model " + strconv.Quote(ask.Model)
+		refusal.Detail = "no known endpoint of pool " + x.pool + " serves the model " + strconv.Quote(request.Model)
 	case routing.ReasonRefusedEvacuated:
 		refusal = x.allEvacuated()
 	}
-	if !x.interrupted(ctx, refusal) && placing.Err() != nil {
+	if !x.interrupted(ctx, refusal) && placingCtx.Err() != nil {
 		refusal = &Refusal{Cause: CauseStopping, Detail: "this daemon stops while the request is held; another one serves"}
 	}
 	return nil, refusal
 }
 
-// chosen counts the attempt that follows.
-func (x *exchange) chosen(p *placement) *placement {
+// startAttempt updates the exchange for the attempt at a chosen endpoint.
+func (x *exchange) startAttempt(p *placement) *placement {
 	x.attempts++
-	x.lost = false
+	x.connectionLost = false
 	x.endpoint = p.endpoint.ID
 	x.tried = append(x.tried, p.endpoint.ID)
 	return p
 }
 
-// ask is the request as the scheduler sees it.
-func (x *exchange) ask() *port.GenerationRequest {
-	a := x.req.Generation
-	left := x.deadline.Sub(x.req.Arrived)
+// generationRequest returns the request in the scheduler's format.
+func (x *exchange) generationRequest() *port.GenerationRequest {
+	params := x.req.Generation
+	timeLeft := x.deadline.Sub(x.req.Arrived)
 	return &port.GenerationRequest{
-		RequestID: x.req.ID, Organisation: x.req.Pass.Organisation, Pool: x.pool, Model: a.Model,
+		RequestID: x.req.ID, Organisation: x.req.Pass.Organisation, Pool: x.pool, Model: params.Model,
 		Route: x.req.Pass.Route.Name, Objective: x.req.Pass.Route.Objective, Rank: x.req.Pass.Rank,
 		TokenGap:     x.req.Pass.Route.GapObjective / time.Duration(max(1, x.engine.EventTokens)),
-		PromptTokens: a.PromptTokens, MaxTokens: a.MaxTokens, LengthHint: a.LengthHint, PrefixHashes: prefixHashes(a.Parts),
+		PromptTokens: params.PromptTokens, MaxTokens: params.MaxTokens, LengthHint: params.LengthHint, PrefixHashes: prefixHashes(params.Parts),
 		Excluded: x.excluded(), Attempt: x.attempts + 1,
-		Arrived: x.req.Arrived, Deadline: x.req.Arrived.Add(left / holdPart),
+		Arrived: x.req.Arrived, Deadline: x.req.Arrived.Add(timeLeft / placementDivisor),
 	}
 }
 
-// prefixHashes gives each block of the prompt's parts a hash of all before it.
+// prefixHashes returns one hash for each block of the prompt's parts; each hash
+// covers the prompt up to the end of its block.
 func prefixHashes(parts []PromptPart) []uint64 {
 	var out []uint64
 	chain := uint64(0)
@@ -111,31 +115,33 @@
 	return out
 }
 
-// balance draws an endpoint of a plain service.
-func (x *exchange) balance(ctx context.Context) (*placement, *Refusal) {
+// chooseBalanced chooses an endpoint of a plain service.
+func (x *exchange) chooseBalanced(ctx context.Context) (*placement, *Refusal) {
 	g := x.g
 	now := g.Clock()
-	var candidates, spared []port.Endpoint
-	for _, e := range g.known.pool(x.pool) {
+	var candidates, suspect []port.Endpoint
+	for _, e := range g.endpointTable.liveIn(x.pool) {
 		switch {
 		case slices.Contains(x.tried, e.ID):
 		case e.Unreachable || g.breakers.Open(now, e.ID):
-			spared = append(spared, e)
+			suspect = append(suspect, e)
 		default:
 			candidates = append(candidates, e)
 		}
 	}
 	if len(candidates) == 0 && x.attempts == 0 && x.ledger.Idempotent {
-		// None looks well, but breakers may be late: a try is better than a
-		// refusal. What may run once at most would be lost to its caller in such
-		// a try; refused, it can come back.
-		candidates = spared
+		// All endpoints are unreachable or have an open breaker. A breaker may
+		// close late after its endpoint has recovered, so trying one is better
+		// than refusing. A request that must not run twice is refused: it would
+		// be lost if the attempt failed, whereas after a refusal the caller can
+		// retry.
+		candidates = suspect
 	}
-	return x.withinLimits(ctx, candidates)
+	return x.placeWithinLimits(ctx, candidates)
 }
 
 func (x *exchange) noEndpoint() *Refusal {
-	if x.attempts == 0 && x.g.known.allEvacuated(x.pool) {
+	if x.attempts == 0 && x.g.endpointTable.allEvacuated(x.pool) {
 		return x.allEvacuated()
 	}
 	if x.attempts > 0 {
@@ -144,17 +150,17 @@
 	return &Refusal{Cause: CauseNoEndpoint, Detail: "no endpoint that answers in pool " + x.pool, RetryAfter: retrySoon}
 }
 
-// begin tells the breakers and the balancer that an attempt begins.
+// beginAttempt informs the crash watch and the breakers that an attempt begins.
 func (x *exchange) beginAttempt(p *placement) {
-	x.sending = p
-	p.watched = x.g.crashes.Begin(p.endpoint, x.fingerprint())
+	x.inFlight = p
+	p.watched = x.g.crashWatch.Begin(p.endpoint, x.fingerprint())
 	if !p.generation {
 		x.g.breakers.Begin(x.g.Clock(), p.endpoint.ID)
 	}
 }
 
-// giveBack ends an attempt that was placed and not begun.
-func (x *exchange) giveBack(p *placement) {
+// withdraw gives up a placement whose attempt has not begun.
+func (x *exchange) withdraw(p *placement) {
 	if p.generation {
 		x.g.Placer.Finished(x.req.ID, 0, port.FinishCancelled)
 		return
@@ -162,11 +168,12 @@
 	x.g.balancer.End(p.endpoint.ID)
 }
 
-// endAttempt tells those who placed the attempt how it ended.
+// endAttempt informs the crash watch, and the scheduler or the balancer and the
+// breakers, how an attempt ended.
 func (x *exchange) endAttempt(p *placement, kind port.FinishKind) {
 	g := x.g
-	x.sending = nil
-	g.crashes.End(p.watched, x.lost)
+	x.inFlight = nil
+	g.crashWatch.End(p.watched, x.connectionLost)
 	if p.generation {
 		g.Placer.Finished(x.req.ID, p.tokens, kind)
 		return
--- a/internal/gateway/refusal.go
+++ b/internal/gateway/refusal.go
@@ -6,10 +6,10 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/core/outcome"
 )
 
-// Cause is why a request has no whole answer.
+// Cause is the reason why a request has no complete answer.
 type Cause string
 
-// The causes. They are stable: logs and counters name them.
+// The causes. Their values are stable because logs and metrics contain them.
 const (
 	CauseNotSynced  Cause = "routes_unknown"
 	CauseNoRoute    Cause = "no_route"
@@ -19,10 +19,10 @@
 	CauseUnknownModel   Cause = "unknown_model"
 	CauseOverloaded     Cause = "overloaded"
 	CauseEndpointFailed Cause = "endpoint_failed"
-	// CauseQuarantined: endpoints crash whenever they run the request.
+	// CauseQuarantined: the request crashes the endpoints that run it.
 	CauseQuarantined Cause = "crashes_endpoints"
-	// CauseEvacuated: all endpoints that could run the request are in failure
-	// domains that are evacuated.
+	// CauseEvacuated: all endpoints that could run the request are in evacuated
+	// failure domains.
 	CauseEvacuated   Cause = "evacuated"
 	CauseTimeout     Cause = "timeout"
 	CauseStopping    Cause = "daemon_stopping"
@@ -31,40 +31,43 @@
 	CauseInternal    Cause = "internal_error"
 )
 
-// Refusal is an honest answer in place of a whole one.
+// Refusal describes why a request has no complete answer, and whether it may
+// have run.
 type Refusal struct {
 	Cause   Cause
 	Outcome outcome.Outcome
-	// Detail is for people.
+	// Detail is a message for people.
 	Detail     string
 	DecisionID string
-	// RetryAfter is zero where a retry can't help.
+	// RetryAfter is zero if a retry can't help.
 	RetryAfter time.Duration
-	// Begun: a part of the answer has reached the caller, which must see that
-	// it isn't whole.
+	// Begun: part of the answer has reached the caller, which must be able to
+	// detect that it is incomplete.
 	Begun bool
-	// Version is that of the routes behind the refusal.
+	// Version is the version of the routes on which the refusal is based.
 	Version uint64
 }
 
-// Error is the detail with its cause.
+// Error returns the cause and the detail.
 func (r *Refusal) Error() string { return string(r.Cause) + ": " + r.Detail }
 
 const (
-	// retrySoon is the promise of refusals that the scheduler doesn't make: by
-	// then the caller asks another daemon, or this one knows more.
+	// retrySoon is the retry time of refusals for which the scheduler gives
+	// none: by then the caller asks another daemon, or this one has newer
+	// state.
 	retrySoon = 500 * time.Millisecond
-	// retryElsewhere is where another daemon serves at once: only as long as a
-	// caller needs to be told of one.
+	// retryElsewhere is the retry time if another daemon serves at once: just
+	// enough for the caller to obtain its address.
 	retryElsewhere = 50 * time.Millisecond
 )
 
-// settle sets when the caller may come back. What has not run always says so;
-// what may have run, and must not run twice, never asks for a retry.
-func (r *Refusal) settle(idempotent bool) {
+// setRetryAfter sets when the caller may retry. A request that has not run
+// always gets a retry time, unless its caller is gone or its time is over. One
+// that may have run and must not run twice never gets one.
+func (r *Refusal) setRetryAfter(idempotent bool) {
 	switch {
 	case r.Cause == CauseCallerGone, r.Cause == CauseTimeout:
-		// Nobody is left who waits.
+		// The caller no longer waits.
 		r.RetryAfter = 0
 	case r.Outcome != outcome.NotRun && !idempotent:
 		r.RetryAfter = 0
--- a/internal/gateway/refusal_test.go
+++ b/internal/gateway/refusal_test.go
@@ -7,26 +7,27 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/core/outcome"
 )
 
-// A caller learns when to come back from each refusal of what has not run, and
-// is never asked back with what may have run and must not run twice.
-func TestRefusalsSayWhenToComeBack(t *testing.T) {
-	promised := 70 * time.Millisecond
+// Every refusal of a request that has not run gives a retry time, unless the
+// caller's time is over. A refusal of one that may have run and must not run
+// twice gives none.
+func TestRefusalRetryAfter(t *testing.T) {
+	retryAfter := 70 * time.Millisecond
 	cases := []struct {
 		name       string
 		refusal    Refusal
 		idempotent bool
 		want       time.Duration
 	}{
-		{"not run, without a promise", Refusal{Cause: CauseTooManyOpen, Outcome: outcome.NotRun}, false, retrySoon},
-		{"not run, with one", Refusal{Cause: CauseOverloaded, Outcome: outcome.NotRun, RetryAfter: promised}, false, promised},
+		{"not run, no retry time given", Refusal{Cause: CauseTooManyOpen, Outcome: outcome.NotRun}, false, retrySoon},
+		{"not run, retry time given", Refusal{Cause: CauseOverloaded, Outcome: outcome.NotRun, RetryAfter: retryAfter}, false, retryAfter},
 		{"another daemon serves", Refusal{Cause: CauseStopping, Outcome: outcome.NotRun}, false, retryElsewhere},
-		{"may have run, once at most", Refusal{Cause: CauseEndpointFailed, Outcome: outcome.Unknown, RetryAfter: promised}, false, 0},
-		{"may have run, may be repeated", Refusal{Cause: CauseEndpointFailed, Outcome: outcome.Unknown}, true, retrySoon},
-		{"the caller's time is over", Refusal{Cause: CauseTimeout, Outcome: outcome.NotRun, RetryAfter: promised}, true, 0},
+		{"may have run, not idempotent", Refusal{Cause: CauseEndpointFailed, Outcome: outcome.Unknown, RetryAfter: retryAfter}, false, 0},
+		{"may have run, idempotent", Refusal{Cause: CauseEndpointFailed, Outcome: outcome.Unknown}, true, retrySoon},
+		{"the caller's time limit has passed", Refusal{Cause: CauseTimeout, Outcome: outcome.NotRun, RetryAfter: retryAfter}, true, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			c.refusal.settle(c.idempotent)
+			c.refusal.setRetryAfter(c.idempotent)
 			if c.refusal.RetryAfter != c.want {
 				t.Fatalf("%v, want %v", c.refusal.RetryAfter, c.want)
 			}
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -7,69 +7,71 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/core/route"
 )
 
-// Request is one caller's request on a route.
+// Request is a caller's request that Admit has matched to a route.
 type Request struct {
 	ID     string
 	Method string
-	// Target is the path and query as the caller sent them.
+	// Target is the path and query exactly as sent by the caller.
 	Target string
 	Host   string
-	// Header holds the headers that concern the endpoint.
+	// Header holds the headers to pass on to the endpoint.
 	Header http.Header
 	Body   []byte
-	// Pass is what Admit gave.
+	// Pass is the result of Admit.
 	Pass Pass
-	// Arrived is when the request's header had come.
+	// Arrived is when the request's header was received.
 	Arrived time.Time
-	// Patience is how long the caller will wait; zero where it didn't say.
+	// Patience is the time that the caller allows for the answer, counted from
+	// Arrived; zero if it set none.
 	Patience time.Duration
-	// Generation is nil where the caller says nothing of a generation.
+	// Generation is nil if the caller sent no parameters of a generation.
 	Generation *GenerationAsk
 }
 
-// GenerationAsk is what a caller says of the generation that it asks for.
+// GenerationAsk holds the caller's parameters of a generation.
 type GenerationAsk struct {
 	Model        string
 	PromptTokens int
-	// MaxTokens bounds the answer; zero is no bound.
+	// MaxTokens bounds the answer; zero means no bound.
 	MaxTokens int
-	// LengthHint is the caller's guess of the answer's tokens; zero for none.
+	// LengthHint is the caller's estimate of the tokens in the answer; zero if
+	// it gave none.
 	LengthHint int
-	// Parts are the parts of the prompt in their order.
+	// Parts are the parts of the prompt in order.
 	Parts []PromptPart
 }
 
-// PromptPart is a part of a prompt that requests may share.
+// PromptPart is a part of a prompt that several requests may share.
 type PromptPart struct {
 	ID     uint64
 	Tokens int
 }
 
-// Pass is a request's right to be served: its route and whose it is.
+// Pass is the permission to serve a request: its route and its organisation.
 type Pass struct {
 	Route *route.Route
 	// Organisation is empty on open routes.
 	Organisation string
-	// Rank is the request's urgency; zero goes first.
+	// Rank is the request's urgency; zero is the most urgent.
 	Rank   int
 	Limits route.Limits
-	// Version is that of the routes which it rests on.
+	// Version is the version of the routes from which the pass was made.
 	Version uint64
 }
 
-// Responder takes the answer on behalf of a caller. An error means that the
-// caller has gone.
+// Responder writes the answer to a caller. An error means that the caller has
+// disconnected.
 type Responder interface {
-	// Begin gives the status and header, and the length of the body, -1 where
-	// it isn't known. It is called at most once, before any Write.
+	// Begin sends the status and header; length is the length of the body, or
+	// -1 if it is not known. It is called at most once, before any Write.
 	Begin(status int, header http.Header, length int64) error
 	Write(p []byte) error
-	// Flush sends what Write kept back.
+	// Flush sends the data that Write has buffered.
 	Flush() error
 }
 
-// Admit finds the route of a request and whose it is. Refusals that say there
-// is no such route or key are given only by a daemon that knows the routes.
+// Admit finds the route and the organisation of a request. Only a daemon that
+// has loaded the routes refuses with CauseNoRoute or CauseNoKey.
 func (g *Gateway) Admit(host, path, keySHA256 string) (Pass, *Refusal) {
 	index := g.index.Load()
 	if index == nil {
