--- a/internal/gateway/runs.go
+++ b/internal/gateway/runs.go
@@ -9,7 +9,7 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// runs holds the streams under way whose runs can be moved.
+// runs holds the streams in progress whose runs can be moved.
 type runs struct {
 	mu sync.Mutex
 	m  map[string]*run
@@ -42,59 +42,62 @@
 	return out
 }
 
-// run is one stream under way: the relay reads it, a move copies it.
+// run is one stream in progress, read by its relay and copied by a move.
 type run struct {
 	x *exchange
 
 	mu       sync.Mutex
 	endpoint port.Endpoint
 	lastID   string
-	// source is the answer that is being read.
+	// source is the answer being read.
 	source io.Closer
-	// move is the last move off the endpoint, nil for none.
+	// move is the last move away from the endpoint, nil if there is none.
 	move *moveState
 }
 
-// moveState is what a move off one runner has come to. It belongs to the source
-// that the run had when the move began: once the run goes on from another
-// source, what that move still does is of no effect. Without this a late end of
-// one move ended the next one, whose channel was then closed twice, and the
-// daemon fell with all its streams.
+// moveState is the state of a move away from one runner. It belongs to the
+// source that the run had when the move began. Once the run continues from
+// another source, later calls of the move have no effect. Otherwise the late
+// end of one move would end the next one, whose channel would then be closed
+// twice, and the panic would end the daemon with all its streams.
 type moveState struct {
-	// cancel ends the copy that is under way.
+	// cancel ends the copy in progress.
 	cancel context.CancelFunc
-	// done is closed at the end of the move.
+	// done is closed when the move ends.
 	done chan struct{}
-	// ended: the move is over, and another may begin unless it stopped the run.
+	// ended: the move is over, and another may begin unless this one stopped
+	// the run.
 	ended bool
-	// stopping: the last copy has begun, so the end of the source is not taken
-	// for a failure.
+	// stopping: the last copy has begun, so the end of the source is not a
+	// failure.
 	stopping bool
-	// left: the relay has taken the run up, or has given it up.
-	left bool
-	// copied is where a copy of the run lies, nil for nowhere.
-	copied *copyAt
-	// handed is the copy that the relay goes on from, or tries to; it is not
-	// freed, and neither is one that bears its name.
-	handed *copyAt
-	// taken: the run went on from the copy at its destination.
-	taken bool
-}
-
-// copyAt names a copy of a run.
-type copyAt struct {
+	// detached: the relay has resumed the run or has given it up.
+	detached bool
+	// latestCopy is the most recent copy of the run, nil if there is none.
+	latestCopy *runCopy
+	// resumingFrom is the copy from which the relay resumes or tries to resume
+	// the run. Neither it nor a copy with the same runner and handle may be
+	// released.
+	resumingFrom *runCopy
+	// resumed: the run has continued from the copy at its destination.
+	resumed bool
+}
+
+// runCopy identifies a copy of a run.
+type runCopy struct {
 	from   port.Endpoint
 	to     port.Endpoint
 	handle string
 }
 
-// same reports whether two copies are one at the runner that holds them.
-func (c *copyAt) same(other *copyAt) bool {
+// equal reports whether two values identify the same copy at the runner that
+// holds it.
+func (c *runCopy) equal(other *runCopy) bool {
 	return c.to.ID == other.to.ID && c.handle == other.handle
 }
 
-// beginMove begins a move, whose copies cancel ends; nil where one is under way
-// or has stopped the run. It also returns where the run is.
+// beginMove begins a move; cancel ends its copies. It returns nil if a move is
+// in progress or has stopped the run. It also returns the endpoint of the run.
 func (r *run) beginMove(cancel context.CancelFunc) (*moveState, port.Endpoint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -103,28 +106,29 @@
 		if !before.ended || before.stopping {
 			return nil, r.endpoint
 		}
-		next.copied = before.copied
+		next.latestCopy = before.latestCopy
 	}
 	r.move = next
 	return next, r.endpoint
 }
 
-// endMove lets the relay go on. It reports whether the run stays where it is,
-// without a copy.
-func (r *run) endMove(m *moveState) (stays bool) {
+// endMove ends a move, so that a waiting relay continues. It reports whether
+// the run stays where it is and has no copy.
+func (r *run) endMove(m *moveState) (staysWithoutCopy bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	m.ended = true
 	close(m.done)
-	if m.stopping && !m.left {
-		// The source should have ended by now. One that stays silent is
-		// closed, or the relay would wait for it.
+	if m.stopping && !m.detached {
+		// The source should have ended by now. One that is still open without
+		// sending anything is closed, because the relay would wait for it.
 		time.AfterFunc(sourceGrace, r.closeSource(r.source))
 	}
-	return r.move == m && m.copied == nil
+	return r.move == m && m.latestCopy == nil
 }
 
-// sourceGrace is how long a stopped run's stream may take to arrive and end.
+// sourceGrace is how long after the last copy a stopped run's stream may take
+// to arrive and end.
 const sourceGrace = 300 * time.Millisecond
 
 func (r *run) closeSource(source io.Closer) func() {
@@ -132,99 +136,101 @@
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		if r.source == source && source != nil {
-			// Its reader sees the end; there is nothing else to do about it.
+			// The relay's next read fails; an error of Close needs no other
+			// handling.
 			_ = source.Close()
 		}
 	}
 }
 
-// setCopy notes where a copy of the run lies. It returns the copy that nobody
-// will use any more, nil for none: the one before at another runner, or this one
-// where the run has left the move behind.
-func (r *run) setCopy(m *moveState, c *copyAt) (useless *copyAt) {
+// setCopy stores the latest copy of a run. It returns the copy that will no
+// longer be used, nil if there is none: the previous one if it is at another
+// runner, or this one if the run has detached from the move.
+func (r *run) setCopy(m *moveState, c *runCopy) (unused *runCopy) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	before := m.copied
+	before := m.latestCopy
 	switch {
-	case m.handed != nil && m.handed.same(c):
+	case m.resumingFrom != nil && m.resumingFrom.equal(c):
 		return nil
-	case m.left:
+	case m.detached:
 		return c
 	}
-	m.copied = c
+	m.latestCopy = c
 	if before != nil && before.to.ID != c.to.ID {
 		return before
 	}
 	return nil
 }
 
-// stop reports whether the run may be stopped for its last copy: not once the
-// relay has taken it up from an earlier one.
-func (r *run) stop(m *moveState) bool {
+// tryStop reports whether the run may be stopped for its last copy. It may not
+// once the relay has resumed it from an earlier copy.
+func (r *run) tryStop(m *moveState) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	m.stopping = !m.left
+	m.stopping = !m.detached
 	return m.stopping
 }
 
-// took notes an event that the caller has.
-func (r *run) took(id string) {
+// setLastID stores the id of the last event sent to the caller.
+func (r *run) setLastID(id string) {
 	r.mu.Lock()
 	r.lastID = id
 	r.mu.Unlock()
 }
 
-// at is where the run is.
-func (r *run) at() port.Endpoint {
+// currentEndpoint returns the endpoint of the run.
+func (r *run) currentEndpoint() port.Endpoint {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.endpoint
 }
 
-// reads notes the source that the relay reads now. It returns a copy that
-// nobody will use any more, nil for none.
-func (r *run) reads(e port.Endpoint, source io.Closer) (useless *copyAt) {
+// setSource sets the endpoint and the source from which the relay now reads. It
+// returns a copy that will no longer be used, nil if there is none.
+func (r *run) setSource(e port.Endpoint, source io.Closer) (unused *runCopy) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if m := r.move; m != nil && m.copied != nil {
-		m.taken = m.copied.to.ID == e.ID
+	if m := r.move; m != nil && m.latestCopy != nil {
+		m.resumed = m.latestCopy.to.ID == e.ID
 	}
-	useless = r.leave()
+	unused = r.detachMove()
 	r.endpoint, r.source, r.move = e, source, nil
-	return useless
+	return unused
 }
 
-// end ends the move that is under way with the run. It returns the copy that
-// nobody will use any more, nil for none.
-func (r *run) end() (useless *copyAt) {
+// end ends the move in progress when the run ends. It returns the copy that
+// will no longer be used, nil if there is none.
+func (r *run) end() (unused *runCopy) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.leave()
+	return r.detachMove()
 }
 
-// leave ends the part that a move has in the run; r.mu is held.
-func (r *run) leave() (useless *copyAt) {
+// detachMove detaches the run from its move; r.mu must be held. It returns the
+// copy that will not be used, nil if there is none.
+func (r *run) detachMove() (unused *runCopy) {
 	m := r.move
 	if m == nil {
 		return nil
 	}
-	m.left = true
+	m.detached = true
 	m.cancel()
-	if m.taken {
+	if m.resumed {
 		return nil
 	}
-	return m.copied
+	return m.latestCopy
 }
 
-// handover returns the copy from which the run goes on, once a move that has
-// stopped the run has ended; nil where there is none. No move stops the run
-// afterwards.
-func (r *run) handover(done <-chan struct{}) (*copyAt, string) {
+// awaitCopy waits for the end of a move that has stopped the run. It returns
+// the copy from which to resume the run, nil if there is none, and the id of
+// the last event sent to the caller. No move can stop the run afterwards.
+func (r *run) awaitCopy(done <-chan struct{}) (*runCopy, string) {
 	r.mu.Lock()
 	m := r.move
 	stopping := m != nil && m.stopping
 	if m != nil && !stopping {
-		m.left, m.handed = true, m.copied
+		m.detached, m.resumingFrom = true, m.latestCopy
 	}
 	r.mu.Unlock()
 	if m == nil {
@@ -239,6 +245,6 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	m.handed = m.copied
-	return m.copied, r.lastID
+	m.resumingFrom = m.latestCopy
+	return m.latestCopy, r.lastID
 }
--- a/internal/gateway/streams_test.go
+++ b/internal/gateway/streams_test.go
@@ -28,29 +28,29 @@
 	return b.String()
 }
 
-// streamed is an answer whose events a test writes.
+// streamed returns an answer whose events the test writes to body.
 func streamed(body io.ReadCloser) (*port.Answer, error) {
 	return &port.Answer{
 		Status: 200, Header: http.Header{"Content-Type": {"text/event-stream"}}, Length: -1, Delimited: true, Body: body,
 	}, nil
 }
 
-// engine plays one run over all runners: its events come one by one, it can be
-// copied, stopped, and taken up where it stood.
-type engine struct {
+// fakeEngine simulates one run across all runners: it sends events one by one,
+// and the run can be copied, stopped, and resumed after its last event.
+type fakeEngine struct {
 	mu sync.Mutex
-	// next is the next event, total the last one.
+	// next is the number of the next event, total that of the last one.
 	next, total int
-	// at is the runner that has the run, and pipe what it writes to.
-	at      string
+	// runner is the runner that has the run, and pipe its answer's body.
+	runner  string
 	pipe    *io.PipeWriter
 	stopped bool
 	copies  int
-	// takenUp lists where the run was taken up.
-	takenUp []string
+	// resumedAt lists the runners at which the run was resumed.
+	resumedAt []string
 }
 
-func (e *engine) send(x *port.Exchange) (*port.Answer, error) {
+func (e *fakeEngine) send(x *port.Exchange) (*port.Answer, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if x.Generation.Continue != nil {
@@ -59,15 +59,15 @@
 			return nil, port.ErrRefused
 		}
 		e.next, e.stopped = after+1, false
-		e.takenUp = append(e.takenUp, x.Endpoint.ID)
+		e.resumedAt = append(e.resumedAt, x.Endpoint.ID)
 	}
 	reader, writer := io.Pipe()
-	e.at, e.pipe = x.Endpoint.ID, writer
+	e.runner, e.pipe = x.Endpoint.ID, writer
 	return streamed(reader)
 }
 
-// make writes one event, and the end after the last.
-func (e *engine) make() {
+// make writes one event, and closes the stream after the last one.
+func (e *fakeEngine) make() {
 	e.mu.Lock()
 	pipe, n, stopped := e.pipe, e.next, e.stopped
 	if !stopped {
@@ -78,14 +78,14 @@
 	if stopped || pipe == nil {
 		return
 	}
-	// A relay that has gone reads no more.
+	// The write fails if the relay has ended.
 	_, _ = io.WriteString(pipe, event(n))
 	if last {
 		pipe.Close()
 	}
 }
 
-func (e *engine) copy(_, _ port.Endpoint, stop bool) (port.Copy, error) {
+func (e *fakeEngine) copy(_, _ port.Endpoint, stop bool) (port.Copy, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.stopped || e.next > e.total {
@@ -99,22 +99,22 @@
 	return port.Copy{Handle: "h", Events: e.next - 1}, nil
 }
 
-func (e *engine) where() string {
+func (e *fakeEngine) currentRunner() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.at
+	return e.runner
 }
 
-// play serves one stream with the engine and drives it to its end; before each
-// event hook may do something.
-func play(t *testing.T, b *bench, e *engine, hook func(n int)) (*caller, *Refusal) {
+// serveStream serves one stream from the engine until it ends; it calls hook
+// before each event.
+func serveStream(t *testing.T, b *harness, e *fakeEngine, hook func(n int)) (*fakeCaller, *Refusal) {
 	t.Helper()
-	b.everywhere("e", e.send)
-	b.world.copies = e.copy
-	got := &caller{}
+	b.setHandlers("e", e.send)
+	b.backends.copyHandler = e.copy
+	got := &fakeCaller{}
 	done := make(chan *Refusal, 1)
-	go func() { done <- b.ask(t, "/stream/", got) }()
-	eventually.True(t, "the run begins", func() bool { return e.where() != "" })
+	go func() { done <- b.send(t, "/stream/", got) }()
+	eventually.True(t, "the run begins", func() bool { return e.currentRunner() != "" })
 	for n := 1; n <= e.total; n++ {
 		hook(n)
 		e.make()
@@ -126,103 +126,106 @@
 	case refusal := <-done:
 		return got, refusal
 	case <-time.After(20 * time.Second):
-		t.Fatal("the stream doesn't end")
+		t.Fatal("the stream did not end in time")
 		return nil, nil
 	}
 }
 
 func TestStreamIsRelayedWhole(t *testing.T) {
-	b := newBench(t)
-	got, refusal := play(t, b, &engine{next: 1, total: 5}, func(int) {})
+	b := newHarness(t)
+	got, refusal := serveStream(t, b, &fakeEngine{next: 1, total: 5}, func(int) {})
 	if refusal != nil || got.text() != events(1, 5) {
 		t.Fatalf("%v after %q", refusal, got.text())
 	}
 }
 
-// A report's runner is reclaimed in the middle of it. The caller sees every
-// event once, in order, from one run, and doesn't learn that it has moved.
-func TestRunMovesOffALeavingRunner(t *testing.T) {
-	b := newBench(t)
-	e := &engine{next: 1, total: 20}
+// A runner is reclaimed while it streams. The caller gets every event of the
+// run once and in order, and the move is not visible to it.
+func TestRunMovesFromALeavingRunner(t *testing.T) {
+	b := newHarness(t)
+	e := &fakeEngine{next: 1, total: 20}
 	moves := 0
-	got, refusal := play(t, b, e, func(n int) {
+	got, refusal := serveStream(t, b, e, func(n int) {
 		if n != 5 && n != 12 {
 			return
 		}
-		from := e.where()
-		b.leave(from)
+		from := e.currentRunner()
+		b.setLeaving(from)
 		moves++
-		eventually.True(t, "the run is taken up elsewhere", func() bool { return e.where() != from })
+		eventually.True(t, "the run is resumed at another runner", func() bool { return e.currentRunner() != from })
 	})
 	if refusal != nil || got.text() != events(1, 20) {
 		t.Fatalf("%v after %q", refusal, got.text())
 	}
-	if len(e.takenUp) != moves {
-		t.Fatalf("taken up at %v, want %d moves", e.takenUp, moves)
+	if len(e.resumedAt) != moves {
+		t.Fatalf("resumed at %v, want %d moves", e.resumedAt, moves)
 	}
 }
 
-// A run whose runner leaves can't be copied anywhere: it goes on where it is,
-// and where it is cut there the caller sees that it is not whole.
-func TestRunThatCantMoveEndsHonestly(t *testing.T) {
-	b := newBench(t)
-	b.everywhere("e", func(*port.Exchange) (*port.Answer, error) {
+// A run whose runner leaves can't be copied anywhere and continues where it is.
+// If it is cut off there, the caller's answer must be recognisable as
+// incomplete.
+func TestTruncatedStreamThatCannotMoveFails(t *testing.T) {
+	b := newHarness(t)
+	b.setHandlers("e", func(*port.Exchange) (*port.Answer, error) {
 		return streamed(cutBody{strings.NewReader(events(1, 3) + "id: 4\nda")})
 	})
-	b.world.copies = func(_, _ port.Endpoint, _ bool) (port.Copy, error) { return port.Copy{}, port.ErrNoRoom }
-	got := &caller{}
-	refusal := b.ask(t, "/stream/", got)
+	b.backends.copyHandler = func(_, _ port.Endpoint, _ bool) (port.Copy, error) { return port.Copy{}, port.ErrNoRoom }
+	got := &fakeCaller{}
+	refusal := b.send(t, "/stream/", got)
 	if refusal == nil || !refusal.Begun || refusal.Outcome != outcome.Failed || got.text() != events(1, 3) {
 		t.Fatalf("%+v after %q", refusal, got.text())
 	}
-	if n := len(b.world.arrivals()); n != 1 {
-		t.Fatalf("%d arrivals: a stream that has begun was sent again", n)
+	if n := len(b.backends.arrivals()); n != 1 {
+		t.Fatalf("%d requests sent: a stream that has begun was retried", n)
 	}
 }
 
-// A runner dies before the first event of a stream. It may have run, so the
-// request isn't sent again; nothing has reached the caller, who is told.
-func TestStreamLostBeforeItsFirstEvent(t *testing.T) {
-	b := newBench(t)
-	b.everywhere("e", func(*port.Exchange) (*port.Answer, error) { return streamed(cutBody{strings.NewReader("")}) })
-	refusal := b.ask(t, "/stream/", &caller{})
-	if refusal == nil || refusal.Begun || refusal.Outcome != outcome.Unknown || len(b.world.arrivals()) != 1 {
-		t.Fatalf("%+v after %d arrivals", refusal, len(b.world.arrivals()))
+// A runner fails before the first event of a stream. The request may have run,
+// so it is not sent again; nothing has reached the caller, which gets a
+// refusal.
+func TestStreamLostBeforeItsFirstEventIsNotRetried(t *testing.T) {
+	b := newHarness(t)
+	b.setHandlers("e", func(*port.Exchange) (*port.Answer, error) { return streamed(cutBody{strings.NewReader("")}) })
+	refusal := b.send(t, "/stream/", &fakeCaller{})
+	if refusal == nil || refusal.Begun || refusal.Outcome != outcome.Unknown || len(b.backends.arrivals()) != 1 {
+		t.Fatalf("%+v after %d arrivals", refusal, len(b.backends.arrivals()))
 	}
 }
 
-// A full runner has not run the request: it goes to another one.
-func TestFullRunnerIsNotTheEnd(t *testing.T) {
-	b := newBench(t)
+// A request refused by a full runner has not run and is sent to another one.
+func TestRequestRefusedByAFullRunnerIsRetried(t *testing.T) {
+	b := newHarness(t)
 	whole := func(*port.Exchange) (*port.Answer, error) {
 		return streamed(io.NopCloser(strings.NewReader(events(1, 3))))
 	}
-	b.everywhere("e", inTurn(failure(port.ErrRefused), whole))
-	got := &caller{}
-	if refusal := b.ask(t, "/stream/", got); refusal != nil || got.text() != events(1, 3) {
+	b.setHandlers("e", sequence(failure(port.ErrRefused), whole))
+	got := &fakeCaller{}
+	if refusal := b.send(t, "/stream/", got); refusal != nil || got.text() != events(1, 3) {
 		t.Fatalf("%v after %q", refusal, got.text())
 	}
 }
 
-// Runs leave, can't be copied, are stopped and not taken up, or are cut with and
-// without a copy, in any order. What the caller has is always a beginning of
-// the one run, each event once and in order, and whole only where it ends well.
-func TestCallerNeverSeesAGapOrAnEventTwice(t *testing.T) {
+// Runs move, can't be copied, are stopped and not resumed, or are cut off with
+// and without a copy, in any order. The caller always has a prefix of the one
+// run, with each event once and in order, and gets a complete answer only if
+// the run completes.
+func TestCallerSeesEachEventOnceInOrder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		b := newBench(t)
+		b := newHarness(t)
 		total := rapid.IntRange(1, 12).Draw(rt, "events")
-		r := &erraticRun{
-			total: total, cutAt: rapid.IntRange(0, 2*total).Draw(rt, "cut"), leave: b.leave,
-			// Drawn ahead, as a move may outlast its request.
-			fates: rapid.SliceOfN(rapid.IntRange(0, 59), 40, 40).Draw(rt, "fates"),
+		r := &unreliableEngine{
+			total: total, cutAt: rapid.IntRange(0, 2*total).Draw(rt, "cut"), leave: b.setLeaving,
+			// Drawn in advance, because a move may outlast its request.
+			choices: rapid.SliceOfN(rapid.IntRange(0, 59), 40, 40).Draw(rt, "choices"),
 		}
-		b.everywhere("e", r.send)
-		b.world.copies = r.copy
-		got := &caller{}
-		refusal := b.ask(t, "/stream/", got)
+		b.setHandlers("e", r.send)
+		b.backends.copyHandler = r.copy
+		got := &fakeCaller{}
+		refusal := b.send(t, "/stream/", got)
 		text := got.text()
 		if refusal == nil && text != events(1, total) {
-			rt.Fatalf("ended as whole with %q", text)
+			rt.Fatalf("ended as complete with %q", text)
 		}
 		if n := strings.Count(text, "\n\n"); text != events(1, n) {
 			rt.Fatalf("the caller has %q", text)
@@ -230,37 +233,37 @@
 	})
 }
 
-// erraticRun answers with bodies that break off and copies that fail.
-type erraticRun struct {
+// unreliableEngine answers with bodies that break off and copies that fail.
+type unreliableEngine struct {
 	total int
 	cutAt int
 	leave func(id string)
 
-	mu    sync.Mutex
-	fates []int
-	runs  int
+	mu      sync.Mutex
+	choices []int
+	runs    int
 }
 
-// fate is the next one drawn, below n.
-func (r *erraticRun) fate(n int) int {
+// choose returns the next drawn choice, in [0, n).
+func (r *unreliableEngine) choose(n int) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if len(r.fates) == 0 {
+	if len(r.choices) == 0 {
 		return n - 1
 	}
-	f := r.fates[0] % n
-	r.fates = r.fates[1:]
+	f := r.choices[0] % n
+	r.choices = r.choices[1:]
 	return f
 }
 
-func (r *erraticRun) send(x *port.Exchange) (*port.Answer, error) {
+func (r *unreliableEngine) send(x *port.Exchange) (*port.Answer, error) {
 	from := 1
 	if c := x.Generation.Continue; c != nil {
-		if r.fate(4) == 0 {
+		if r.choose(4) == 0 {
 			return nil, port.ErrRefused
 		}
 		if _, err := fmt.Sscan(c.LastEventID, &from); err != nil {
-			return nil, errors.New("no event to go on from")
+			return nil, errors.New("no event id to resume from")
 		}
 		from++
 	}
@@ -268,11 +271,11 @@
 	r.runs++
 	first := r.runs == 1
 	r.mu.Unlock()
-	if first && r.fate(2) == 0 {
+	if first && r.choose(2) == 0 {
 		go r.leave(x.Endpoint.ID)
 	}
 	to := r.total
-	if first || r.fate(4) == 0 {
+	if first || r.choose(4) == 0 {
 		to = min(r.total, max(from-1, r.cutAt))
 	}
 	text := events(from, to)
@@ -282,8 +285,8 @@
 	return streamed(cutBody{strings.NewReader(text + "id: ")})
 }
 
-func (r *erraticRun) copy(_, _ port.Endpoint, _ bool) (port.Copy, error) {
-	switch r.fate(5) {
+func (r *unreliableEngine) copy(_, _ port.Endpoint, _ bool) (port.Copy, error) {
+	switch r.choose(5) {
 	case 0:
 		return port.Copy{}, port.ErrNoRoom
 	case 1:
