--- a/internal/adapter/httpcaller/answer.go
+++ b/internal/adapter/httpcaller/answer.go
@@ -15,7 +15,7 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/router"
 )
 
-// eventError is the name of the event that ends a stream without its end.
+// eventError is the name of the event that ends an incomplete stream.
 const eventError = "error"
 
 type tokenEvent struct {
@@ -31,31 +31,31 @@
 	TokenCount   int    `json:"token_count"`
 }
 
-type wholeAnswer struct {
+type completionReply struct {
 	ID           string `json:"id"`
 	Text         string `json:"text"`
 	FinishReason string `json:"finish_reason"`
 	TokenCount   int    `json:"token_count"`
 }
 
-// streamWriter writes a generation as server-sent events. The response's
-// header waits for the first frame, so that a refusal still has its status.
+// streamWriter writes a generation as server-sent events. The response header
+// is sent with the first frame, so that an earlier refusal can set the status.
 type streamWriter struct {
 	w         http.ResponseWriter
 	control   *http.ResponseController
 	requestID string
 	timeout   time.Duration
-	begun     bool
+	started   bool
 }
 
 func newStreamWriter(w http.ResponseWriter, requestID string, timeout time.Duration) *streamWriter {
 	return &streamWriter{w: w, control: http.NewResponseController(w), requestID: requestID, timeout: timeout}
 }
 
-// Resumable is true, as each event's id is a resume token.
+// Resumable is true because each event ID contains the resume token.
 func (s *streamWriter) Resumable() bool { return true }
 
-// Frame writes one event, which may wait in the response's buffer for Flush.
+// Frame writes one event, which may stay in the response buffer until Flush.
 func (s *streamWriter) Frame(token string, f *port.Frame) error {
 	var data any = tokenEvent{ID: s.requestID, Index: f.Index, Text: f.Text}
 	if f.Final() {
@@ -68,14 +68,14 @@
 	return s.write("", stream.EventID(token, f.Index), string(raw))
 }
 
-// Flush sends the events that wait, within the deadline of the last write.
+// Flush sends the buffered events within the deadline of the last write.
 func (s *streamWriter) Flush() error { return s.control.Flush() }
 
 func (s *streamWriter) write(name, id, data string) error {
-	if !s.begun {
+	if !s.started {
 		s.w.Header().Set("Content-Type", "text/event-stream")
 		s.w.Header().Set("Cache-Control", "no-store")
-		s.begun = true
+		s.started = true
 	}
 	m := sse.Message{}
 	if id != "" {
@@ -85,20 +85,20 @@
 		m.Type = sse.Type(name)
 	}
 	m.AppendData(data)
-	// Not every writer has deadlines; those of the listener do.
+	// The listener's writers support deadlines; other writers may not.
 	_ = s.control.SetWriteDeadline(time.Now().Add(s.timeout))
 	_, err := m.WriteTo(s.w)
 	return err
 }
 
-// finish tells a refusal: as a problem document before the first event, else
-// as an error event whose id keeps the caller's place.
+// finish reports a refusal, if any: before the first event as a problem
+// document, later as an error event whose ID lets the caller resume.
 func (s *streamWriter) finish(refusal *router.Refusal) {
 	if refusal == nil {
 		return
 	}
 	p := problemOf(refusal, s.requestID)
-	if !s.begun {
+	if !s.started {
 		p.write(s.w)
 		return
 	}
@@ -106,13 +106,13 @@
 	if refusal.ResumeToken != "" && refusal.LastIndex >= 0 {
 		id = stream.EventID(refusal.ResumeToken, refusal.LastIndex)
 	}
-	// The caller may be gone; there is nobody left to tell.
+	// If the write fails, the caller has disconnected; the error can't be reported.
 	if s.write(eventError, id, string(p.marshal())) == nil {
 		_ = s.Flush()
 	}
 }
 
-// collector gathers a generation for a caller that doesn't stream.
+// collector accumulates a generation for a caller that doesn't stream.
 type collector struct {
 	requestID string
 	text      strings.Builder
@@ -121,13 +121,13 @@
 
 func newCollector(requestID string) *collector { return &collector{requestID: requestID} }
 
-// Resumable is false: the caller sees no token before the end.
+// Resumable is false because the caller gets no token before the end.
 func (c *collector) Resumable() bool { return false }
 
-// Flush has nothing to do: the answer is written whole.
+// Flush does nothing because the answer is written at the end.
 func (c *collector) Flush() error { return nil }
 
-// Frame keeps the text.
+// Frame appends the frame's text or stores the final frame.
 func (c *collector) Frame(_ string, f *port.Frame) error {
 	if f.Final() {
 		c.final = *f
@@ -137,24 +137,24 @@
 	return nil
 }
 
-func (h *handler) writeWhole(w http.ResponseWriter, c *collector, refusal *router.Refusal) {
+func (h *handler) writeCompletion(w http.ResponseWriter, c *collector, refusal *router.Refusal) {
 	if refusal != nil {
 		problemOf(refusal, c.requestID).write(w)
 		return
 	}
-	// Not every writer has deadlines; those of the listener do.
+	// The listener's writers support deadlines; other writers may not.
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(h.WriteTimeout))
-	httpadmin.WriteJSON(w, http.StatusOK, wholeAnswer{
+	httpadmin.WriteJSON(w, http.StatusOK, completionReply{
 		ID: c.requestID, Text: c.text.String(),
 		FinishReason: c.final.FinishReason, TokenCount: c.final.TokenCount,
 	})
 }
 
-// resumableProblem is a problem that may carry a resume token.
+// resumableProblem is a problem document that may contain a resume token.
 type resumableProblem struct {
 	problem.Problem
 	ResumeToken string `json:"resume_token,omitempty"`
-	// Resume is the path at which any router gives the rest.
+	// Resume is the path at which any router serves the rest of the stream.
 	Resume string `json:"resume,omitempty"`
 }
 
@@ -179,7 +179,7 @@
 	}
 	raw, err := json.Marshal(p)
 	if err != nil {
-		// Only plain strings and numbers are in the struct.
+		// Marshalling can't fail: the struct holds only strings and numbers.
 		panic(err)
 	}
 	return raw
@@ -193,6 +193,6 @@
 	w.Header().Set("Content-Type", problem.ContentType)
 	w.Header().Set("Retry-After", "1")
 	w.WriteHeader(p.Status)
-	// The caller may be gone; there is nobody left to tell.
+	// If the write fails, the caller has disconnected; the error can't be reported.
 	_, _ = w.Write(p.marshal())
 }
--- a/internal/adapter/httpcaller/completions.go
+++ b/internal/adapter/httpcaller/completions.go
@@ -9,13 +9,13 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/router"
 )
 
-// headerLastEventID is sent by a caller that resumes.
+// headerLastEventID is the ID of the last event that a resuming caller received.
 const headerLastEventID = "Last-Event-ID"
 
 func (h *handler) completions(w http.ResponseWriter, r *http.Request, c caller) {
-	body, request, bad := h.readCompletion(w, r, c)
-	if bad != nil {
-		h.rejectBad(w, bad)
+	body, request, invalid := h.readCompletion(w, r, c)
+	if invalid != nil {
+		h.rejectInvalid(w, invalid)
 		return
 	}
 	if body.Stream {
@@ -23,35 +23,35 @@
 		s.finish(h.Application.Generate(r.Context(), request, s))
 		return
 	}
-	a := newCollector(request.RequestID)
-	refusal := h.Application.Generate(r.Context(), request, a)
-	h.writeWhole(w, a, refusal)
+	answer := newCollector(request.RequestID)
+	refusal := h.Application.Generate(r.Context(), request, answer)
+	h.writeCompletion(w, answer, refusal)
 }
 
-func (h *handler) readCompletion(w http.ResponseWriter, r *http.Request, c caller) (*completionBody, *router.GenerationRequest, *badInput) {
-	key, bad := idempotencyKey(r)
-	if bad != nil {
-		return nil, nil, bad
+func (h *handler) readCompletion(w http.ResponseWriter, r *http.Request, c caller) (*completionBody, *router.GenerationRequest, *invalidInput) {
+	key, invalid := idempotencyKey(r)
+	if invalid != nil {
+		return nil, nil, invalid
 	}
-	once, bad := nonIdempotent(r)
-	if bad != nil {
-		return nil, nil, bad
+	isNonIdempotent, invalid := nonIdempotent(r)
+	if invalid != nil {
+		return nil, nil, invalid
 	}
-	raw, bad := readBody(w, r, h.BodyTimeout)
-	if bad != nil {
-		return nil, nil, bad
+	raw, invalid := readBody(w, r, h.BodyTimeout)
+	if invalid != nil {
+		return nil, nil, invalid
 	}
-	body, bad := parseCompletion(raw)
-	if bad != nil {
-		return nil, nil, bad
+	body, invalid := parseCompletion(raw)
+	if invalid != nil {
+		return nil, nil, invalid
 	}
 	return body, &router.GenerationRequest{
 		RequestID: c.requestID, Organisation: c.organisation, Model: body.Model, Prompt: body.Prompt,
-		MaxTokens: body.MaxTokens, User: body.User, IdempotencyKey: key, NonIdempotent: once,
+		MaxTokens: body.MaxTokens, User: body.User, IdempotencyKey: key, NonIdempotent: isNonIdempotent,
 	}, nil
 }
 
-// resume serves the rest of a stream. Without Last-Event-ID it begins at the
+// resume serves the rest of a stream. Without Last-Event-ID it starts at the
 // first token.
 func (h *handler) resume(w http.ResponseWriter, r *http.Request, c caller) {
 	token := r.PathValue("token")
@@ -70,12 +70,13 @@
 	}, s))
 }
 
-// cancelReply tells what the engine said of the run before the cancel.
+// cancelReply holds the status that the engine reported for the run before
+// the cancellation.
 type cancelReply struct {
 	Status port.GenerationStatus `json:"status"`
 }
 
-// cancel ends a run that its caller no longer wants.
+// cancel stops a run at its caller's request.
 func (h *handler) cancel(w http.ResponseWriter, r *http.Request, c caller) {
 	status, refusal := h.Application.Cancel(r.Context(), c.organisation, r.PathValue("token"))
 	if refusal != nil {
--- a/internal/adapter/httpcaller/deadline_test.go
+++ b/internal/adapter/httpcaller/deadline_test.go
@@ -12,12 +12,12 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/router"
 )
 
-// A caller opens a stream and never reads. Once the buffers between are full,
-// a write would block for as long as the connection stands, and with it the
-// run's place. The write deadline ends it.
-func TestCallerThatNeverReadsIsLetGo(t *testing.T) {
+// Guards against a caller that opens a stream and never reads: once the
+// buffers in between are full, a write would block for as long as the
+// connection is open and occupy the run's slot. The write deadline ends it.
+func TestWriteTimeoutEndsStreamOfNonReadingCaller(t *testing.T) {
 	ended := make(chan error, 1)
-	a := &application{generate: func(answer router.Answer) *router.Refusal {
+	a := &fakeApplication{generate: func(answer router.Answer) *router.Refusal {
 		f := port.Frame{Generation: "g", Text: strings.Repeat("t", 32<<10)}
 		for ; ; f.Index++ {
 			err := answer.Frame("token", &f)
@@ -30,7 +30,7 @@
 			}
 		}
 	}}
-	server := serveTimes(t, a, patience, 50*time.Millisecond)
+	server := serveWithTimeouts(t, a, testTimeout, 50*time.Millisecond)
 	c, err := net.Dial("tcp", server.Listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -43,7 +43,7 @@
 	}
 	select {
 	case <-ended:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("a write to a caller that never reads still blocks")
 	}
 	_, _ = io.Copy(io.Discard, io.LimitReader(c, 1))
--- a/internal/adapter/httpcaller/entry_test.go
+++ b/internal/adapter/httpcaller/entry_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// entryApplication answers entry only; anything else is a fault of the test.
+// entryApplication implements only what the entry handler calls; any other
+// method panics.
 type entryApplication struct {
 	Application
 }
@@ -20,22 +21,22 @@
 	return []string{"127.0.0.1:7101"}, time.Second
 }
 
-// A router that has just started is asked which address to use. If it named
-// itself, the caller would keep the address for as long as the answer is valid
-// and be refused there. It says instead when to ask again.
-func TestEntryOfARouterThatIsNotReady(t *testing.T) {
+// Guards against a router that lists its own address before it has
+// synchronised: the caller would use that address for as long as the answer is
+// valid and be refused there. The router must answer 503 with Retry-After.
+func TestEntryRefusedBeforeSynchronisation(t *testing.T) {
 	synced := false
 	h := New(Options{Application: entryApplication{}, Synced: func() bool { return synced }})
-	ask := func() *httptest.ResponseRecorder {
+	request := func() *httptest.ResponseRecorder {
 		w := httptest.NewRecorder()
 		h.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/v1/entry?organisation=o&model=m", nil))
 		return w
 	}
-	if w := ask(); w.Code != http.StatusServiceUnavailable || w.Header().Get("Retry-After") == "" {
-		t.Fatalf("status %d, Retry-After %q", w.Code, w.Header().Get("Retry-After"))
+	if w := request(); w.Code != http.StatusServiceUnavailable || w.Header().Get("Retry-After") == "" {
+		t.Fatalf("before synchronisation: status %d, Retry-After %q", w.Code, w.Header().Get("Retry-After"))
 	}
 	synced = true
-	if w := ask(); w.Code != http.StatusOK {
-		t.Fatalf("status %d once ready", w.Code)
+	if w := request(); w.Code != http.StatusOK {
+		t.Fatalf("after synchronisation: status %d", w.Code)
 	}
 }
--- a/internal/adapter/httpcaller/httpcaller.go
+++ b/internal/adapter/httpcaller/httpcaller.go
@@ -1,6 +1,6 @@
-// Package httpcaller serves callers over HTTP, as docs/design/wire.md
-// describes. It turns requests into calls of the application, and refusals
-// into problem documents.
+// Package httpcaller implements the callers' HTTP API described in
+// docs/design/wire.md. It translates requests into calls of the application,
+// and refusals into problem documents.
 package httpcaller
 
 import (
@@ -17,7 +17,7 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/router"
 )
 
-// Application is what serves the requests.
+// Application processes the requests.
 type Application interface {
 	NewRequestID() string
 	Generate(ctx context.Context, r *router.GenerationRequest, a router.Answer) *router.Refusal
@@ -29,21 +29,23 @@
 	Leaving() bool
 }
 
-// Organisations finds the organisation of a key by its SHA-256 in hex.
+// Organisations looks up the organisation that owns a key, given the key's
+// SHA-256 in hex.
 type Organisations func(keySHA256Hex string) (name string, known bool)
 
-// Options of the callers' handler.
+// Options configures the handler of the callers' listener.
 type Options struct {
 	Application   Application
 	Organisations Organisations
-	// Synced reports whether the records are known; until then no key is.
+	// Synced reports whether the records have been received; before that no
+	// key can be checked.
 	Synced func() bool
-	// KeyRetention is how long claims of idempotency keys are remembered;
-	// zero or nil where it isn't known yet.
+	// KeyRetention returns how long claims of idempotency keys are kept. It may
+	// be nil, and returns zero while the duration isn't known yet.
 	KeyRetention func() time.Duration
-	// BodyTimeout bounds the time that a caller takes to send a body.
+	// BodyTimeout limits the time to receive a request body.
 	BodyTimeout time.Duration
-	// WriteTimeout bounds one write to a caller that doesn't read.
+	// WriteTimeout limits each write to a caller.
 	WriteTimeout time.Duration
 }
 
@@ -60,38 +62,40 @@
 	mux.HandleFunc("GET /v1/generations/{token}", h.authenticated(h.resume))
 	mux.HandleFunc("DELETE /v1/generations/{token}", h.authenticated(h.cancel))
 	mux.HandleFunc("/v1/services/{service}/{path...}", h.authenticated(h.service))
-	mux.HandleFunc("GET /v1/requests/{id}", h.authenticated(h.request))
+	mux.HandleFunc("GET /v1/requests/{id}", h.authenticated(h.requestStatus))
 	mux.HandleFunc("/", h.notFound)
-	return h.identified(mux)
+	return h.withCommonHeaders(mux)
 }
 
-// caller is who asks, and under which request id.
+// caller identifies an authenticated request.
 type caller struct {
 	organisation string
 	requestID    string
 }
 
-// identified gives every answer its request id, and asks connections to close
-// once the router leaves, so that callers come back to another one.
-func (h *handler) identified(next http.Handler) http.Handler {
+// withCommonHeaders sets the response headers that all answers have in common.
+// While the router shuts down, it has connections closed, so that callers
+// reconnect to another router.
+func (h *handler) withCommonHeaders(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		// A deadline that an earlier answer set would still hold on this
-		// connection, and break an answer that takes long to come.
+		// Clear the write deadline of an earlier answer on this connection: it
+		// would break an answer that takes long to start.
 		_ = http.NewResponseController(w).SetWriteDeadline(time.Time{})
 		w.Header().Set(router.HeaderRequestID, h.Application.NewRequestID())
 		if h.Application.Leaving() {
 			w.Header().Set("Connection", "close")
 		}
-		h.tellRetention(w, r)
+		h.setKeyRetention(w, r)
 		next.ServeHTTP(w, r)
 	})
 }
 
-// headerKeyRetention tells a caller with an idempotency key how long the key
-// protects. Past it a retry is refused for as long as docs/design/claims.md says.
+// headerKeyRetention is how long an idempotency key protects against running a
+// request twice. After that a retry is refused for the time given in
+// docs/design/claims.md.
 const headerKeyRetention = "Idempotency-Key-Valid-For-Ms"
 
-func (h *handler) tellRetention(w http.ResponseWriter, r *http.Request) {
+func (h *handler) setKeyRetention(w http.ResponseWriter, r *http.Request) {
 	if h.KeyRetention == nil || r.Header.Get(router.HeaderIdempotencyKey) == "" {
 		return
 	}
@@ -103,7 +107,7 @@
 func (h *handler) authenticated(next func(http.ResponseWriter, *http.Request, caller)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if !h.Synced() {
-			h.notSynced(w)
+			h.rejectNotSynced(w)
 			return
 		}
 		organisation, known := "", false
@@ -118,9 +122,9 @@
 	}
 }
 
-// notSynced refuses on a router that has just started. Checked against no
-// records, every key would look wrong.
-func (h *handler) notSynced(w http.ResponseWriter) {
+// rejectNotSynced refuses a request to a router that has just started. Without
+// the records, every key would look invalid.
+func (h *handler) rejectNotSynced(w http.ResponseWriter) {
 	p := &problem.Problem{
 		Status: http.StatusServiceUnavailable, Title: "this router has not yet got the records",
 		Reason: "not_synchronised", Outcome: problem.OutcomeNotRun, RequestID: w.Header().Get(router.HeaderRequestID),
@@ -128,7 +132,7 @@
 	problem.Write(w, p.WithRetryAfter(time.Second))
 }
 
-// reject refuses a request that nothing was done for.
+// reject refuses a request that has not been run.
 func (h *handler) reject(w http.ResponseWriter, status int, reason, field, detail string) {
 	problem.Write(w, &problem.Problem{
 		Status: status, Title: http.StatusText(status), Detail: detail, Reason: reason,
@@ -136,8 +140,8 @@
 	})
 }
 
-func (h *handler) rejectBad(w http.ResponseWriter, b *badInput) {
-	h.reject(w, b.status, "invalid_request", b.field, b.detail)
+func (h *handler) rejectInvalid(w http.ResponseWriter, invalid *invalidInput) {
+	h.reject(w, invalid.status, "invalid_request", invalid.field, invalid.detail)
 }
 
 func (h *handler) notFound(w http.ResponseWriter, _ *http.Request) {
@@ -151,7 +155,7 @@
 
 func (h *handler) entry(w http.ResponseWriter, r *http.Request) {
 	if !h.Synced() {
-		h.notSynced(w)
+		h.rejectNotSynced(w)
 		return
 	}
 	q := r.URL.Query()
@@ -173,15 +177,15 @@
 	httpadmin.WriteJSON(w, http.StatusOK, entryReply{Addresses: addresses, ValidMillis: valid.Milliseconds()})
 }
 
-func (h *handler) request(w http.ResponseWriter, r *http.Request, c caller) {
+func (h *handler) requestStatus(w http.ResponseWriter, r *http.Request, c caller) {
 	id := r.PathValue("id")
 	if len(id) > maxNameBytes || !strings.Contains(id, ".") {
 		h.reject(w, http.StatusBadRequest, "invalid_request", "id", "a request id is <router id>.<uuid>")
 		return
 	}
-	key, bad := idempotencyKey(r)
-	if bad != nil {
-		h.rejectBad(w, bad)
+	key, invalid := idempotencyKey(r)
+	if invalid != nil {
+		h.rejectInvalid(w, invalid)
 		return
 	}
 	httpadmin.WriteJSON(w, http.StatusOK, h.Application.LookupRequest(r.Context(), c.organisation, id, key))
--- a/internal/adapter/httpcaller/httpcaller_test.go
+++ b/internal/adapter/httpcaller/httpcaller_test.go
@@ -21,56 +21,56 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/router"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-// application answers by functions.
-type application struct {
+// fakeApplication implements Application with the functions that a test sets.
+type fakeApplication struct {
 	generate func(a router.Answer) *router.Refusal
 	resume   func(r *router.ResumeRequest) *router.Refusal
 	service  func(r *router.ServiceRequest) (*router.ServiceReply, *router.Refusal)
 	leaving  bool
 }
 
-func (*application) NewRequestID() string { return "router-1.1" }
+func (*fakeApplication) NewRequestID() string { return "router-1.1" }
 
-func (a *application) Generate(_ context.Context, _ *router.GenerationRequest, answer router.Answer) *router.Refusal {
+func (a *fakeApplication) Generate(_ context.Context, _ *router.GenerationRequest, answer router.Answer) *router.Refusal {
 	return a.generate(answer)
 }
 
-func (a *application) Resume(_ context.Context, r *router.ResumeRequest, _ router.Answer) *router.Refusal {
+func (a *fakeApplication) Resume(_ context.Context, r *router.ResumeRequest, _ router.Answer) *router.Refusal {
 	return a.resume(r)
 }
 
-func (*application) Cancel(_ context.Context, _, token string) (port.GenerationStatus, *router.Refusal) {
+func (*fakeApplication) Cancel(_ context.Context, _, token string) (port.GenerationStatus, *router.Refusal) {
 	if token != "tok" {
 		return "", &router.Refusal{Cause: router.CauseBadToken, Outcome: outcome.NotRun, LastIndex: -1}
 	}
 	return port.GenerationRunning, nil
 }
 
-func (a *application) CallService(_ context.Context, r *router.ServiceRequest) (*router.ServiceReply, *router.Refusal) {
+func (a *fakeApplication) CallService(_ context.Context, r *router.ServiceRequest) (*router.ServiceReply, *router.Refusal) {
 	return a.service(r)
 }
 
-func (*application) LookupRequest(context.Context, string, string, string) router.RequestStatus {
+func (*fakeApplication) LookupRequest(context.Context, string, string, string) router.RequestStatus {
 	return router.RequestStatus{}
 }
 
-func (*application) Entry(string) ([]string, time.Duration) { return nil, 0 }
+func (*fakeApplication) Entry(string) ([]string, time.Duration) { return nil, 0 }
 
-func (a *application) Leaving() bool { return a.leaving }
+func (a *fakeApplication) Leaving() bool { return a.leaving }
 
-func serve(t *testing.T, a *application) *httptest.Server {
+func serve(t *testing.T, a *fakeApplication) *httptest.Server {
 	t.Helper()
-	return serveWithin(t, a, patience)
+	return serveWithBodyTimeout(t, a, testTimeout)
 }
 
-func serveWithin(t *testing.T, a *application, bodyTimeout time.Duration) *httptest.Server {
+func serveWithBodyTimeout(t *testing.T, a *fakeApplication, bodyTimeout time.Duration) *httptest.Server {
 	t.Helper()
-	return serveTimes(t, a, bodyTimeout, patience)
+	return serveWithTimeouts(t, a, bodyTimeout, testTimeout)
 }
 
-func serveTimes(t *testing.T, a *application, bodyTimeout, writeTimeout time.Duration) *httptest.Server {
+func serveWithTimeouts(t *testing.T, a *fakeApplication, bodyTimeout, writeTimeout time.Duration) *httptest.Server {
 	t.Helper()
 	hash := httpserver.HashToken("secret")
 	server := httptest.NewUnstartedServer(nil)
@@ -101,7 +101,7 @@
 	return resp
 }
 
-type anyProblem struct {
+type problemDocument struct {
 	Status      int    `json:"status"`
 	Outcome     string `json:"outcome"`
 	Reason      string `json:"reason"`
@@ -112,9 +112,9 @@
 	ResumeToken string `json:"resume_token"`
 }
 
-func readProblem(t *testing.T, resp *http.Response) anyProblem {
+func readProblem(t *testing.T, resp *http.Response) problemDocument {
 	t.Helper()
-	var p anyProblem
+	var p problemDocument
 	if err := json.NewDecoder(resp.Body).Decode(&p); err != nil {
 		t.Fatal(err)
 	}
@@ -124,15 +124,15 @@
 	return p
 }
 
-const goodBody = `{"model":"m","prompt":"p","stream":true}`
+const validBody = `{"model":"m","prompt":"p","stream":true}`
 
-func frames(a router.Answer, from, to int) {
+func writeFrames(a router.Answer, from, to int) {
 	for i := from; i < to; i++ {
 		_ = a.Frame("tok", &port.Frame{Index: i, Text: "t"})
 	}
 }
 
-func events(t *testing.T, resp *http.Response) []sse.Event {
+func readEvents(t *testing.T, resp *http.Response) []sse.Event {
 	t.Helper()
 	var out []sse.Event
 	for e, err := range sse.Read(resp.Body, nil) {
@@ -144,14 +144,14 @@
 	return out
 }
 
-func TestStreamOfEvents(t *testing.T) {
-	server := serve(t, &application{generate: func(a router.Answer) *router.Refusal {
-		frames(a, 0, 2)
+func TestStreamWritesEvents(t *testing.T) {
+	server := serve(t, &fakeApplication{generate: func(a router.Answer) *router.Refusal {
+		writeFrames(a, 0, 2)
 		_ = a.Frame("tok", &port.Frame{Index: 2, FinishReason: "stop", TokenCount: 2})
 		return nil
 	}})
-	resp := do(t, server, http.MethodPost, "/v1/completions", goodBody)
-	got := events(t, resp)
+	resp := do(t, server, http.MethodPost, "/v1/completions", validBody)
+	got := readEvents(t, resp)
 	if len(got) != 3 || got[0].LastEventID != "tok:0" || got[2].LastEventID != "tok:2" {
 		t.Fatalf("got %+v", got)
 	}
@@ -160,26 +160,26 @@
 	}
 }
 
-// A refusal before the first event is a problem document with its status; one
-// after it is an event, whose id keeps the caller's place for the resume.
+// A refusal before the first event is a problem document with its status; a
+// later one is an error event whose ID lets the caller resume.
 func TestRefusalsBeforeAndAfterTheFirstEvent(t *testing.T) {
-	begun := false
-	server := serve(t, &application{generate: func(a router.Answer) *router.Refusal {
-		if begun {
-			frames(a, 0, 3)
+	failAfterStart := false
+	server := serve(t, &fakeApplication{generate: func(a router.Answer) *router.Refusal {
+		if failAfterStart {
+			writeFrames(a, 0, 3)
 			return &router.Refusal{
 				Cause: router.CauseStopping, Outcome: outcome.Unknown, ResumeToken: "tok", LastIndex: 2, DecisionID: "d",
 			}
 		}
 		return &router.Refusal{Cause: router.CauseOverloaded, Outcome: outcome.NotRun, RetryAfter: 1500 * time.Millisecond, DecisionID: "d", LastIndex: -1}
 	}})
-	resp := do(t, server, http.MethodPost, "/v1/completions", goodBody)
+	resp := do(t, server, http.MethodPost, "/v1/completions", validBody)
 	p := readProblem(t, resp)
 	if p.Status != http.StatusServiceUnavailable || p.Outcome != "not_run" || p.RetryAfter != 1500 || p.DecisionID != "d" || resp.Header.Get("Retry-After") != "2" {
 		t.Fatalf("got %+v, Retry-After %q", p, resp.Header.Get("Retry-After"))
 	}
-	begun = true
-	got := events(t, do(t, server, http.MethodPost, "/v1/completions", goodBody))
+	failAfterStart = true
+	got := readEvents(t, do(t, server, http.MethodPost, "/v1/completions", validBody))
 	last := got[len(got)-1]
 	if len(got) != 4 || last.Type != eventError || last.LastEventID != "tok:2" {
 		t.Fatalf("got %+v", got)
@@ -189,19 +189,19 @@
 	}
 }
 
-// A caller that resumes says what it has last; the index of another token
-// would skip or repeat some.
+// A resumed stream starts after the caller's last event. An event ID of
+// another resume token is refused: its index would skip or repeat tokens.
 func TestResumeBeginsAfterTheLastEvent(t *testing.T) {
-	var asked router.ResumeRequest
-	server := serve(t, &application{resume: func(r *router.ResumeRequest) *router.Refusal {
-		asked = *r
+	var received router.ResumeRequest
+	server := serve(t, &fakeApplication{resume: func(r *router.ResumeRequest) *router.Refusal {
+		received = *r
 		return &router.Refusal{Cause: router.CauseBadToken, Outcome: outcome.NotRun, LastIndex: -1}
 	}})
 	if resp := do(t, server, http.MethodGet, "/v1/generations/tok", "", headerLastEventID, "tok:6"); resp.StatusCode != http.StatusForbidden {
 		t.Fatalf("got %d", resp.StatusCode)
 	}
-	if asked.From != 7 || asked.Token != "tok" || asked.Organisation != "kegsetu" {
-		t.Fatalf("got %+v", asked)
+	if received.From != 7 || received.Token != "tok" || received.Organisation != "kegsetu" {
+		t.Fatalf("got %+v", received)
 	}
 	for _, id := range []string{"other:6", "tok", "tok:-1", "tok:x"} {
 		resp := do(t, server, http.MethodGet, "/v1/generations/tok", "", headerLastEventID, id)
@@ -211,16 +211,16 @@
 	}
 }
 
-func TestWrongKeysPathsAndSizesAreProblems(t *testing.T) {
-	server := serve(t, &application{})
+func TestInvalidRequestsGetProblemDocuments(t *testing.T) {
+	server := serve(t, &fakeApplication{})
 	cases := []struct {
 		name, method, path, body string
 		status                   int
 		field                    string
 		header                   []string
 	}{
-		{"wrong key", http.MethodPost, "/v1/completions", goodBody, 401, "Authorization", []string{"Authorization", "Bearer x"}},
-		{"other scheme", http.MethodPost, "/v1/completions", goodBody, 401, "Authorization", []string{"Authorization", "Basic secret"}},
+		{"wrong key", http.MethodPost, "/v1/completions", validBody, 401, "Authorization", []string{"Authorization", "Bearer x"}},
+		{"other scheme", http.MethodPost, "/v1/completions", validBody, 401, "Authorization", []string{"Authorization", "Basic secret"}},
 		{"no such path", http.MethodGet, "/v1/nothing", "", 404, "path", nil},
 		{"large body", http.MethodPost, "/v1/completions", strings.Repeat("x", httpserver.MaxBodyBytes+1), 413, "body", nil},
 		{"bad mark", http.MethodPost, "/v1/services/s/x", "", 400, "Request-Non-Idempotent", []string{"Request-Non-Idempotent", "yes"}},
@@ -236,9 +236,9 @@
 	}
 }
 
-type broken struct{ sent bool }
+type failingReader struct{ sent bool }
 
-func (b *broken) Read(p []byte) (int, error) {
+func (b *failingReader) Read(p []byte) (int, error) {
 	if b.sent {
 		return 0, errors.New("reset")
 	}
@@ -246,12 +246,12 @@
 	return copy(p, "half"), nil
 }
 
-// A service breaks off in a long reply: the caller must see a broken
-// connection, not a short reply that looks whole.
-func TestBrokenRepliesLookBroken(t *testing.T) {
-	server := serve(t, &application{service: func(*router.ServiceRequest) (*router.ServiceReply, *router.Refusal) {
+// Guards against a service that fails in the middle of a long reply: the
+// caller must see a broken connection, not a short reply that looks complete.
+func TestServiceReplyCutOffAbortsConnection(t *testing.T) {
+	server := serve(t, &fakeApplication{service: func(*router.ServiceRequest) (*router.ServiceReply, *router.Refusal) {
 		return &router.ServiceReply{
-			Status: 200, Header: http.Header{}, Length: -1, Body: []byte("begin "), Rest: io.NopCloser(&broken{}),
+			Status: 200, Header: http.Header{}, Length: -1, Body: []byte("begin "), Rest: io.NopCloser(&failingReader{}),
 		}, nil
 	}})
 	r, err := http.NewRequestWithContext(t.Context(), http.MethodGet, server.URL+"/v1/services/s/x", nil)
@@ -265,14 +265,14 @@
 	}
 	defer resp.Body.Close()
 	if body, err := io.ReadAll(resp.Body); err == nil {
-		t.Fatalf("%q looks whole", body)
+		t.Fatalf("%q was received as a complete reply", body)
 	}
 }
 
-// The path and query reach the service as the caller escaped them.
-func TestServicePathIsPassedOnAsEscaped(t *testing.T) {
+// The path and query reach the service escaped as the caller sent them.
+func TestServicePathKeepsEscaping(t *testing.T) {
 	var path string
-	server := serve(t, &application{service: func(r *router.ServiceRequest) (*router.ServiceReply, *router.Refusal) {
+	server := serve(t, &fakeApplication{service: func(r *router.ServiceRequest) (*router.ServiceReply, *router.Refusal) {
 		path = r.Path
 		return &router.ServiceReply{Status: 204, Header: http.Header{}, Length: 0}, nil
 	}})
@@ -282,33 +282,33 @@
 	}
 }
 
-// A router that leaves asks kept-alive connections to close, as their callers
-// would otherwise never ask for another router.
-func TestLeavingRouterClosesConnections(t *testing.T) {
-	a := &application{generate: func(a router.Answer) *router.Refusal {
+// A router that shuts down closes kept-alive connections; their callers would
+// otherwise never look up another router.
+func TestShutdownClosesConnections(t *testing.T) {
+	a := &fakeApplication{generate: func(a router.Answer) *router.Refusal {
 		_ = a.Frame("tok", &port.Frame{Index: 0, FinishReason: "stop"})
 		return nil
 	}}
 	server := serve(t, a)
-	if resp := do(t, server, http.MethodPost, "/v1/completions", goodBody); resp.Close {
-		t.Fatal("closed while it serves")
+	if resp := do(t, server, http.MethodPost, "/v1/completions", validBody); resp.Close {
+		t.Fatal("the connection was closed before the shutdown")
 	}
 	a.leaving = true
-	if resp := do(t, server, http.MethodPost, "/v1/completions", goodBody); !resp.Close {
-		t.Fatal("kept open while it leaves")
+	if resp := do(t, server, http.MethodPost, "/v1/completions", validBody); !resp.Close {
+		t.Fatal("the connection was kept open during the shutdown")
 	}
 }
 
-// A caller sends the beginning of a body and then nothing: it is answered
-// after the timeout and holds no place.
-func TestBodyThatNeverEnds(t *testing.T) {
-	server := serveWithin(t, &application{}, 50*time.Millisecond)
+// Guards against a caller that sends only the start of a body: it is answered
+// after the timeout and does not occupy a slot.
+func TestIncompleteBodyTimesOut(t *testing.T) {
+	server := serveWithBodyTimeout(t, &fakeApplication{}, 50*time.Millisecond)
 	c, err := net.Dial("tcp", server.Listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	if err := c.SetDeadline(time.Now().Add(patience)); err != nil {
+	if err := c.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	_, err = io.WriteString(c, "POST /v1/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer secret\r\nContent-Length: 100\r\n\r\n{")
@@ -325,9 +325,9 @@
 	}
 }
 
-// A caller that no longer wants its answer says so with its resume token.
-func TestCancelByToken(t *testing.T) {
-	server := serve(t, &application{})
+// A caller cancels its run with the resume token.
+func TestCancelWithResumeToken(t *testing.T) {
+	server := serve(t, &fakeApplication{})
 	resp := do(t, server, http.MethodDelete, "/v1/generations/tok", "")
 	if body, _ := io.ReadAll(resp.Body); string(body) != `{"status":"running"}`+"\n" {
 		t.Fatalf("got %s", body)
@@ -337,9 +337,10 @@
 	}
 }
 
-// A caller that uses a key learns how long it protects.
-func TestKeyRetentionIsTold(t *testing.T) {
-	server := serve(t, &application{service: func(*router.ServiceRequest) (*router.ServiceReply, *router.Refusal) {
+// The answer to a request with an idempotency key states how long the key is
+// kept.
+func TestKeyRetentionHeader(t *testing.T) {
+	server := serve(t, &fakeApplication{service: func(*router.ServiceRequest) (*router.ServiceReply, *router.Refusal) {
 		return &router.ServiceReply{Status: 204, Header: http.Header{}}, nil
 	}})
 	with := do(t, server, http.MethodPost, "/v1/services/s/x", "", router.HeaderIdempotencyKey, "k")
--- a/internal/adapter/httpcaller/input_test.go
+++ b/internal/adapter/httpcaller/input_test.go
@@ -9,7 +9,7 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/router"
 )
 
-func TestParseCompletionNamesTheWrongField(t *testing.T) {
+func TestParseCompletionReportsInvalidField(t *testing.T) {
 	cases := []struct{ name, in, field string }{
 		{"empty", ``, "body"},
 		{"cut short", `{"model":"m"`, "body"},
@@ -30,17 +30,17 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			_, wrong := parseCompletion([]byte(c.in))
-			if wrong == nil || wrong.field != c.field || wrong.status != http.StatusBadRequest {
-				t.Fatalf("got %+v, want the field %q", wrong, c.field)
+			_, invalid := parseCompletion([]byte(c.in))
+			if invalid == nil || invalid.field != c.field || invalid.status != http.StatusBadRequest {
+				t.Fatalf("got %+v, want the field %q", invalid, c.field)
 			}
 		})
 	}
 }
 
-// A mark that is taken for false where it is mistyped would let a ledger
-// entry run twice.
-func TestMarksAndKeysAreChecked(t *testing.T) {
+// Guards against a mistyped non-idempotent mark that is treated as false: the
+// request, such as a ledger entry, could run twice.
+func TestInvalidHeadersAreRefused(t *testing.T) {
 	for _, value := range []string{"", "True", "1", "yes"} {
 		r := httptest.NewRequest(http.MethodPost, "/", nil)
 		r.Header.Set(router.HeaderNonIdempotent, value)
@@ -68,11 +68,11 @@
 	f.Add([]byte(`{"model":{},"prompt":1e999}`))
 	f.Add([]byte("{\"model\":\"\xff\"}"))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		b, wrong := parseCompletion(raw)
+		b, invalid := parseCompletion(raw)
 		switch {
-		case wrong != nil && (wrong.field == "" || wrong.detail == ""):
+		case invalid != nil && (invalid.field == "" || invalid.detail == ""):
 			t.Fatalf("%q is refused without a field or a reason", raw)
-		case wrong == nil && (b.Model == "" || b.Prompt == "" || b.MaxTokens < 0):
+		case invalid == nil && (b.Model == "" || b.Prompt == "" || b.MaxTokens < 0):
 			t.Fatalf("%q is accepted as %+v", raw, b)
 		}
 	})
--- a/internal/adapter/httpcaller/services.go
+++ b/internal/adapter/httpcaller/services.go
@@ -10,13 +10,13 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/router"
 )
 
-// headerReplayed marks a stored reply that is given again.
+// headerReplayed marks a reply that was stored for an earlier request.
 const headerReplayed = "Idempotent-Replayed"
 
 func (h *handler) service(w http.ResponseWriter, r *http.Request, c caller) {
-	request, bad := h.readServiceCall(w, r, c)
-	if bad != nil {
-		h.rejectBad(w, bad)
+	request, invalid := h.readServiceCall(w, r, c)
+	if invalid != nil {
+		h.rejectInvalid(w, invalid)
 		return
 	}
 	reply, refusal := h.Application.CallService(r.Context(), request)
@@ -27,30 +27,31 @@
 	h.writeReply(w, r.Method, reply)
 }
 
-func (h *handler) readServiceCall(w http.ResponseWriter, r *http.Request, c caller) (*router.ServiceRequest, *badInput) {
+func (h *handler) readServiceCall(w http.ResponseWriter, r *http.Request, c caller) (*router.ServiceRequest, *invalidInput) {
 	service := r.PathValue("service")
 	if len(service) > maxNameBytes {
-		return nil, bad("service", "the name is too long")
+		return nil, invalidField("service", "the name is too long")
 	}
-	key, wrong := idempotencyKey(r)
-	if wrong != nil {
-		return nil, wrong
+	key, invalid := idempotencyKey(r)
+	if invalid != nil {
+		return nil, invalid
 	}
-	once, wrong := nonIdempotent(r)
-	if wrong != nil {
-		return nil, wrong
+	isNonIdempotent, invalid := nonIdempotent(r)
+	if invalid != nil {
+		return nil, invalid
 	}
-	body, wrong := readBody(w, r, h.BodyTimeout)
-	if wrong != nil {
-		return nil, wrong
+	body, invalid := readBody(w, r, h.BodyTimeout)
+	if invalid != nil {
+		return nil, invalid
 	}
 	return &router.ServiceRequest{
 		RequestID: c.requestID, Organisation: c.organisation, Service: service, Method: r.Method,
-		Path: servicePath(r), Header: r.Header, Body: body, IdempotencyKey: key, NonIdempotent: once,
+		Path: servicePath(r), Header: r.Header, Body: body, IdempotencyKey: key, NonIdempotent: isNonIdempotent,
 	}, nil
 }
 
-// servicePath is the path at the service, as the caller escaped it.
+// servicePath returns the path and query for the service, escaped as the
+// caller sent them.
 func servicePath(r *http.Request) string {
 	rest := strings.TrimPrefix(r.URL.EscapedPath(), "/v1/services/")
 	_, path, _ := strings.Cut(rest, "/")
@@ -61,8 +62,8 @@
 	return path
 }
 
-// writeReply passes on a reply. One that breaks off is broken off towards
-// the caller too: a short body must not look whole.
+// writeReply forwards a reply. If the service's reply is cut off, the caller's
+// connection is aborted, because a short body must not look complete.
 func (h *handler) writeReply(w http.ResponseWriter, method string, reply *router.ServiceReply) {
 	header := w.Header()
 	for name, values := range reply.Header {
@@ -77,10 +78,10 @@
 		header.Set(headerReplayed, "true")
 	}
 	control := http.NewResponseController(w)
-	// Not every writer has deadlines; those of the listener do.
+	// The listener's writers support deadlines; other writers may not.
 	_ = control.SetWriteDeadline(time.Now().Add(h.WriteTimeout))
 	w.WriteHeader(reply.Status)
-	// The caller may be gone; there is nobody left to tell.
+	// If the write fails, the caller has disconnected; the error can't be reported.
 	_, _ = w.Write(reply.Body)
 	if reply.Rest == nil {
 		return
@@ -91,7 +92,7 @@
 	}
 }
 
-// deadlineWriter gives each write its own deadline.
+// deadlineWriter sets a new deadline for each write.
 type deadlineWriter struct {
 	w       io.Writer
 	control *http.ResponseController
@@ -99,7 +100,7 @@
 }
 
 func (d *deadlineWriter) Write(p []byte) (int, error) {
-	// Not every writer has deadlines; those of the listener do.
+	// The listener's writers support deadlines; other writers may not.
 	_ = d.control.SetWriteDeadline(time.Now().Add(d.timeout))
 	return d.w.Write(p)
 }
--- a/internal/adapter/httpcaller/status.go
+++ b/internal/adapter/httpcaller/status.go
@@ -7,8 +7,8 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/router"
 )
 
-// statusOf turns a refusal into a status. Where the cause names none, the
-// outcome does.
+// statusOf returns the HTTP status of a refusal. Causes without a status of
+// their own get the one of the outcome.
 func statusOf(r *router.Refusal) int {
 	switch r.Cause {
 	case router.CauseBadToken:
