--- a/internal/adapter/httprecords/conditions.go
+++ b/internal/adapter/httprecords/conditions.go
@@ -10,22 +10,23 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/keeper"
 )
 
-// conditional reads the condition that every change must carry: without one,
-// the later of two operators would undo the earlier without knowing.
-func conditional(w http.ResponseWriter, r *http.Request, kind string) (*keeper.Change, bool) {
+// parseCondition reads the If-Match or If-None-Match header that every change
+// must have: without a condition, one operator could overwrite another's change
+// unknowingly.
+func parseCondition(w http.ResponseWriter, r *http.Request, kind string) (*keeper.Change, bool) {
 	c := &keeper.Change{Kind: kind, Name: r.PathValue("name")}
-	match, none := r.Header.Get("If-Match"), r.Header.Get("If-None-Match")
+	match, noneMatch := r.Header.Get("If-Match"), r.Header.Get("If-None-Match")
 	switch {
-	case match == "" && none == "":
+	case match == "" && noneMatch == "":
 		refuse(w, http.StatusPreconditionRequired, "no_condition", "If-Match or If-None-Match is required", "If-Match")
 		return nil, false
-	case match != "" && none != "":
+	case match != "" && noneMatch != "":
 		refuse(w, http.StatusBadRequest, "bad_condition", "If-Match and If-None-Match exclude each other", "If-Match")
 		return nil, false
-	case none == "*":
+	case noneMatch == "*":
 		c.Create = true
 		return c, true
-	case none != "":
+	case noneMatch != "":
 		refuse(w, http.StatusBadRequest, "bad_condition", "If-None-Match must be *", "If-None-Match")
 		return nil, false
 	}
@@ -49,7 +50,8 @@
 	w.Header().Set("ETag", `"`+strconv.FormatUint(version, 10)+`"`)
 }
 
-// schemaParameter reads ?schema_version=; zero is the stored one.
+// schemaParameter reads the schema_version query parameter. Zero means the
+// schema in which the record is stored.
 func schemaParameter(w http.ResponseWriter, r *http.Request) (int, bool) {
 	text := r.URL.Query().Get("schema_version")
 	if text == "" {
@@ -63,8 +65,8 @@
 	return schema, true
 }
 
-// actor names who is behind a request, as far as the request says: the admin
-// token is shared.
+// actor returns the name of the operator as the request states it. It is not
+// verified, because all operators share one admin token.
 func actor(r *http.Request) string {
 	name := strings.Map(func(c rune) rune {
 		if unicode.IsPrint(c) {
@@ -75,8 +77,8 @@
 	if name == "" {
 		return defaultActor
 	}
-	if len(name) > maxActor {
-		return strings.ToValidUTF8(name[:maxActor], "")
+	if len(name) > maxActorBytes {
+		return strings.ToValidUTF8(name[:maxActorBytes], "")
 	}
 	return name
 }
--- a/internal/adapter/httprecords/problems.go
+++ b/internal/adapter/httprecords/problems.go
@@ -12,10 +12,11 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/keeper"
 )
 
-// retryAfter is when a refused change may be tried again.
+// retryAfter is the delay after which a refused change may be retried.
 const retryAfter = time.Second
 
-// conflict is a problem that shows the winner.
+// conflict is a problem document with the current version of the record, with
+// which the refused change conflicts.
 type conflict struct {
 	problem.Problem
 	Winner versioned `json:"winner"`
@@ -32,7 +33,8 @@
 	problem.Write(w, p)
 }
 
-// writeChangeError is writeError, with the winner where there is one.
+// writeChangeError reports a failed change. On a conflict it also sends the
+// current version of the record.
 func writeChangeError(w http.ResponseWriter, result *keeper.Result, err error) {
 	if !errors.Is(err, keeper.ErrStale) {
 		writeError(w, result.WriteID, err)
@@ -49,7 +51,7 @@
 	w.Header().Set("Content-Length", strconv.Itoa(len(raw)))
 	setETag(w, result.Record.Version)
 	w.WriteHeader(c.Status)
-	// The operator may be gone; there is nobody left to tell.
+	// If the write fails, the operator has disconnected; the error can't be reported.
 	_, _ = w.Write(raw)
 }
 
@@ -57,7 +59,8 @@
 	problem.Write(w, problemOf(decisionID, err))
 }
 
-// problemOf says what is known of a change that was not confirmed.
+// problemOf returns the problem document for a read or change that failed with
+// err.
 func problemOf(decisionID string, err error) *problem.Problem {
 	p := &problem.Problem{Detail: err.Error(), DecisionID: decisionID, Outcome: problem.OutcomeNotRun}
 	var field *record.FieldError
@@ -76,8 +79,8 @@
 		p.Status, p.Reason = http.StatusServiceUnavailable, "platform_unavailable"
 		p.WithRetryAfter(retryAfter)
 	case errors.Is(err, keeper.ErrUnknown):
-		// Not "failed": the write may be in force. The write id finds it in
-		// the audit later.
+		// The outcome is not "failed" because the write may have taken effect.
+		// The write ID identifies it in the audit later.
 		p.Status, p.Reason, p.Outcome = http.StatusGatewayTimeout, "unknown", problem.OutcomeUnknown
 		p.WithRetryAfter(retryAfter)
 	default:
--- a/internal/adapter/httprecords/records.go
+++ b/internal/adapter/httprecords/records.go
@@ -1,5 +1,5 @@
 // Package httprecords serves the operators' records on a keeper's admin
-// listener, and what the keepers know of daemons and endpoints.
+// listener, together with the daemons and endpoints that the keeper lists.
 package httprecords
 
 import (
@@ -17,7 +17,7 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// Keeper is what this adapter needs of the keeper.
+// Keeper is the part of the keeper that this adapter uses.
 type Keeper interface {
 	Change(ctx context.Context, c *keeper.Change) (keeper.Result, error)
 	Audit(ctx context.Context, kind, name string) (keeper.Audit, error)
@@ -30,23 +30,23 @@
 	Ready() bool
 }
 
-// Handler serves one keeper.
+// Handler serves the records of one keeper.
 type Handler struct {
 	Keeper Keeper
-	// Decisions answers for refused changes in audits.
+	// Decisions provides the refused changes for audits; it may be nil.
 	Decisions port.DecisionSource
 }
 
-// Headers beside the standard ones.
+// Request and response headers other than those of conditional requests.
 const (
-	// headerPlatformAge says how long ago the platform last answered any
-	// keeper, in milliseconds; -1 when it never did.
+	// headerPlatformAge is the time since the platform last answered any
+	// keeper, in milliseconds; -1 if it never has.
 	headerPlatformAge = "Platform-Age-Ms"
-	// headerActor is the standard header that names the human behind a
-	// request.
-	headerActor  = "From"
-	defaultActor = "operator"
-	maxActor     = 128
+	// headerActor is the standard header with the name of the person who made
+	// the request.
+	headerActor   = "From"
+	defaultActor  = "operator"
+	maxActorBytes = 128
 )
 
 // Register adds the routes.
@@ -65,7 +65,7 @@
 	mux.HandleFunc("GET /admin/v1/endpoints", h.endpoints)
 }
 
-// versioned is a record with its version.
+// versioned is a record's document with its version.
 type versioned struct {
 	Version uint64          `json:"version"`
 	Deleted bool            `json:"deleted,omitempty"`
@@ -76,12 +76,12 @@
 	Records []versioned `json:"records"`
 }
 
-// written is the answer to a change that took effect.
-type written struct {
+// changeReply is the answer to a change that took effect.
+type changeReply struct {
 	versioned
 	WriteID string `json:"write_id"`
-	// Superseded: another change came right after; the version and document
-	// are that one's.
+	// Superseded is set if another change has already replaced this one; the
+	// version and document are then those of the other change.
 	Superseded bool `json:"superseded,omitempty"`
 }
 
@@ -95,14 +95,14 @@
 		if rec.Kind != kind {
 			continue
 		}
-		body, err := inSchema(rec.Body, schema)
+		body, err := convertToSchema(rec.Body, schema)
 		if err != nil {
 			writeError(w, "", err)
 			return
 		}
 		out.Records = append(out.Records, versioned{Version: rec.Version, Body: body})
 	}
-	h.setAge(w)
+	h.setPlatformAge(w)
 	httpadmin.WriteJSON(w, http.StatusOK, out)
 }
 
@@ -111,23 +111,23 @@
 	if !ok || !h.ready(w) {
 		return
 	}
-	rec, held := h.Keeper.Record(kind, r.PathValue("name"))
-	if !held || rec.Deleted {
+	rec, found := h.Keeper.Record(kind, r.PathValue("name"))
+	if !found || rec.Deleted {
 		writeError(w, "", keeper.ErrAbsent)
 		return
 	}
-	body, err := inSchema(rec.Body, schema)
+	body, err := convertToSchema(rec.Body, schema)
 	if err != nil {
 		writeError(w, "", err)
 		return
 	}
-	h.setAge(w)
+	h.setPlatformAge(w)
 	setETag(w, rec.Version)
 	httpadmin.WriteJSON(w, http.StatusOK, body)
 }
 
 func (h *Handler) put(w http.ResponseWriter, r *http.Request, kind string) {
-	c, ok := conditional(w, r, kind)
+	c, ok := parseCondition(w, r, kind)
 	if !ok {
 		return
 	}
@@ -141,7 +141,7 @@
 }
 
 func (h *Handler) remove(w http.ResponseWriter, r *http.Request, kind string) {
-	c, ok := conditional(w, r, kind)
+	c, ok := parseCondition(w, r, kind)
 	if !ok {
 		return
 	}
@@ -166,7 +166,7 @@
 	if c.Create {
 		status = http.StatusCreated
 	}
-	httpadmin.WriteJSON(w, status, written{
+	httpadmin.WriteJSON(w, status, changeReply{
 		versioned: asVersioned(&result.Record), WriteID: result.WriteID, Superseded: result.Superseded,
 	})
 }
@@ -175,11 +175,12 @@
 	return versioned{Version: r.Version, Deleted: r.Deleted, Body: r.Body}
 }
 
-// auditReply joins the stored trail with the refusals this keeper remembers.
+// auditReply combines the stored audit trail with the refusals in this keeper's
+// memory.
 type auditReply struct {
 	keeper.Audit
-	// Refused are the changes that this keeper refused; those that others
-	// refused are in theirs.
+	// Refused lists the changes that this keeper refused. Each keeper lists only
+	// its own.
 	Refused []port.DecisionRecord `json:"refused_here"`
 }
 
@@ -213,12 +214,13 @@
 	Evacuations []evacuation.Evacuation `json:"evacuations"`
 }
 
-// evacuations lists those in force here, whoever gave the order.
+// evacuations lists the evacuations in force at this keeper, whoever ordered
+// them.
 func (h *Handler) evacuations(w http.ResponseWriter, _ *http.Request) {
 	if !h.ready(w) {
 		return
 	}
-	h.setAge(w)
+	h.setPlatformAge(w)
 	httpadmin.WriteJSON(w, http.StatusOK, evacuationList{Evacuations: record.Evacuations(h.Keeper.Records()).All()})
 }
 
@@ -238,8 +240,8 @@
 	httpadmin.WriteJSON(w, http.StatusOK, endpointList{Endpoints: h.Keeper.Endpoints()})
 }
 
-// ready refuses reads of a keeper that has not seen all records yet: absent
-// would be a false answer.
+// ready refuses reads while the keeper has not received all records: it would
+// otherwise report existing records as absent.
 func (h *Handler) ready(w http.ResponseWriter) bool {
 	if h.Keeper.Ready() {
 		return true
@@ -248,7 +250,7 @@
 	return false
 }
 
-func (h *Handler) setAge(w http.ResponseWriter) {
+func (h *Handler) setPlatformAge(w http.ResponseWriter) {
 	age := h.Keeper.PlatformAge(time.Now())
 	millis := int64(-1)
 	if age >= 0 {
@@ -257,7 +259,7 @@
 	w.Header().Set(headerPlatformAge, strconv.FormatInt(millis, 10))
 }
 
-func inSchema(body json.RawMessage, schema int) (json.RawMessage, error) {
+func convertToSchema(body json.RawMessage, schema int) (json.RawMessage, error) {
 	if schema == 0 {
 		return body, nil
 	}
--- a/internal/adapter/httprecords/records_test.go
+++ b/internal/adapter/httprecords/records_test.go
@@ -15,13 +15,14 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// fakeKeeper answers every change alike and remembers the last.
+// fakeKeeper answers every change with the same result and stores the last
+// change.
 type fakeKeeper struct {
-	held   []port.Record
-	ready  bool
-	result keeper.Result
-	err    error
-	last   *keeper.Change
+	records []port.Record
+	ready   bool
+	result  keeper.Result
+	err     error
+	last    *keeper.Change
 }
 
 func (f *fakeKeeper) Change(_ context.Context, c *keeper.Change) (keeper.Result, error) {
@@ -34,7 +35,7 @@
 }
 
 func (f *fakeKeeper) Record(kind, name string) (port.Record, bool) {
-	for _, r := range f.held {
+	for _, r := range f.records {
 		if r.Kind == kind && r.Name == name {
 			return r, true
 		}
@@ -42,9 +43,9 @@
 	return port.Record{}, false
 }
 
-// Records leaves deleted ones out, as the keeper does.
+// Records omits deleted records, as the keeper does.
 func (f *fakeKeeper) Records() []port.Record {
-	return slices.DeleteFunc(slices.Clone(f.held), func(r port.Record) bool { return r.Deleted })
+	return slices.DeleteFunc(slices.Clone(f.records), func(r port.Record) bool { return r.Deleted })
 }
 func (f *fakeKeeper) Endpoints() []port.Endpoint             { return nil }
 func (f *fakeKeeper) Members() []port.Member                 { return nil }
@@ -57,8 +58,8 @@
 	path     = "/admin/v1/routing-configurations/r"
 )
 
-func holding() *fakeKeeper {
-	return &fakeKeeper{ready: true, held: []port.Record{
+func newFakeKeeper() *fakeKeeper {
+	return &fakeKeeper{ready: true, records: []port.Record{
 		{Kind: port.ObjectRoutingConfiguration, Name: "r", Version: 3, Body: json.RawMessage(document)},
 		{Kind: port.ObjectRoutingConfiguration, Name: "gone", Version: 4, Deleted: true},
 	}}
@@ -78,8 +79,8 @@
 	return w
 }
 
-func TestReads(t *testing.T) {
-	notReady := holding()
+func TestReadResponses(t *testing.T) {
+	notReady := newFakeKeeper()
 	notReady.ready = false
 	cases := []struct {
 		name   string
@@ -88,17 +89,17 @@
 		status int
 		want   string
 	}{
-		{"stored schema", holding(), path, 200, `"stall":2`},
-		{"older schema", holding(), path + "?schema_version=1", 200, `"overflow":2`},
-		{"list in the older schema", holding(), "/admin/v1/routing-configurations?schema_version=1", 200, `"version":3,"document":{"kind"`},
-		{"empty list", holding(), "/admin/v1/model-deployments", 200, `{"records":[]}`},
-		{"newer schema", holding(), path + "?schema_version=3", 400, `"field":"schema_version"`},
-		{"absent", holding(), "/admin/v1/routing-configurations/x", 404, `"reason":"absent"`},
-		{"deleted", holding(), "/admin/v1/routing-configurations/gone", 404, `"reason":"absent"`},
-		{"before the keeper holds all", notReady, path, 503, `"reason":"not_ready"`},
-		{"in force", holding(), "/admin/v1/in-force", 200, `"version":3`},
-		{"audit", holding(), "/admin/v1/audit/routing-configurations/r", 200, `"refused_here":[]`},
-		{"audit of no kind", holding(), "/admin/v1/audit/x/r", 404, `"field":"kind"`},
+		{"stored schema", newFakeKeeper(), path, 200, `"stall":2`},
+		{"older schema", newFakeKeeper(), path + "?schema_version=1", 200, `"overflow":2`},
+		{"list in the older schema", newFakeKeeper(), "/admin/v1/routing-configurations?schema_version=1", 200, `"version":3,"document":{"kind"`},
+		{"empty list", newFakeKeeper(), "/admin/v1/model-deployments", 200, `{"records":[]}`},
+		{"newer schema", newFakeKeeper(), path + "?schema_version=3", 400, `"field":"schema_version"`},
+		{"absent", newFakeKeeper(), "/admin/v1/routing-configurations/x", 404, `"reason":"absent"`},
+		{"deleted", newFakeKeeper(), "/admin/v1/routing-configurations/gone", 404, `"reason":"absent"`},
+		{"keeper without all records", notReady, path, 503, `"reason":"not_ready"`},
+		{"in force", newFakeKeeper(), "/admin/v1/in-force", 200, `"version":3`},
+		{"audit", newFakeKeeper(), "/admin/v1/audit/routing-configurations/r", 200, `"refused_here":[]`},
+		{"audit of an unknown kind", newFakeKeeper(), "/admin/v1/audit/x/r", 404, `"field":"kind"`},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -108,13 +109,13 @@
 			}
 		})
 	}
-	w := call(holding(), http.MethodGet, path, "", "")
+	w := call(newFakeKeeper(), http.MethodGet, path, "", "")
 	if w.Header().Get("ETag") != `"3"` || w.Header().Get(headerPlatformAge) != "1500" {
 		t.Fatalf("headers %v", w.Header())
 	}
 }
 
-func TestChangesNeedACondition(t *testing.T) {
+func TestChangesRequireCondition(t *testing.T) {
 	cases := []struct {
 		name, method, headers string
 		status                int
@@ -127,27 +128,27 @@
 		{"weak", "PUT", `If-Match: W/"3"`, 400},
 		{"several", "PUT", `If-Match: "3", "4"`, 400},
 		{"zero", "PUT", `If-Match: "0"`, 400},
-		{"a version that must not match", "PUT", `If-None-Match: "3"`, 400},
-		{"delete what is absent", "DELETE", "If-None-Match: *", 400},
+		{"If-None-Match with a version", "PUT", `If-None-Match: "3"`, 400},
+		{"delete with If-None-Match", "DELETE", "If-None-Match: *", 400},
 		{"revise", "PUT", `If-Match: "3"`, 200},
 		{"create", "PUT", "If-None-Match: *", 201},
 		{"delete", "DELETE", `If-Match: "3"`, 200},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			f := holding()
+			f := newFakeKeeper()
 			w := call(f, c.method, path, c.headers, document)
 			if w.Code != c.status {
 				t.Fatalf("got %d %s", w.Code, w.Body)
 			}
 			if passed := f.last != nil; passed != (c.status < 300) {
-				t.Fatalf("handed to the keeper: %v", passed)
+				t.Fatalf("change passed to the keeper: %v", passed)
 			}
 		})
 	}
 }
 
-func TestOutcomesOfChanges(t *testing.T) {
+func TestChangeErrorResponses(t *testing.T) {
 	cases := []struct {
 		name    string
 		err     error
@@ -160,13 +161,13 @@
 		{"absent", keeper.ErrAbsent, 404, "not_run"},
 		{"too large", keeper.ErrTooLarge, 413, "not_run"},
 		{"platform down", keeper.ErrNotWritten, 503, "not_run"},
-		{"not known", keeper.ErrUnknown, 504, "unknown"},
+		{"unknown outcome", keeper.ErrUnknown, 504, "unknown"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			f := holding()
+			f := newFakeKeeper()
 			f.err = c.err
-			f.result = keeper.Result{WriteID: "w1", Record: f.held[0]}
+			f.result = keeper.Result{WriteID: "w1", Record: f.records[0]}
 			w := call(f, "PUT", path, "If-Match: \"2\"\nFrom: kim\x01", document)
 			var p struct {
 				Outcome, Reason string
@@ -179,9 +180,9 @@
 			if w.Code != c.status || p.Outcome != c.outcome || p.DecisionID != "w1" || w.Header().Get("Decision-Id") != "w1" {
 				t.Fatalf("got %d %s", w.Code, w.Body)
 			}
-			shown := p.Winner != nil && p.Winner.Version == 3
-			if shown != (c.status == 412) {
-				t.Fatalf("winner shown: %v in %s", shown, w.Body)
+			hasWinner := p.Winner != nil && p.Winner.Version == 3
+			if hasWinner != (c.status == 412) {
+				t.Fatalf("winner shown: %v in %s", hasWinner, w.Body)
 			}
 			if retry := w.Header().Get("Retry-After"); (retry != "") != (c.status >= 500) {
 				t.Fatalf("Retry-After %q", retry)
