--- a/internal/adapter/httpplatform/client.go
+++ b/internal/adapter/httpplatform/client.go
@@ -1,4 +1,4 @@
-// Package httpplatform reaches the platform's object API over HTTP.
+// Package httpplatform is an HTTP client of the platform's object API.
 package httpplatform
 
 import (
@@ -21,29 +21,31 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// Bounds of calls and replies.
+// Limits of calls and replies.
 const (
 	DefaultTimeout = 5 * time.Second
 	// MaxValueBytes is the platform's limit on one value.
 	MaxValueBytes = 1 << 20
-	// maxReplyBytes bounds a list; a single object is far smaller.
+	// maxReplyBytes limits every reply. Only a list comes near it; a single
+	// object is far smaller.
 	maxReplyBytes = 256 << 20
-	// watchSlack is added to a long poll's wait before it counts as lost.
+	// watchSlack is added to the wait of a long poll before the poll is treated
+	// as lost.
 	watchSlack = 5 * time.Second
 )
 
-// errBadReply is a reply that makes no sense. For a read it counts as
-// unavailable, for a write as of unknown outcome.
+// errBadReply is returned for a malformed reply or one about another object. A
+// read then counts as unavailable, a write as of unknown outcome.
 var errBadReply = merry.Sentinel("platform: reply makes no sense")
 
-// Options of a client.
+// Options configures a Client.
 type Options struct {
-	// BaseURL is the platform's address, as in http://127.0.0.1:7001.
+	// BaseURL is the platform's address, such as http://127.0.0.1:7001.
 	BaseURL string
-	// Timeout bounds the wait for an answer's beginning, but for a watch, and for
-	// each next piece of it; zero is DefaultTimeout.
+	// Timeout limits the wait for the start of an answer (except for a watch)
+	// and for each further part of it; zero means DefaultTimeout.
 	Timeout time.Duration
-	// Registry counts calls; nil counts nowhere.
+	// Registry holds the call counters; if nil, they are not exported.
 	Registry gometrics.Registry
 }
 
@@ -59,7 +61,7 @@
 
 var _ port.Platform = (*Client)(nil)
 
-// New returns a client. It holds its own connections.
+// New returns a client with its own connection pool.
 func New(o Options) *Client {
 	registry := o.Registry
 	if registry == nil {
@@ -78,7 +80,7 @@
 				MaxIdleConnsPerHost: 16,
 				IdleConnTimeout:     30 * time.Second,
 			},
-			// A redirect would send a write a second time.
+			// Following a redirect would send a write a second time.
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 		},
 		reads:  gometrics.GetOrRegisterCounter("platform_reads_total", registry),
@@ -109,7 +111,7 @@
 	return decodeListing(raw, kind, 0)
 }
 
-// Watch waits for changes of a kind past revision.
+// Watch waits for changes of a kind after the given revision.
 func (c *Client) Watch(ctx context.Context, kind string, revision port.StoreRevision, wait time.Duration) ([]port.Object, port.StoreRevision, error) {
 	query := url.Values{
 		"after": {strconv.FormatUint(uint64(revision), 10)},
@@ -122,7 +124,7 @@
 	return decodeListing(raw, kind, revision)
 }
 
-// Hosts reads the lagging list of hosts.
+// Hosts reads the platform's list of hosts, which may lag behind.
 func (c *Client) Hosts(ctx context.Context) ([]port.HostEntry, error) {
 	raw, err := c.read(ctx, c.timeout, "/v1/hosts")
 	if err != nil {
@@ -131,7 +133,7 @@
 	return decodeHosts(raw)
 }
 
-// Put writes where the stored version still is expect.
+// Put writes the value if the stored version equals expect.
 func (c *Client) Put(ctx context.Context, kind, name string, expect uint64, value json.RawMessage) (port.Object, error) {
 	if len(value) > MaxValueBytes {
 		return port.Object{}, port.ErrTooLarge
@@ -150,12 +152,13 @@
 	return writeResult(status, raw, kind, name)
 }
 
-// writeRequest builds a conditional write that is sent at most once. The
-// transport repeats a request on its own when a kept connection dies and it
-// can rewind the body; an own repeat of a conditional write would meet its
-// first try as a conflict, and a write that took effect would be reported as
-// refused. Without GetBody there is nothing to rewind, and PUT without an
-// idempotency header is not repeated once sent.
+// writeRequest builds a conditional write that is sent at most once.
+//
+// The transport retries a request by itself if a kept-alive connection fails
+// and the body can be rewound. A retried conditional write would conflict with
+// its own first attempt, and a write that took effect would be reported as
+// refused. Without GetBody the body can't be rewound, and a PUT without an
+// idempotency header is not retried once sent.
 func (c *Client) writeRequest(ctx context.Context, sent *atomic.Bool, path string, expect uint64, value json.RawMessage) (*http.Request, error) {
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { sent.Store(true) },
@@ -174,7 +177,8 @@
 	return r, nil
 }
 
-// lostWrite: with a connection at hand some bytes may have gone out.
+// lostWrite returns the error of a write without a reply. Once the write had a
+// connection, some of its bytes may have been sent, so the outcome is unknown.
 func lostWrite(sent bool, err error) error {
 	if sent {
 		return merry.Prepend(port.ErrOutcomeUnknown, err.Error())
@@ -191,8 +195,8 @@
 		}
 		return o, nil
 	case http.StatusPreconditionFailed:
-		// The winner helps, but the verdict doesn't hang on it: an absent
-		// object has none.
+		// The reply contains the stored object if one exists. The result is a
+		// conflict in either case.
 		o, err := decodeObject(raw, kind, name)
 		if err != nil {
 			return port.Object{}, port.ErrConflict
@@ -207,7 +211,7 @@
 	case http.StatusServiceUnavailable, http.StatusBadRequest, http.StatusPreconditionRequired:
 		return port.Object{}, merry.Prependf(port.ErrPlatformUnavailable, "status %d", status)
 	default:
-		// A gateway between may say this after the write took effect.
+		// A gateway in between may return this after the write took effect.
 		return port.Object{}, merry.Prependf(port.ErrOutcomeUnknown, "status %d", status)
 	}
 }
@@ -238,9 +242,10 @@
 	}
 }
 
-// do waits so long for the answer to begin.
-func (c *Client) do(r *http.Request, begin time.Duration) (int, []byte, error) {
-	a, err := httpanswer.Do(c.http, r, httpanswer.Bounds{Begin: begin, Pause: c.timeout, MaxBytes: maxReplyBytes})
+// do sends a request and reads the answer, which must start within the given
+// time.
+func (c *Client) do(r *http.Request, startTimeout time.Duration) (int, []byte, error) {
+	a, err := httpanswer.Do(c.http, r, httpanswer.Bounds{Begin: startTimeout, Pause: c.timeout, MaxBytes: maxReplyBytes})
 	if err != nil {
 		return 0, nil, err
 	}
--- a/internal/adapter/httpplatform/client_test.go
+++ b/internal/adapter/httpplatform/client_test.go
@@ -22,8 +22,8 @@
 	return New(Options{BaseURL: server.URL, Timeout: 5 * time.Second})
 }
 
-// redirecting answers a write with a redirect, and whoever follows it with an
-// object that looks like a success.
+// redirecting answers a write with a redirect to a path that answers with an
+// object, so that a client which follows it would report success.
 func redirecting(status int) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/elsewhere" {
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestErrorsOfWrites(t *testing.T) {
+func TestWriteErrors(t *testing.T) {
 	const good = `{"kind":"k","name":"n","version":3,"value":{}}`
 	cases := []struct {
 		name string
@@ -53,12 +53,12 @@
 		{"conflict without a body", answer(412, ``), port.ErrConflict},
 		{"too large", answer(413, ``), port.ErrTooLarge},
 		{"over the rate", answer(429, ``), port.ErrThrottled},
-		{"refused while down", answer(503, ``), port.ErrPlatformUnavailable},
-		{"a gateway lost it", answer(502, ``), port.ErrOutcomeUnknown},
-		{"an error inside", answer(500, ``), port.ErrOutcomeUnknown},
+		{"unavailable", answer(503, ``), port.ErrPlatformUnavailable},
+		{"bad gateway", answer(502, ``), port.ErrOutcomeUnknown},
+		{"internal error", answer(500, ``), port.ErrOutcomeUnknown},
 		{"a redirect", redirecting(http.StatusTemporaryRedirect), port.ErrOutcomeUnknown},
-		{"a redirect that would become a read", redirecting(http.StatusFound), port.ErrOutcomeUnknown},
-		{"a reply cut short", answer(200, `{"kind":"k"`), port.ErrOutcomeUnknown},
+		{"a redirect to be followed by GET", redirecting(http.StatusFound), port.ErrOutcomeUnknown},
+		{"a truncated reply", answer(200, `{"kind":"k"`), port.ErrOutcomeUnknown},
 		{"a reply about another object", answer(200, `{"kind":"k","name":"x","version":3}`), port.ErrOutcomeUnknown},
 		{"the connection closes", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, port.ErrOutcomeUnknown},
 	}
@@ -72,7 +72,7 @@
 	}
 }
 
-func TestErrorsOfReads(t *testing.T) {
+func TestReadErrors(t *testing.T) {
 	cases := []struct {
 		name string
 		h    http.HandlerFunc
@@ -81,8 +81,8 @@
 		{"read", answer(200, `{"kind":"k","name":"n","version":3,"value":1}`), nil},
 		{"absent", answer(404, ``), port.ErrNotFound},
 		{"over the rate", answer(429, ``), port.ErrThrottled},
-		{"down", answer(503, ``), port.ErrPlatformUnavailable},
-		{"nonsense", answer(200, `[]`), port.ErrPlatformUnavailable},
+		{"unavailable", answer(503, ``), port.ErrPlatformUnavailable},
+		{"a malformed reply", answer(200, `[]`), port.ErrPlatformUnavailable},
 		{"another object", answer(200, `{"kind":"k","name":"x","version":3}`), port.ErrPlatformUnavailable},
 	}
 	for _, c := range cases {
@@ -94,9 +94,9 @@
 	}
 }
 
-// Nothing listens at the address: no byte was sent, so nothing was written,
-// and that is said instead of "unknown".
-func TestRefusedConnectionWroteNothing(t *testing.T) {
+// If nothing listens at the address, no byte was sent and nothing was written:
+// the error must be "unavailable" instead of "outcome unknown".
+func TestWriteToRefusedConnectionIsUnavailable(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -109,11 +109,11 @@
 	}
 }
 
-// A kept connection dies under a write after the platform has taken it. Go's
-// transport repeats some requests on its own in that case. A second write
-// would meet the first as a conflict, and the operator would hear "another won"
-// of an own write that is in force.
-func TestTransportNeverRepeatsAWrite(t *testing.T) {
+// Guards against Go's transport retrying a write whose kept-alive connection
+// closes after the platform has received the write. The second write would
+// conflict with the first, and the operator's own write, which took effect,
+// would be reported as a conflict with another change.
+func TestTransportNeverRetriesWrite(t *testing.T) {
 	var puts atomic.Int64
 	c := serve(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodGet {
@@ -126,7 +126,7 @@
 	})
 	const writes = 50
 	for range writes {
-		// The read leaves a kept connection for the write to use.
+		// The read leaves an idle connection that the write can reuse.
 		if _, err := c.Get(context.Background(), "k", "n"); err != nil {
 			t.Fatal(err)
 		}
@@ -135,11 +135,11 @@
 		}
 	}
 	if n := puts.Load(); n != writes {
-		t.Fatalf("%d writes arrived of %d", n, writes)
+		t.Fatalf("the server received %d writes, want %d", n, writes)
 	}
 }
 
-func TestConditionsOnTheWire(t *testing.T) {
+func TestWriteConditionHeaders(t *testing.T) {
 	var got http.Header
 	c := serve(t, func(w http.ResponseWriter, r *http.Request) {
 		got = r.Header
@@ -156,7 +156,7 @@
 	}
 }
 
-func TestWatchThatGoesBackAsksForAList(t *testing.T) {
+func TestWatchOfLostRevisionNeedsList(t *testing.T) {
 	for name, h := range map[string]http.HandlerFunc{
 		"too old":            answer(410, ``),
 		"revision goes back": answer(200, `{"objects":[],"revision":3}`),
@@ -169,8 +169,8 @@
 	}
 }
 
-// Whatever the platform replies: an error or objects that make sense, never a
-// panic, never a version of zero or past the revision.
+// Any reply of the platform must give an error or valid objects: no panic, no
+// version of zero, and no version after the revision.
 func FuzzReplies(f *testing.F) {
 	f.Add([]byte(`{"kind":"k","name":"n","version":3,"value":{"a":1}}`))
 	f.Add([]byte(`{"objects":[{"kind":"k","name":"n","version":3,"value":1}],"revision":5}`))
@@ -186,7 +186,7 @@
 			}
 		}
 		if err == nil && revision < 2 {
-			t.Fatalf("went back to %d", revision)
+			t.Fatalf("accepted revision %d, lower than the requested 2", revision)
 		}
 		hosts, err := decodeHosts(raw)
 		for _, h := range hosts {
--- a/internal/adapter/httpplatform/decode.go
+++ b/internal/adapter/httpplatform/decode.go
@@ -8,7 +8,7 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// listing is the reply to a list and to a watch.
+// listing is the reply to a list or a watch.
 type listing struct {
 	Objects  []port.Object      `json:"objects"`
 	Revision port.StoreRevision `json:"revision"`
@@ -18,7 +18,7 @@
 	Endpoints []port.Endpoint `json:"endpoints"`
 }
 
-// decodeObject checks that the reply is the object that was asked for.
+// decodeObject decodes a reply and checks that it is the requested object.
 func decodeObject(raw []byte, kind, name string) (port.Object, error) {
 	var o port.Object
 	if err := json.Unmarshal(raw, &o); err != nil {
@@ -30,17 +30,18 @@
 	return o, nil
 }
 
-// decodeListing checks that every object is of the kind and no newer than the
-// revision, and that the revision doesn't go back: with a revision ahead of
-// its objects, a watch would skip changes and never know.
+// decodeListing decodes a listing. It checks that every object is of the given
+// kind and no newer than the listing's revision, and that the revision is not
+// lower than after. If the revision didn't match the objects, a watch would
+// skip changes unnoticed.
 func decodeListing(raw []byte, kind string, after port.StoreRevision) ([]port.Object, port.StoreRevision, error) {
 	var l listing
 	if err := json.Unmarshal(raw, &l); err != nil {
 		return nil, 0, merry.Prepend(port.ErrPlatformUnavailable, err.Error())
 	}
 	if l.Revision < after {
-		// The platform went back, as after a restore: everything is to be
-		// read again.
+		// The platform's revision decreased, for example after a restore:
+		// everything must be read again.
 		return nil, 0, port.ErrRevisionGone
 	}
 	for i := range l.Objects {
@@ -59,8 +60,8 @@
 	}
 	out := make([]port.HostEntry, 0, len(l.Endpoints))
 	for _, e := range l.Endpoints {
-		// An entry without id or address can't be routed to; the rest of the
-		// list still counts.
+		// An entry without an ID or address can't be used for routing; the
+		// other entries remain valid.
 		if e.ID == "" || e.Address == "" {
 			continue
 		}
