--- a/internal/adapter/oncehttp/oncehttp.go
+++ b/internal/adapter/oncehttp/oncehttp.go
@@ -1,5 +1,5 @@
 // Package oncehttp sends an HTTP request to an endpoint at most once, and
-// tells whether any byte of it left this process.
+// reports whether any byte of it left this process.
 package oncehttp
 
 import (
@@ -17,27 +17,28 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// bufferBytes is each connection's read and write buffer. Every open stream
-// holds both, and its events are small.
+// bufferBytes is the size of each connection's read buffer and write buffer. It
+// is small because every open stream holds both and its events are small.
 const bufferBytes = 1 << 10
 
-// Options of a client.
+// Options configures a Client.
 type Options struct {
-	// DialTimeout bounds a connect.
+	// DialTimeout limits the time to establish a connection.
 	DialTimeout time.Duration
-	// IdleConnections per endpoint are kept for reuse, each for IdleTimeout;
-	// zero is DefaultIdleTimeout.
+	// IdleConnections is the number of connections per endpoint that are kept
+	// for reuse, each for IdleTimeout; an IdleTimeout of zero means
+	// DefaultIdleTimeout.
 	IdleConnections int
 	IdleTimeout     time.Duration
-	// Fresh has each request sent over a connection of its own.
+	// Fresh disables the reuse of connections.
 	Fresh bool
 }
 
 // DefaultIdleTimeout is how long an unused connection is kept.
 const DefaultIdleTimeout = 30 * time.Second
 
-// Client sends each request at most once. It follows no redirect, as the
-// place that a redirect names is not an endpoint of the system.
+// Client sends each request at most once. It doesn't follow redirects, because
+// their target is not an endpoint of the system.
 type Client struct {
 	transport *http.Transport
 }
@@ -67,17 +68,18 @@
 }
 
 // Do sends the request with the body, which may be empty. It fails with
-// port.ErrNotSent where no byte left this process, else port.ErrEndpointLost.
+// port.ErrNotSent if no byte left this process, otherwise with
+// port.ErrEndpointLost.
 //
-// http.Transport replays a request by itself when a kept-alive connection
-// turns out dead: one with an idempotent method or an Idempotency-Key header,
-// and a body that it can rewind or none. The endpoint may have run the first
-// copy, so the caller would see one answer and the ledger two entries. The
-// body given here is never nil and can't be rewound, which net/http takes as
-// not replayable whatever the method and headers are.
+// http.Transport retries a request by itself if a kept-alive connection turns
+// out to be closed and the request has an idempotent method or an
+// Idempotency-Key header, and either no body or one that can be rewound. The
+// endpoint may have run the first copy: the caller would see one answer, and
+// the request would have run twice. The body set here is never nil and can't be
+// rewound, so net/http never retries, whatever the method and headers.
 func (c *Client) Do(r *http.Request, body []byte) (*http.Response, error) {
 	var sent sentTrace
-	r = r.WithContext(httptrace.WithClientTrace(r.Context(), sent.hooks()))
+	r = r.WithContext(httptrace.WithClientTrace(r.Context(), sent.clientTrace()))
 	r.Body = io.NopCloser(onlyReader{bytes.NewReader(body)})
 	r.GetBody = nil
 	r.ContentLength = int64(len(body))
@@ -85,7 +87,7 @@
 	if err == nil {
 		return resp, nil
 	}
-	if sent.nothing() {
+	if sent.nothingSent() {
 		return nil, merry.Wrap(port.ErrNotSent, merry.WithCause(err))
 	}
 	return nil, merry.Wrap(port.ErrEndpointLost, merry.WithCause(err))
@@ -94,37 +96,38 @@
 // CloseIdle closes the connections kept for reuse.
 func (c *Client) CloseIdle() { c.transport.CloseIdleConnections() }
 
-// onlyReader hides the methods by which a body could be rewound.
+// onlyReader hides the methods with which a body could be rewound.
 type onlyReader struct{ r io.Reader }
 
 func (o onlyReader) Read(p []byte) (int, error) { return o.r.Read(p) }
 
-// countedConn counts the bytes given to the kernel.
+// countedConn counts the bytes passed to the kernel.
 type countedConn struct {
 	net.Conn
 	written atomic.Int64
 }
 
 func (c *countedConn) Write(p []byte) (int, error) {
-	// Counted before the write: a write that fails may have sent a part.
+	// Counted before the write, because a failed write may have sent a part.
 	c.written.Add(int64(len(p)))
 	return c.Conn.Write(p)
 }
 
-// sentTrace compares a connection's count before and after one request.
+// sentTrace detects whether a request sent any bytes, by comparing its
+// connection's byte count before and after the request.
 type sentTrace struct {
 	conn   atomic.Pointer[countedConn]
 	before atomic.Int64
-	// unsure is set where the connection can't be watched.
-	unsure atomic.Bool
+	// undetermined is set if the bytes sent can't be determined.
+	undetermined atomic.Bool
 }
 
-func (t *sentTrace) hooks() *httptrace.ClientTrace {
+func (t *sentTrace) clientTrace() *httptrace.ClientTrace {
 	return &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
 		c, ok := info.Conn.(*countedConn)
 		if !ok || t.conn.Load() != nil {
-			// A second connection means that the first may have sent.
-			t.unsure.Store(true)
+			// If a second connection is used, the first may have sent bytes.
+			t.undetermined.Store(true)
 			return
 		}
 		t.before.Store(c.written.Load())
@@ -132,8 +135,8 @@
 	}}
 }
 
-func (t *sentTrace) nothing() bool {
-	if t.unsure.Load() {
+func (t *sentTrace) nothingSent() bool {
+	if t.undetermined.Load() {
 		return false
 	}
 	c := t.conn.Load()
--- a/internal/adapter/oncehttp/oncehttp_test.go
+++ b/internal/adapter/oncehttp/oncehttp_test.go
@@ -14,34 +14,35 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-// trap is a server that answers on a kept-alive connection, and at one request
-// takes it whole, runs it, and closes the connection without an answer. To
-// http.Transport that looks like an idle connection that had died.
-type trap struct {
+// closingServer answers requests on kept-alive connections. While armed, it
+// reads the whole request, counts it as run, and closes the connection without
+// an answer. To http.Transport that looks like an idle connection that was
+// already closed.
+type closingServer struct {
 	listener net.Listener
 	mu       sync.Mutex
 	armed    bool
-	// runs counts the requests taken while armed; reused those of them that
-	// came over a connection that had served before.
+	// runs counts the requests received while armed; reused counts those of
+	// them on a connection that had already served a request.
 	runs   int
 	reused int
 }
 
-func newTrap(t *testing.T) *trap {
+func newClosingServer(t *testing.T) *closingServer {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	tr := &trap{listener: l}
+	tr := &closingServer{listener: l}
 	t.Cleanup(func() { l.Close() })
 	go tr.serve()
 	return tr
 }
 
-func (tr *trap) serve() {
+func (tr *closingServer) serve() {
 	for {
 		c, err := tr.listener.Accept()
 		if err != nil {
@@ -51,7 +52,7 @@
 	}
 }
 
-func (tr *trap) connection(c net.Conn) {
+func (tr *closingServer) connection(c net.Conn) {
 	defer c.Close()
 	r := bufio.NewReader(c)
 	for served := 0; ; served++ {
@@ -62,7 +63,7 @@
 		if _, err := io.Copy(io.Discard, request.Body); err != nil {
 			return
 		}
-		if tr.takes(served) {
+		if tr.shouldClose(served) {
 			return
 		}
 		if _, err := io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"); err != nil {
@@ -71,8 +72,9 @@
 	}
 }
 
-// takes reports whether the connection closes on this request.
-func (tr *trap) takes(served int) bool {
+// shouldClose reports whether to close the connection without an answer, and
+// counts the request if so.
+func (tr *closingServer) shouldClose(served int) bool {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	if !tr.armed {
@@ -85,22 +87,22 @@
 	return true
 }
 
-func (tr *trap) arm() {
+func (tr *closingServer) arm() {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	tr.armed, tr.runs, tr.reused = true, 0, 0
 }
 
-func (tr *trap) disarm() (runs, reused int) {
+func (tr *closingServer) disarm() (runs, reused int) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	tr.armed = false
 	return tr.runs, tr.reused
 }
 
-func (tr *trap) request(t *testing.T, method, key string) *http.Request {
+func (tr *closingServer) request(t *testing.T, method, key string) *http.Request {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(cancel)
 	r, err := http.NewRequestWithContext(ctx, method, "http://"+tr.listener.Addr().String()+"/ledger", nil)
 	if err != nil {
@@ -112,13 +114,14 @@
 	return r
 }
 
-func newClient() *Client { return New(Options{DialTimeout: patience, IdleConnections: 4}) }
+func newClient() *Client { return New(Options{DialTimeout: testTimeout, IdleConnections: 4}) }
 
-// A bar would be charged twice: the service runs the call and its connection
-// dies before the reply; http.Transport takes the kept-alive connection for
-// one that was dead before and sends the call again, as it does for each call
-// with an Idempotency-Key or an idempotent method whose body it can rewind.
-func TestNoCallIsReplayedOnADeadConnection(t *testing.T) {
+// Guards against running a call twice: the service runs the call and its
+// connection closes before the reply; http.Transport treats the kept-alive
+// connection as one that was already closed and sends the call again, as it
+// does for a call with an Idempotency-Key or an idempotent method whose body it
+// can rewind.
+func TestCallIsNotRetriedAfterConnectionLoss(t *testing.T) {
 	cases := []struct {
 		name, method, key string
 		body              []byte
@@ -131,17 +134,17 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			tr := newTrap(t)
+			tr := newClosingServer(t)
 			client := newClient()
-			// The pool takes a connection back a moment after the reply, so
-			// try until the trap has met a kept-alive one.
+			// The pool gets a connection back shortly after the reply, so repeat
+			// until the server has closed a reused one.
 			for reused := 0; reused == 0; {
-				warm(t, tr, client)
+				openIdleConnection(t, tr, client)
 				tr.arm()
 				resp, err := client.Do(tr.request(t, c.method, c.key), c.body)
 				if err == nil {
 					resp.Body.Close()
-					t.Fatal("an answer from a server that gave none")
+					t.Fatal("got an answer, although the server closed the connection")
 				}
 				var runs int
 				runs, reused = tr.disarm()
@@ -149,14 +152,14 @@
 					t.Fatalf("the call ran %d times", runs)
 				}
 				if !errors.Is(err, port.ErrEndpointLost) || errors.Is(err, port.ErrNotSent) {
-					t.Fatalf("got %v, want that the endpoint was lost after the send", err)
+					t.Fatalf("got %v, want ErrEndpointLost and not ErrNotSent", err)
 				}
 			}
 		})
 	}
 }
 
-func warm(t *testing.T, tr *trap, client *Client) {
+func openIdleConnection(t *testing.T, tr *closingServer, client *Client) {
 	t.Helper()
 	resp, err := client.Do(tr.request(t, http.MethodGet, ""), nil)
 	if err != nil {
@@ -168,14 +171,14 @@
 	resp.Body.Close()
 }
 
-// "Not run" may be said of a call only where no byte of it left: a refused
-// connection, but not one that took the call and closed.
-func TestNotSentIsSaidOnlyWhereNothingLeft(t *testing.T) {
+// ErrNotSent may be returned only if no byte of the call was sent: for a refused
+// connection, but not for one that received the call and closed.
+func TestErrNotSentOnlyIfNoByteSent(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	tr := &trap{listener: l}
+	tr := &closingServer{listener: l}
 	l.Close()
 	resp, err := newClient().Do(tr.request(t, http.MethodPost, ""), []byte("x"))
 	if err == nil {
@@ -184,28 +187,28 @@
 	if !errors.Is(err, port.ErrNotSent) {
 		t.Fatalf("refused connection: got %v", err)
 	}
-	taken := newTrap(t)
-	taken.arm()
-	resp, err = newClient().Do(taken.request(t, http.MethodPost, ""), []byte("x"))
+	server := newClosingServer(t)
+	server.arm()
+	resp, err = newClient().Do(server.request(t, http.MethodPost, ""), []byte("x"))
 	if err == nil {
 		resp.Body.Close()
 	}
 	if !errors.Is(err, port.ErrEndpointLost) || errors.Is(err, port.ErrNotSent) {
-		t.Fatalf("taken and closed: got %v", err)
+		t.Fatalf("closed after receiving the call: got %v", err)
 	}
 }
 
-// The place that a redirect names is no endpoint of the system, and following
-// it would send the call once more.
+// The target of a redirect is not an endpoint of the system, and following it
+// would send the call a second time.
 func TestRedirectsAreNotFollowed(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := &http.Server{Handler: http.RedirectHandler("http://127.0.0.1:1/", http.StatusTemporaryRedirect), ReadHeaderTimeout: patience}
+	server := &http.Server{Handler: http.RedirectHandler("http://127.0.0.1:1/", http.StatusTemporaryRedirect), ReadHeaderTimeout: testTimeout}
 	go func() { _ = server.Serve(l) }()
 	t.Cleanup(func() { server.Close() })
-	tr := &trap{listener: l}
+	tr := &closingServer{listener: l}
 	resp, err := newClient().Do(tr.request(t, http.MethodPost, ""), []byte("x"))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/adapter/oncehttp/presence.go
+++ b/internal/adapter/oncehttp/presence.go
@@ -11,8 +11,8 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// PresenceOf judges an endpoint by what a question to it came to. Whatever it
-// answers, it serves.
+// PresenceOf derives an endpoint's presence from the error of a request to it.
+// Any answer means that the endpoint serves.
 func PresenceOf(err error) port.Presence {
 	switch {
 	case err == nil, merry.Cause(err) == nil:
@@ -20,7 +20,8 @@
 	case errors.Is(err, syscall.ECONNREFUSED):
 		return port.PresenceGone
 	case errors.Is(err, syscall.ECONNRESET):
-		// Also while the connection comes about: somebody took it, and ended it.
+		// This also applies to a reset during the connect: the connection was
+		// accepted and then closed.
 		return port.PresenceSilent
 	case errors.Is(err, context.DeadlineExceeded), errors.Is(err, context.Canceled), neverConnected(err):
 		return port.PresenceUnknown
@@ -29,8 +30,8 @@
 	}
 }
 
-// PresenceOfReport judges an endpoint by its report. One of another incarnation,
-// or of another endpoint, shows that this one has ended.
+// PresenceOfReport derives an endpoint's presence from its load report. A report
+// of another endpoint or incarnation at its address means that it has ended.
 func PresenceOfReport(e port.Endpoint, r *port.LoadReport, err error) port.Presence {
 	if err == nil && (r.EndpointID != e.ID || r.Incarnation != e.Incarnation) {
 		return port.PresenceGone
@@ -38,7 +39,7 @@
 	return PresenceOf(err)
 }
 
-// neverConnected reports whether no connection came about.
+// neverConnected reports whether no connection was established.
 func neverConnected(err error) bool {
 	var failed *net.OpError
 	return errors.As(err, &failed) && failed.Op == "dial"
--- a/internal/adapter/oncehttp/presence_test.go
+++ b/internal/adapter/oncehttp/presence_test.go
@@ -13,8 +13,9 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// Guards against a crash that is taken for a cut link, as the connections to what stands before the endpoint are reset.
-func TestPresenceOfWhatAnswersNothing(t *testing.T) {
+// Guards against taking a crash for a network failure: the proxy in front of a
+// crashed endpoint accepts connections and resets them.
+func TestPresenceOf(t *testing.T) {
 	dial := func(err error) error {
 		return merry.Wrap(port.ErrNotSent, merry.WithCause(&net.OpError{Op: "dial", Err: os.NewSyscallError("connect", err)}))
 	}
@@ -27,7 +28,7 @@
 		{"refused", dial(syscall.ECONNREFUSED), port.PresenceGone},
 		{"reset at once", dial(syscall.ECONNRESET), port.PresenceSilent},
 		{"reset later", merry.Wrap(port.ErrEndpointLost, merry.WithCause(syscall.ECONNRESET)), port.PresenceSilent},
-		{"no way there", dial(syscall.EHOSTUNREACH), port.PresenceUnknown},
+		{"unreachable", dial(syscall.EHOSTUNREACH), port.PresenceUnknown},
 		{"no answer in time", merry.Wrap(port.ErrEndpointLost, merry.WithCause(context.DeadlineExceeded)), port.PresenceUnknown},
 	} {
 		if got := oncehttp.PresenceOf(c.err); got != c.want {
