--- a/internal/adapter/httpengine/frames.go
+++ b/internal/adapter/httpengine/frames.go
@@ -12,21 +12,21 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// MaxFrameBytes bounds one event of an engine.
+// MaxFrameBytes limits the size of one event of an engine.
 const MaxFrameBytes = 64 << 10
 
-// frameStream reads the events of one connection.
+// frameStream reads the events of one response.
 type frameStream struct {
 	body   io.ReadCloser
 	cancel context.CancelFunc
 }
 
-// Frames yields the frames of the connection. Its end without an error is not
-// the end of the generation.
+// Frames yields the frames of the stream. A stream that ends without an error
+// doesn't mean that the generation has ended.
 func (s *frameStream) Frames(ctx context.Context) iter.Seq2[port.Frame, error] {
 	return func(yield func(port.Frame, error) bool) {
-		unhook := context.AfterFunc(ctx, s.cancel)
-		defer unhook()
+		stop := context.AfterFunc(ctx, s.cancel)
+		defer stop()
 		for event, err := range sse.Read(s.body, &sse.ReadConfig{MaxEventSize: MaxFrameBytes}) {
 			var f port.Frame
 			if err == nil {
@@ -43,8 +43,8 @@
 	}
 }
 
-// Close releases the connection. Frames must not be running; to end it, cancel
-// its context first.
+// Close releases the connection. It must not be called while Frames is running;
+// cancel the context of Frames first.
 func (s *frameStream) Close() error {
 	s.cancel()
 	return s.body.Close()
--- a/internal/adapter/httpengine/frames_test.go
+++ b/internal/adapter/httpengine/frames_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Whatever an engine sends, reading its events ends: with frames, at most one
-// error, and nothing after the error.
+// For any response of an engine, reading the events terminates and yields
+// frames, at most one error, and nothing after the error.
 func FuzzFrames(f *testing.F) {
 	f.Add([]byte("id: g:0\ndata: {\"generation\":\"g\",\"index\":0}\n\n"))
 	f.Fuzz(func(t *testing.T, body []byte) {
--- a/internal/adapter/httpengine/httpengine.go
+++ b/internal/adapter/httpengine/httpengine.go
@@ -1,5 +1,5 @@
-// Package httpengine reaches model engines over HTTP, as docs/design/wire.md
-// describes. It implements port.Engine.
+// Package httpengine implements port.Engine over the HTTP API of model engines,
+// described in docs/design/wire.md.
 package httpengine
 
 import (
@@ -17,30 +17,30 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// MaxReplyBytes bounds an engine's reply that is not a stream.
+// MaxReplyBytes limits the size of an engine's reply that is not a stream.
 const MaxReplyBytes = 1 << 20
 
-// HeaderGeneration carries the generation id that the router chose.
+// HeaderGeneration is the header with the generation ID chosen by the router.
 const HeaderGeneration = "Generation-Id"
 
-// Options of an Engine.
+// Options configures an Engine.
 type Options struct {
 	DialTimeout time.Duration
-	// CallTimeout bounds a call that is not a stream.
+	// CallTimeout limits a call that is not a stream.
 	CallTimeout time.Duration
-	// OpenTimeout bounds the wait for the response header of a stream.
+	// OpenTimeout limits the wait for the response header of a stream.
 	OpenTimeout time.Duration
-	// IdleConnections per engine are kept for reuse.
+	// IdleConnections is the number of connections per engine kept for reuse.
 	IdleConnections int
 }
 
-// Engine is an HTTP client of every engine.
+// Engine is an HTTP client for all engines.
 type Engine struct {
 	client *oncehttp.Client
 	o      Options
 }
 
-// New returns a client.
+// New returns an Engine.
 func New(o Options) *Engine {
 	return &Engine{
 		client: oncehttp.New(oncehttp.Options{DialTimeout: o.DialTimeout, IdleConnections: o.IdleConnections}),
@@ -61,8 +61,8 @@
 	Status port.GenerationStatus `json:"status"`
 }
 
-// Start dispatches a generation. ErrRefused: the engine said that it did not
-// start it.
+// Start dispatches a generation. It fails with port.ErrRefused if the engine
+// reports that it did not start the generation.
 func (e *Engine) Start(ctx context.Context, s *port.GenerationStart) (port.FrameStream, error) {
 	body, err := json.Marshal(completion{
 		Model: s.Model, Prompt: s.Prompt, MaxTokens: s.MaxTokens,
@@ -75,20 +75,21 @@
 	return e.open(ctx, s.Endpoint, http.MethodPost, "/v1/completions", header, body)
 }
 
-// Resume opens the generation's stream from a token on.
+// Resume opens the generation's stream, starting at the token with index from.
 func (e *Engine) Resume(ctx context.Context, ep port.Endpoint, generation string, from int) (port.FrameStream, error) {
 	path := generationPath(generation) + "/events?from=" + strconv.Itoa(from)
 	return e.open(ctx, ep, http.MethodGet, path, http.Header{}, nil)
 }
 
-// Status asks for a generation's status.
+// Status returns a generation's status.
 func (e *Engine) Status(ctx context.Context, ep port.Endpoint, generation string) (port.GenerationStatus, error) {
 	var reply statusReply
 	err := e.call(ctx, ep, http.MethodGet, generationPath(generation), &reply)
 	return checkStatus(reply.Status, err)
 }
 
-// Cancel ends or bars a generation and returns the status it had before.
+// Cancel cancels a generation, or prevents its start if the engine doesn't have
+// it yet, and returns its previous status.
 func (e *Engine) Cancel(ctx context.Context, ep port.Endpoint, generation string) (port.GenerationStatus, error) {
 	var reply statusReply
 	err := e.call(ctx, ep, http.MethodDelete, generationPath(generation), &reply)
@@ -102,7 +103,7 @@
 	return report, err
 }
 
-// Look finds out whether an engine serves.
+// Look checks whether an engine serves.
 func (e *Engine) Look(ctx context.Context, ep port.Endpoint) port.Presence {
 	report, err := e.Load(ctx, ep)
 	return oncehttp.PresenceOfReport(ep, &report, err)
@@ -112,8 +113,8 @@
 	return "/v1/generations/" + url.PathEscape(generation)
 }
 
-// checkStatus keeps a status that no engine should give from being taken
-// for one that proves something.
+// checkStatus returns an error for an unknown status, because such a status
+// proves nothing about the generation.
 func checkStatus(s port.GenerationStatus, err error) (port.GenerationStatus, error) {
 	if err != nil {
 		return "", err
@@ -132,13 +133,13 @@
 	timer := time.AfterFunc(e.o.OpenTimeout, cancel)
 	resp, err := e.send(streamCtx, ep, method, path, header, body)
 	timer.Stop()
-	// From here on only Close ends the stream.
+	// From here on, only Close and the context of Frames end the stream.
 	stopParent()
 	if err != nil {
 		cancel()
 		return nil, err
 	}
-	if err := refusal(resp); err != nil {
+	if err := statusError(resp); err != nil {
 		discard(resp.Body)
 		cancel()
 		return nil, err
@@ -154,7 +155,7 @@
 		return err
 	}
 	defer discard(resp.Body)
-	if err := refusal(resp); err != nil {
+	if err := statusError(resp); err != nil {
 		return err
 	}
 	err = json.NewDecoder(io.LimitReader(resp.Body, MaxReplyBytes)).Decode(out)
@@ -173,10 +174,10 @@
 	return e.client.Do(r, body)
 }
 
-// refusal turns a status into an error. Only 409 and 503, and those that call
-// the request itself wrong, say that nothing was started; any other failure
-// leaves it open.
-func refusal(resp *http.Response) error {
+// statusError returns the error for a response's status. Only 409, 503 and the
+// statuses for an invalid request prove that the engine started nothing; after
+// any other failure the generation may have started.
+func statusError(resp *http.Response) error {
 	switch resp.StatusCode {
 	case http.StatusOK:
 		return nil
@@ -191,7 +192,8 @@
 	}
 }
 
-// discard reads a little of what is left, so that the connection is reused.
+// discard reads up to 4 KiB of the remaining body, so that the connection can be
+// reused, and closes it.
 func discard(body io.ReadCloser) {
 	_, _ = io.CopyN(io.Discard, body, 4<<10)
 	_ = body.Close()
--- a/internal/adapter/httpengine/httpengine_test.go
+++ b/internal/adapter/httpengine/httpengine_test.go
@@ -14,13 +14,13 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 func serve(t *testing.T, h http.HandlerFunc) (*Engine, port.Endpoint) {
 	t.Helper()
 	server := httptest.NewServer(h)
 	t.Cleanup(server.Close)
-	e := New(Options{DialTimeout: patience, CallTimeout: patience, OpenTimeout: patience, IdleConnections: 2})
+	e := New(Options{DialTimeout: testTimeout, CallTimeout: testTimeout, OpenTimeout: testTimeout, IdleConnections: 2})
 	return e, port.Endpoint{ID: "e1", Address: strings.TrimPrefix(server.URL, "http://")}
 }
 
@@ -29,7 +29,7 @@
 	return e.Start(t.Context(), &port.GenerationStart{Endpoint: ep, Generation: "r1.x.1", Model: "m", Prompt: "p"})
 }
 
-// readAll ranges over a stream to its end.
+// readAll reads a stream until its end or the first error.
 func readAll(ctx context.Context, s port.FrameStream) (frames []port.Frame, err error) {
 	for f, err := range s.Frames(ctx) {
 		if err != nil {
@@ -40,9 +40,10 @@
 	return frames, nil
 }
 
-// Only 409, 503 and a rejection prove that the engine did not start it: said of a 500, a
-// caller would try again and have two generations.
-func TestOnlyTheEnginesOwnRefusalIsARefusal(t *testing.T) {
+// Only 409, 503 and a rejection prove that the engine did not start the
+// generation. If a 500 were treated in the same way, the caller would retry and
+// two generations would run.
+func TestStartErrorsByStatus(t *testing.T) {
 	for status, want := range map[int]error{
 		http.StatusConflict:            port.ErrRefused,
 		http.StatusServiceUnavailable:  port.ErrRefused,
@@ -58,8 +59,8 @@
 	}
 }
 
-// A status that is not in the contract, or none at all, proves nothing.
-func TestUnreadableStatusProvesNothing(t *testing.T) {
+// A missing or unknown status proves nothing about the generation.
+func TestCancelRejectsUnknownStatus(t *testing.T) {
 	for _, body := range []string{``, `{}`, `{"status":"barred"}`, `[]`, `{"status":"unkn`} {
 		e, ep := serve(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, body) })
 		if status, err := e.Cancel(t.Context(), ep, "g"); !errors.Is(err, port.ErrEndpointLost) {
@@ -68,9 +69,9 @@
 	}
 }
 
-// A connection that closes in the middle of an event yields the whole events
-// and then an end; the half event is not a frame.
-func TestHalfAnEventIsNoFrame(t *testing.T) {
+// A connection that closes in the middle of an event yields the complete events
+// and then ends; the incomplete event is not a frame.
+func TestIncompleteEventIsNotAFrame(t *testing.T) {
 	e, ep := serve(t, func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(w, "id: g:0\ndata: {\"generation\":\"g\",\"index\":0}\n\nid: g:1\ndata: {\"generation\":\"g\",\"ind")
 	})
@@ -84,12 +85,12 @@
 		t.Fatalf("got %+v", frames)
 	}
 	if len(frames) > 1 {
-		t.Fatalf("half an event became %+v", frames[1])
+		t.Fatalf("an incomplete event became the frame %+v", frames[1])
 	}
 }
 
-// An event that never ends must not fill the router's memory.
-func TestEventsAreBounded(t *testing.T) {
+// Guards against an event that never ends and exhausts the router's memory.
+func TestEventSizeIsLimited(t *testing.T) {
 	e, ep := serve(t, func(w http.ResponseWriter, _ *http.Request) {
 		line := strings.Repeat("x", 1<<10)
 		_, _ = io.WriteString(w, "data: ")
@@ -109,20 +110,20 @@
 	}
 }
 
-// The engine is frozen: a stream that yields nothing ends when its reader
-// gives up, and an engine that doesn't answer at all is lost after the open
-// timeout, although the caller's own context has no end.
-func TestFrozenEngineDoesNotHoldTheRouter(t *testing.T) {
+// Guards against blocking on an unresponsive engine: a stream without events
+// ends when its reader cancels, and an engine that doesn't answer at all counts
+// as lost after the open timeout, even if the caller's context has no deadline.
+func TestUnresponsiveEngineDoesNotBlock(t *testing.T) {
 	release := make(chan struct{})
-	var thawed atomic.Bool
+	var timedOut atomic.Bool
 	e, ep := serve(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodGet {
 			w.(http.Flusher).Flush()
 		}
 		select {
 		case <-release:
-		case <-time.After(patience):
-			thawed.Store(true)
+		case <-time.After(testTimeout):
+			timedOut.Store(true)
 		}
 	})
 	t.Cleanup(func() { close(release) })
@@ -133,14 +134,14 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	if frames, err := readAll(ctx, s); err == nil || len(frames) > 0 {
-		t.Fatalf("%d frames from a frozen engine, %v", len(frames), err)
+		t.Fatalf("%d frames from an unresponsive engine, error %v", len(frames), err)
 	}
 	s.Close()
 	e.o.OpenTimeout = time.Millisecond
 	if _, err := start(t, e, ep); err == nil {
-		t.Fatal("a stream from a frozen engine")
+		t.Fatal("an unresponsive engine opened a stream")
 	}
-	if thawed.Load() {
-		t.Fatal("the router waited until the engine answered")
+	if timedOut.Load() {
+		t.Fatal("the client waited until the engine answered")
 	}
 }
