--- a/internal/adapter/jsonlog/bounded.go
+++ b/internal/adapter/jsonlog/bounded.go
@@ -11,36 +11,37 @@
 	"golang.org/x/time/rate"
 )
 
-// Bounds of a bounded logger.
+// Limits of a bounded logger.
 const (
-	// queueLines is how many lines wait for an output that is slow.
+	// queueLines is the number of lines queued for a slow output.
 	queueLines = 4096
-	// batchBytes is how much is written at once, which spares a busy daemon a
-	// system call for each line.
+	// batchBytes is the size at which a batch of lines is written, which saves
+	// a busy daemon a system call per line.
 	batchBytes = 64 << 10
-	// burstSeconds is how many seconds of its rate a burst may use at once.
+	// burstSeconds is the burst size, in seconds of the permitted rate.
 	burstSeconds = 2
-	// reportEvery is the least time between two lines that count what is lost.
+	// reportEvery is the minimum time between two lines that report dropped
+	// lines.
 	reportEvery = time.Second
 )
 
-// Bounded is a logger whose output can neither grow without bound nor hold up
-// whoever logs. A daemon that waited for a pipe that nobody reads would stop
-// to serve; one that logged each of a flood of requests would spend its
-// processor on it. What is lost is counted, and the count is logged.
+// Bounded is a logger that never blocks and limits the volume of its output. A
+// daemon that waited for a pipe which nobody reads would stop serving; one that
+// logged every request of a flood would spend its CPU time on logging. Dropped
+// lines are counted, and the count is logged.
 //
-// The library's own asynchronous writer is not used, as it panics where a line
-// is logged while it is closed.
+// The library's own asynchronous writer is not used, because it panics if a
+// line is logged while it is being closed.
 type Bounded struct {
 	*log.Logger
 	out *boundedWriter
 }
 
-// NewBounded returns a logger that writes at most so many bytes a second.
-// Warnings and errors go past that bound, but not past a full queue.
+// NewBounded returns a logger that writes at most bytesPerSecond. Warnings and
+// errors are exempt from this limit, but are dropped if the queue is full.
 func NewBounded(w io.Writer, daemon, id, level string, bytesPerSecond int, registry gometrics.Registry) *Bounded {
 	out := &boundedWriter{
-		to: w, lines: make(chan []byte, queueLines), stop: make(chan struct{}), done: make(chan struct{}),
+		dst: w, lines: make(chan []byte, queueLines), stop: make(chan struct{}), done: make(chan struct{}),
 		limit: rate.NewLimiter(rate.Limit(bytesPerSecond), burstSeconds*bytesPerSecond),
 		total: gometrics.GetOrRegisterCounter("log_lines_dropped_total", registry),
 	}
@@ -50,29 +51,29 @@
 	return b
 }
 
-// Close writes what waits, for as long as the time given. Lines that come
-// later are dropped.
-func (b *Bounded) Close(within time.Duration) {
+// Close writes the queued lines and returns when they are written or the given
+// time has passed. Lines that are logged later are dropped.
+func (b *Bounded) Close(timeout time.Duration) {
 	close(b.out.stop)
 	select {
 	case <-b.out.done:
-	case <-time.After(within):
+	case <-time.After(timeout):
 	}
 }
 
-// boundedWriter drops what is over the rate or finds the queue full.
+// boundedWriter drops lines that exceed the rate or find the queue full.
 type boundedWriter struct {
-	to     io.Writer
+	dst    io.Writer
 	lines  chan []byte
 	stop   chan struct{}
 	done   chan struct{}
 	limit  *rate.Limiter
 	total  gometrics.Counter
 	report func(lines int64)
-	// lost counts the lines since the last report, at reported in Unix
-	// nanoseconds.
-	lost     atomic.Int64
-	reported atomic.Int64
+	// unreported counts the lines dropped since the last report; lastReport is
+	// its time in Unix nanoseconds.
+	unreported atomic.Int64
+	lastReport atomic.Int64
 }
 
 // WriteEntry implements log.Writer.
@@ -83,7 +84,7 @@
 		w.drop()
 		return 0, nil
 	}
-	// The entry's buffer is used again by the next line.
+	// The line is cloned because the library reuses the entry's buffer.
 	select {
 	case w.lines <- slices.Clone(line):
 	default:
@@ -95,22 +96,22 @@
 }
 
 func (w *boundedWriter) drop() {
-	w.lost.Add(1)
+	w.unreported.Add(1)
 	w.total.Inc(1)
 }
 
-// maybeReport logs what was lost, in a line of its own.
+// maybeReport logs the number of dropped lines, at most once per reportEvery.
 func (w *boundedWriter) maybeReport(now time.Time) {
-	last := w.reported.Load()
-	if w.lost.Load() == 0 || now.UnixNano()-last < int64(reportEvery) {
+	last := w.lastReport.Load()
+	if w.unreported.Load() == 0 || now.UnixNano()-last < int64(reportEvery) {
 		return
 	}
-	if w.reported.CompareAndSwap(last, now.UnixNano()) {
-		w.report(w.lost.Swap(0))
+	if w.lastReport.CompareAndSwap(last, now.UnixNano()) {
+		w.report(w.unreported.Swap(0))
 	}
 }
 
-// run writes what comes until the end, and then what is left.
+// run writes lines until the logger is closed, and then the queued ones.
 func (w *boundedWriter) run() {
 	defer close(w.done)
 	var batch []byte
@@ -127,12 +128,12 @@
 	}
 }
 
-// write adds the lines that wait and writes all at once.
+// write adds queued lines to the batch, writes it, and returns its buffer.
 func (w *boundedWriter) write(batch []byte) []byte {
 	for len(batch) < batchBytes && len(w.lines) > 0 {
 		batch = append(batch, <-w.lines...)
 	}
-	// There is nowhere to say that the log itself can't be written.
-	_, _ = w.to.Write(batch)
+	// A failure to write the log can't be logged.
+	_, _ = w.dst.Write(batch)
 	return batch
 }
--- a/internal/adapter/jsonlog/bounded_test.go
+++ b/internal/adapter/jsonlog/bounded_test.go
@@ -15,32 +15,32 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/testkit/eventually"
 )
 
-// stuck is an output that nobody reads until it is let go.
-type stuck struct {
+// blockedWriter blocks every write until the channel free is closed.
+type blockedWriter struct {
 	free chan struct{}
 	mu   sync.Mutex
 	out  bytes.Buffer
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
+func (s *blockedWriter) Write(p []byte) (int, error) {
 	<-s.free
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.out.Write(p)
 }
 
-func (s *stuck) text() string {
+func (s *blockedWriter) text() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.out.String()
 }
 
-// Nobody reads the daemon's standard output any more. Every request logs two
-// lines; none waits for them, the memory they take stays bounded, and once the
-// output is read again a line says how many are missing.
-func TestBlockedOutputHoldsNobodyUp(t *testing.T) {
+// Guards against a daemon that blocks or runs out of memory because nobody
+// reads its standard output. Logging must not wait and the queue must stay
+// bounded; once the output is read again, a line reports how many were dropped.
+func TestBlockedOutputDoesNotBlockLogging(t *testing.T) {
 	registry := gometrics.NewRegistry()
-	out := &stuck{free: make(chan struct{})}
+	out := &blockedWriter{free: make(chan struct{})}
 	b := NewBounded(out, "d", "e", "info", 1<<30, registry)
 	const lines = 3 * queueLines
 	for range lines {
@@ -48,24 +48,24 @@
 	}
 	dropped := gometrics.GetOrRegisterCounter("log_lines_dropped_total", registry).Count()
 	if dropped < lines-queueLines-batchBytes/20 {
-		t.Fatalf("%d of %d lines dropped, so more than the queue is held", dropped, lines)
+		t.Fatalf("only %d of %d lines dropped, so more lines are held than the queue and one batch", dropped, lines)
 	}
 	close(out.free)
-	eventually.True(t, "a line says that lines are missing", func() bool {
+	eventually.True(t, "a line reports the dropped lines", func() bool {
 		b.Info().Str("event", "x").Msg("")
 		return strings.Contains(out.text(), `"event":"log_lines_dropped"`)
 	})
 	b.Close(20 * time.Second)
 	for line := range strings.Lines(out.text()) {
 		if !json.Valid([]byte(line)) {
-			t.Fatalf("a torn line: %q", line)
+			t.Fatalf("the line is not valid JSON: %q", line)
 		}
 	}
 }
 
-// A flood of requests must not become a flood of lines: what is over the rate
-// is dropped, but a warning among it is not.
-func TestVolumeIsBounded(t *testing.T) {
+// Guards against a flood of requests that causes a flood of log lines: lines
+// over the rate are dropped, but a warning among them is not.
+func TestLogRateIsLimited(t *testing.T) {
 	const rate = 10_000
 	var out bytes.Buffer
 	b := NewBounded(&out, "d", "e", "info", rate, gometrics.NewRegistry())
@@ -78,12 +78,12 @@
 		t.Fatalf("%d bytes written, want about %d", n, burstSeconds*rate)
 	}
 	if !strings.Contains(out.String(), "lost_something") {
-		t.Fatal("the warning was dropped with the rest")
+		t.Fatal("the warning was dropped")
 	}
 }
 
-// Lines that are logged while the daemon ends, or after it, do no harm.
-func TestLogsWhileClosing(t *testing.T) {
+// Logging during or after Close must not panic.
+func TestLoggingDuringClose(t *testing.T) {
 	b := NewBounded(io.Discard, "d", "e", "info", 1<<30, gometrics.NewRegistry())
 	var wg sync.WaitGroup
 	for range 4 {
@@ -97,7 +97,7 @@
 	wg.Wait()
 }
 
-func TestDecisionLeavesOutWhatItDoesntSay(t *testing.T) {
+func TestLogDecisionOmitsEmptyFields(t *testing.T) {
 	var out bytes.Buffer
 	age := int64(7)
 	LogDecision(New(&out, "d", "e", "info"), &port.DecisionRecord{
@@ -111,7 +111,7 @@
 	}
 	for _, empty := range []string{"organisation", "candidates", "fence", "delivered", "coordinator"} {
 		if strings.Contains(out.String(), empty) {
-			t.Errorf("%s says nothing and is in %s", empty, out.String())
+			t.Errorf("the empty field %s is in %s", empty, out.String())
 		}
 	}
 }
--- a/internal/adapter/jsonlog/jsonlog.go
+++ b/internal/adapter/jsonlog/jsonlog.go
@@ -10,7 +10,7 @@
 )
 
 // New returns a logger that writes JSON lines to w, each with the daemon's
-// name and id. Level is one of debug, info, warn and error.
+// name and ID. The level is debug, info, warn or error.
 func New(w io.Writer, daemon, id, level string) *log.Logger {
 	return newLogger(&log.IOWriter{Writer: w}, daemon, id, level)
 }
@@ -25,9 +25,8 @@
 	}
 }
 
-// LogDecision writes the one line that each decision gets; what it doesn't say
-// is left out. Prompts and keys are not among a decision's fields, so none can
-// reach the log.
+// LogDecision logs a decision as one line, without its empty fields. A decision
+// has no fields for prompts and keys, so they can't reach the log.
 func LogDecision(l *log.Logger, d *port.DecisionRecord) {
 	e := l.Info().Str("event", "decision").
 		Str("decision_id", d.ID).Str("subject", d.Subject).Str("subject_id", d.SubjectID).
