--- a/internal/adapter/settings/follow.go
+++ b/internal/adapter/settings/follow.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// Follow calls changed whenever the file at path has other content than
-// before, and at each signal. It looks at the file every interval, as a file
-// may be replaced without a signal, and ends with the context. A file that
-// can't be read is reported as an error.
-func Follow[S any](ctx context.Context, path string, every time.Duration, signals <-chan S, changed func(raw []byte, err error)) {
-	ticker := time.NewTicker(every)
+// Follow calls changed when the content of the file at path changes, and at
+// each signal, until the context ends. It polls the file at the given interval,
+// because a file may be replaced without a signal. An error of reading the file
+// is passed to changed only after a signal; polling ignores it.
+func Follow[S any](ctx context.Context, path string, interval time.Duration, signals <-chan S, changed func(raw []byte, err error)) {
+	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
-	// What can't be read now is read at the next look.
+	// On an error last is empty, so the next successful poll reports the content.
 	last, _ := os.ReadFile(path)
 	for {
 		signalled := false
--- a/internal/adapter/settings/follow_test.go
+++ b/internal/adapter/settings/follow_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// An operator replaces the settings file, with a signal or without: the daemon
-// hears of either, once, and of a signal also where the file is as it was. A
-// file that vanishes for a moment is no change.
-func TestFollowHearsOfChangesAndSignals(t *testing.T) {
+// Follow must report a replaced settings file with or without a signal, and a
+// signal even if the file is unchanged. A file that is briefly missing is
+// reported only after a signal.
+func TestFollowReportsChangesAndSignals(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings.json")
 	write := func(text string) {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -21,25 +21,25 @@
 	write("a")
 	ctx, cancel := context.WithCancel(t.Context())
 	signals := make(chan struct{})
-	heard := make(chan string)
+	reported := make(chan string)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		Follow(ctx, path, time.Millisecond, signals, func(raw []byte, err error) {
 			if err != nil {
-				heard <- "error"
+				reported <- "error"
 				return
 			}
-			heard <- string(raw)
+			reported <- string(raw)
 		})
 	}()
 	signals <- struct{}{}
-	if got := <-heard; got != "a" {
+	if got := <-reported; got != "a" {
 		t.Fatalf("after a signal: %q", got)
 	}
 	write("b")
-	for got := range heard {
-		// The file may be seen while it is written.
+	for got := range reported {
+		// The file may be read while it is being written.
 		if got == "b" {
 			break
 		}
@@ -48,7 +48,7 @@
 		t.Fatal(err)
 	}
 	signals <- struct{}{}
-	if got := <-heard; got != "error" {
+	if got := <-reported; got != "error" {
 		t.Fatalf("after a signal without a file: %q", got)
 	}
 	cancel()
--- a/internal/adapter/settings/settings.go
+++ b/internal/adapter/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads a daemon's JSON settings file and checks it. Every
-// error names the path of the wrong field.
+// Package settings reads and validates a daemon's JSON settings file. Validation
+// errors give the path of the invalid field.
 package settings
 
 import (
@@ -16,14 +16,14 @@
 	"github.com/go-viper/mapstructure/v2"
 )
 
-// MaxFileBytes bounds a settings file.
+// MaxFileBytes limits the size of a settings file.
 const MaxFileBytes = 1 << 20
 
-// ErrInvalid is the kind of every error about a settings file's content.
+// ErrInvalid is wrapped by every error about a settings file's content.
 var ErrInvalid = merry.Sentinel("settings: invalid")
 
-// Load reads the file at path into out, a pointer to a struct that already
-// holds the defaults. Fields carry json and validate tags; durations are
+// Load reads the file at path into out, a pointer to a struct that contains the
+// defaults. Its fields have json and validate tags; durations in the file are
 // strings such as "250ms".
 func Load(path string, out any) error {
 	f, err := os.Open(path)
@@ -44,7 +44,7 @@
 	return nil
 }
 
-// Decode is Load for bytes already read.
+// Decode decodes and validates the content of a settings file, as Load does.
 func Decode(raw []byte, out any) error {
 	var fields map[string]any
 	if err := json.Unmarshal(raw, &fields); err != nil {
@@ -54,7 +54,7 @@
 		Result:      out,
 		TagName:     "json",
 		ErrorUnused: true,
-		// The common fields of the daemons are embedded.
+		// The structs of the daemons embed a struct with the common fields.
 		Squash:    true,
 		MatchName: func(key, field string) bool { return key == field },
 		DecodeHook: mapstructure.ComposeDecodeHookFunc(
@@ -68,22 +68,22 @@
 	if err := decoder.Decode(fields); err != nil {
 		return merry.Prepend(ErrInvalid, err.Error())
 	}
-	return check(out)
+	return validate(out)
 }
 
-func check(out any) error {
+func validate(out any) error {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(jsonName)
 	err := v.Struct(out)
 	if err == nil {
 		return nil
 	}
-	var wrong validator.ValidationErrors
-	if !errors.As(err, &wrong) {
+	var fieldErrors validator.ValidationErrors
+	if !errors.As(err, &fieldErrors) {
 		return merry.Prepend(ErrInvalid, err.Error())
 	}
-	lines := make([]string, 0, len(wrong))
-	for _, field := range wrong {
+	lines := make([]string, 0, len(fieldErrors))
+	for _, field := range fieldErrors {
 		lines = append(lines, describe(field))
 	}
 	return merry.Prepend(ErrInvalid, strings.Join(lines, "; "))
@@ -102,7 +102,7 @@
 	if !nested {
 		path = e.Field()
 	}
-	path = withoutEmbedded(path)
+	path = removeEmbedded(path)
 	rule := e.Tag()
 	if e.Param() != "" {
 		rule += "=" + e.Param()
@@ -110,9 +110,9 @@
 	return path + ": must satisfy " + rule
 }
 
-// withoutEmbedded drops the names of embedded structs, which stand in the
-// path with their Go names and in no settings file.
-func withoutEmbedded(path string) string {
+// removeEmbedded removes the Go names of embedded structs from a path, because
+// they don't occur in the settings file.
+func removeEmbedded(path string) string {
 	var parts []string
 	for _, part := range strings.Split(path, ".") {
 		if part != "" && !unicode.IsUpper(rune(part[0])) {
--- a/internal/adapter/settings/settings_test.go
+++ b/internal/adapter/settings/settings_test.go
@@ -14,7 +14,7 @@
 	Peers     []string      `json:"peers" validate:"dive,hostname_port"`
 }
 
-func TestDecodeNamesTheWrongField(t *testing.T) {
+func TestDecodeErrorNamesField(t *testing.T) {
 	cases := []struct{ name, in, want string }{
 		{"missing", `{"heartbeat":"1s"}`, "listen.callers"},
 		{"unknown nested field", `{"listen":{"callers":"127.0.0.1:1","caller":"x"},"heartbeat":"1s"}`, "caller"},
@@ -43,7 +43,7 @@
 		t.Fatal(err)
 	}
 	if s.Heartbeat != time.Second {
-		t.Fatalf("default lost: %v", s.Heartbeat)
+		t.Fatalf("the default heartbeat was overwritten: %v", s.Heartbeat)
 	}
 }
 
@@ -59,7 +59,7 @@
 	Extra int `json:"extra" validate:"min=1"`
 }
 
-func TestEmbeddedFieldsStandAtTheTop(t *testing.T) {
+func TestEmbeddedFieldsAreTopLevel(t *testing.T) {
 	var s daemonSample
 	if err := Decode([]byte(`{"id":"a","listen":{"admin":"127.0.0.1:1"},"extra":2}`), &s); err != nil {
 		t.Fatal(err)
@@ -69,6 +69,6 @@
 	}
 	err := Decode([]byte(`{"id":"a","listen":{"admin":"x"},"extra":2}`), &s)
 	if err == nil || !strings.Contains(err.Error(), "listen.admin") || strings.Contains(err.Error(), "CommonSample") {
-		t.Fatalf("got %v, want the path as the file has it", err)
+		t.Fatalf("got %v, want the field's path in the file, without the embedded struct", err)
 	}
 }
