--- a/internal/adapter/httpadmin/httpadmin.go
+++ b/internal/adapter/httpadmin/httpadmin.go
@@ -1,5 +1,5 @@
-// Package httpadmin serves the operators' endpoints that routers and keepers
-// have in common.
+// Package httpadmin serves the part of the operators' API that routers, keepers
+// and entry daemons have in common.
 package httpadmin
 
 import (
@@ -17,16 +17,16 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// Options are what a daemon gives to its admin listener.
+// Options configures a daemon's admin listener.
 type Options struct {
-	// TokenSHA256 is the hash of the admin token, in hex; empty serves no admin
-	// call.
+	// TokenSHA256 is the hash of the admin token, in hex. If it is empty, all
+	// admin calls are refused.
 	TokenSHA256 string
-	// Logger is told where no admin call is served. It may be nil.
+	// Logger gets a warning if admin calls are refused. It may be nil.
 	Logger    *log.Logger
 	Decisions port.DecisionSource
 	Registry  gometrics.Registry
-	// Ready reports whether the daemon serves.
+	// Ready reports whether the daemon can serve requests.
 	Ready func() bool
 	// Drain starts a graceful shutdown and returns at once.
 	Drain func()
@@ -34,14 +34,14 @@
 	Register func(mux *http.ServeMux)
 }
 
-// explanation answers for one subject.
+// explanation lists the recent decisions on one subject.
 type explanation struct {
 	Subject   string                `json:"subject"`
 	ID        string                `json:"id"`
 	Decisions []port.DecisionRecord `json:"decisions"`
 }
 
-// subjects maps the plural in a path to the subject of decisions.
+// subjects maps the plural in a path to the subject in decision records.
 var subjects = map[string]string{
 	"requests":        "request",
 	"endpoints":       "endpoint",
@@ -50,8 +50,8 @@
 	"fingerprints":    "fingerprint",
 }
 
-// New returns the handler of the admin listener. Only /healthz and /readyz
-// are open; all else asks for the token.
+// New returns the handler of the admin listener. All paths but /healthz and
+// /readyz require the admin token.
 func New(o Options) http.Handler {
 	admin := http.NewServeMux()
 	admin.Handle("GET /metrics", metrics.Handler(o.Registry))
@@ -63,7 +63,7 @@
 		o.Register(admin)
 	}
 	mux := http.NewServeMux()
-	mux.Handle("/", o.guard(admin))
+	mux.Handle("/", o.requireToken(admin))
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusOK)
 	})
@@ -71,9 +71,10 @@
 	return mux
 }
 
-// guard lets only operators in. Without a hash nobody is one: a default that
-// stood in the deployed file would let in whoever made it, on every daemon.
-func (o *Options) guard(admin http.Handler) http.Handler {
+// requireToken accepts only requests with the admin token. Without a configured
+// hash it refuses all requests: with a default hash in the deployed settings
+// file, whoever chose that token would have access to every daemon.
+func (o *Options) requireToken(admin http.Handler) http.Handler {
 	if o.TokenSHA256 != "" {
 		return httpserver.RequireToken(o.TokenSHA256, admin)
 	}
@@ -121,10 +122,10 @@
 	})
 }
 
-// WriteJSON answers with v as JSON.
+// WriteJSON writes a response with v as JSON.
 func WriteJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// The operator may be gone; there is nobody left to tell.
+	// If the write fails, the client has disconnected; the error can't be reported.
 	_ = json.NewEncoder(w).Encode(v)
 }
--- a/internal/adapter/httpadmin/httpadmin_test.go
+++ b/internal/adapter/httpadmin/httpadmin_test.go
@@ -15,7 +15,7 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/adapter/jsonlog"
 )
 
-func TestAccess(t *testing.T) {
+func TestTokenRequired(t *testing.T) {
 	const token = "operators-only"
 	drained := 0
 	handler := New(Options{
@@ -29,16 +29,16 @@
 		name, method, path, token string
 		want                      int
 	}{
-		{"health is open", "GET", "/healthz", "", 200},
-		{"readiness is open and honest", "GET", "/readyz", "", 503},
-		{"metrics want a token", "GET", "/metrics", "", 401},
+		{"health needs no token", "GET", "/healthz", "", 200},
+		{"readiness needs no token", "GET", "/readyz", "", 503},
+		{"metrics need a token", "GET", "/metrics", "", 401},
 		{"a wrong token", "POST", "/admin/v1/drain", "x", 401},
 		{"metrics", "GET", "/metrics", token, 200},
-		{"profiles want a token", "GET", "/admin/v1/heap", "", 401},
+		{"profiles need a token", "GET", "/admin/v1/heap", "", 401},
 		{"a profile", "GET", "/admin/v1/heap", token, 200},
 		{"drain", "POST", "/admin/v1/drain", token, 202},
 		{"explain", "GET", "/admin/v1/explain/configurations/a/b", token, 200},
-		{"explain nothing known", "GET", "/admin/v1/explain/prompts/a", token, 404},
+		{"explain an unknown subject", "GET", "/admin/v1/explain/prompts/a", token, 404},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -58,10 +58,11 @@
 	}
 }
 
-// A daemon is deployed with the file as it stands in the repository, which names
-// no token. Nobody may ask or drain it, whatever token they send; callers' checks
-// still work, and the log says at the start why operators are turned away.
-func TestNoTokenServesNoAdminCall(t *testing.T) {
+// Guards against open admin access on a daemon deployed with the repository's
+// settings file, which has no token hash: every admin call is refused, whatever
+// token it has. Health checks still work, and the log states at startup why
+// admin calls are refused.
+func TestAdminCallsRefusedWithoutTokenHash(t *testing.T) {
 	var lines bytes.Buffer
 	drained := 0
 	handler := New(Options{
@@ -91,6 +92,6 @@
 		t.Errorf("drained %d times", drained)
 	}
 	if !strings.Contains(lines.String(), "admin_calls_off") {
-		t.Errorf("the log says nothing of it: %s", &lines)
+		t.Errorf("the event admin_calls_off is missing in the log: %s", &lines)
 	}
 }
