--- a/internal/adapter/decisions/decisions.go
+++ b/internal/adapter/decisions/decisions.go
@@ -1,5 +1,5 @@
-// Package decisions logs every decision as one JSON line and keeps the recent
-// ones in bounded memory, so that operators can ask for the reason.
+// Package decisions logs every decision as one JSON line and keeps recent
+// decisions in bounded memory, so that operators can query their reasons.
 package decisions
 
 import (
@@ -14,11 +14,11 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// Sizes of the memory of decisions. Older decisions are in the log only.
+// Sizes of the decision store. Older decisions are only in the log.
 const (
 	requestShards = 32
-	// DefaultCapacity is the number of decisions on requests that are kept;
-	// those on all else have a quarter of it to themselves.
+	// DefaultCapacity is the number of decisions on requests that are kept. For
+	// decisions on other subjects, a quarter of this number is kept in addition.
 	DefaultCapacity = 8192
 	otherFraction   = 4
 )
@@ -26,8 +26,8 @@
 const subjectRequest = "request"
 
 // Store implements port.DecisionSink and port.DecisionSource. Decisions on
-// endpoints and configurations have a ring of their own: in a shared one, a
-// minute of requests would push out why a configuration was refused.
+// subjects other than requests have a separate ring: in a shared one, a minute
+// of requests would evict the reason why a configuration was refused.
 type Store struct {
 	logger   *log.Logger
 	requests [requestShards]shard
@@ -52,10 +52,10 @@
 	return s
 }
 
-// NewID returns an id for a decision.
+// NewID returns a new decision ID.
 func NewID() string { return uuid.NewString() }
 
-// Record logs the decision and remembers it. An empty id is filled in.
+// Record logs and stores the decision. If its ID is empty, it sets one.
 func (s *Store) Record(d *port.DecisionRecord) {
 	if d.ID == "" {
 		d.ID = NewID()
@@ -64,9 +64,9 @@
 	s.shardOf(d.Subject, d.SubjectID).add(d)
 }
 
-// Explain returns the remembered decisions on a subject, newest last.
+// Explain returns the stored decisions on a subject, newest last.
 func (s *Store) Explain(subject, subjectID string) []port.DecisionRecord {
-	return s.shardOf(subject, subjectID).find(subject, subjectID)
+	return s.shardOf(subject, subjectID).decisionsOn(subject, subjectID)
 }
 
 func (s *Store) shardOf(subject, subjectID string) *shard {
@@ -89,7 +89,7 @@
 	}
 }
 
-func (s *shard) find(subject, subjectID string) []port.DecisionRecord {
+func (s *shard) decisionsOn(subject, subjectID string) []port.DecisionRecord {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var found []port.DecisionRecord
--- a/internal/adapter/decisions/decisions_test.go
+++ b/internal/adapter/decisions/decisions_test.go
@@ -12,7 +12,7 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-func TestExplainKeepsOrderAndForgetsTheOldest(t *testing.T) {
+func TestExplainKeepsOrderAndEvictsOldest(t *testing.T) {
 	const perShard = 4
 	s := New(jsonlog.New(io.Discard, "test", "t-1", "info"), requestShards*perShard)
 	for i := range perShard + 3 {
@@ -28,14 +28,13 @@
 		}
 	}
 	if other := s.Explain("endpoint", "r"); len(other) != 0 {
-		t.Fatalf("another subject got %d decisions", len(other))
+		t.Fatalf("found %d decisions on another subject, want none", len(other))
 	}
 }
 
-// An operator asks why a configuration was refused after a busy minute. The
-// decisions on requests since then fill their rings many times over; the
-// refusal must still be there.
-func TestRequestsDoNotPushOutConfigurations(t *testing.T) {
+// Guards against many decisions on requests evicting the decision that refused
+// a configuration, which an operator may query later.
+func TestRequestsDoNotEvictConfigurations(t *testing.T) {
 	s := New(jsonlog.New(io.Discard, "test", "t-1", "info"), requestShards)
 	s.Record(&port.DecisionRecord{Subject: "configuration", SubjectID: "c", Verdict: "refused"})
 	for i := range 10 * requestShards {
@@ -75,8 +74,8 @@
 	}
 }
 
-// BenchmarkMemory gives the heap that a remembered decision with eight
-// candidates holds, for docs/CAPACITY.md.
+// BenchmarkMemory reports the heap bytes per stored decision with eight
+// candidates, for docs/CAPACITY.md.
 func BenchmarkMemory(b *testing.B) {
 	for _, n := range []int{1024, 2048, 4096, 8192} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
