--- a/internal/adapter/httpservice/httpservice.go
+++ b/internal/adapter/httpservice/httpservice.go
@@ -1,4 +1,5 @@
-// Package httpservice calls plain services over HTTP, each call at most once.
+// Package httpservice calls plain services (endpoints that are not model
+// engines) over HTTP. It sends each call at most once.
 package httpservice
 
 import (
@@ -15,15 +16,15 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/router"
 )
 
-// maxReportBytes bounds a load report.
+// maxReportBytes limits the size of a load report.
 const maxReportBytes = 64 << 10
 
-// Options of a Caller.
+// Options configures a Caller.
 type Options struct {
 	DialTimeout time.Duration
-	// LoadTimeout bounds a read of the load report.
+	// LoadTimeout limits the time to read a load report.
 	LoadTimeout time.Duration
-	// IdleConnections per endpoint are kept for reuse.
+	// IdleConnections is the number of connections per endpoint kept for reuse.
 	IdleConnections int
 }
 
@@ -33,7 +34,7 @@
 	o      Options
 }
 
-// New returns a caller.
+// New returns a Caller.
 func New(o Options) *Caller {
 	return &Caller{
 		client: oncehttp.New(oncehttp.Options{DialTimeout: o.DialTimeout, IdleConnections: o.IdleConnections}),
@@ -41,28 +42,30 @@
 	}
 }
 
-// forwarded are the caller's headers that a service gets. The caller's
-// credentials are not among them.
-var forwarded = []string{
+// forwardedHeaders lists the request headers that are passed to a service. The
+// caller's credentials are not among them.
+var forwardedHeaders = []string{
 	"Accept", "Accept-Language", "Content-Type", "If-Match", "If-None-Match",
 	"If-Modified-Since", "If-Unmodified-Since", "Range", router.HeaderIdempotencyKey, router.HeaderNonIdempotent,
 	"Traceparent", "Tracestate",
 }
 
-// hopByHop are reply headers that belong to one connection only.
-var hopByHop = []string{
+// droppedReplyHeaders lists the reply headers that are not passed to the caller:
+// those that apply to a single connection only, and the request ID, which the
+// router sets itself.
+var droppedReplyHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", router.HeaderRequestID,
 }
 
-// Call sends the call once. Its errors are port.ErrNotSent and
-// port.ErrEndpointLost. The caller closes the reply's body.
+// Call sends the call at most once. Its errors are port.ErrNotSent and
+// port.ErrEndpointLost. The caller must close the reply's Rest.
 func (c *Caller) Call(ctx context.Context, e port.Endpoint, s *router.ServiceRequest) (*router.ServiceReply, error) {
 	r, err := http.NewRequestWithContext(ctx, s.Method, "http://"+e.Address+s.Path, nil)
 	if err != nil {
 		return nil, merry.Wrap(port.ErrNotSent, merry.WithCause(err))
 	}
-	for _, name := range forwarded {
+	for _, name := range forwardedHeaders {
 		if v := s.Header.Values(name); len(v) > 0 {
 			r.Header[name] = v
 		}
@@ -77,7 +80,7 @@
 		_ = resp.Body.Close()
 		return nil, merry.Prepend(port.ErrEndpointLost, "the service switched protocols")
 	}
-	for _, name := range hopByHop {
+	for _, name := range droppedReplyHeaders {
 		resp.Header.Del(name)
 	}
 	return &router.ServiceReply{
@@ -85,7 +88,7 @@
 	}, nil
 }
 
-// Look finds out whether an endpoint serves.
+// Look checks whether an endpoint serves.
 func (c *Caller) Look(ctx context.Context, e port.Endpoint) port.Presence {
 	report, err := c.Load(ctx, e)
 	return oncehttp.PresenceOfReport(e, &report, err)
--- a/internal/adapter/httpservice/httpservice_test.go
+++ b/internal/adapter/httpservice/httpservice_test.go
@@ -13,19 +13,19 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/router"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 func serve(t *testing.T, h http.HandlerFunc) (*Caller, port.Endpoint) {
 	t.Helper()
 	server := httptest.NewServer(h)
 	t.Cleanup(server.Close)
-	c := New(Options{DialTimeout: patience, LoadTimeout: patience, IdleConnections: 2})
+	c := New(Options{DialTimeout: testTimeout, LoadTimeout: testTimeout, IdleConnections: 2})
 	return c, port.Endpoint{ID: "s1", Address: strings.TrimPrefix(server.URL, "http://")}
 }
 
-// A service gets the call as the caller made it, with its key and who asks,
-// but never the caller's own key to the system.
-func TestCallPassesOnWhatTheServiceNeeds(t *testing.T) {
+// A service receives the caller's request with its idempotency key and the
+// caller's organisation, but never the caller's credentials.
+func TestCallForwardsRequest(t *testing.T) {
 	var got *http.Request
 	var body string
 	c, e := serve(t, func(w http.ResponseWriter, r *http.Request) {
@@ -68,7 +68,8 @@
 	}
 }
 
-// A path that holds another host must not lead the call there.
+// Guards against a path that contains a host address and redirects the call
+// there.
 func TestPathDoesNotChooseTheHost(t *testing.T) {
 	reached := false
 	c, e := serve(t, func(http.ResponseWriter, *http.Request) { reached = true })
@@ -80,20 +81,20 @@
 		}
 		reply.Rest.Close()
 		if !reached {
-			t.Errorf("%q led elsewhere", path)
+			t.Errorf("the call with path %q did not reach the endpoint", path)
 		}
 	}
 }
 
-// A service that is gone was not sent the call; one that answers its load with
-// something else has said nothing.
-func TestErrorsSayWhetherTheCallLeft(t *testing.T) {
+// A call to a closed port fails with ErrNotSent. A load request that isn't
+// answered with a report fails with ErrEndpointLost.
+func TestCallErrors(t *testing.T) {
 	c, e := serve(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNotFound) })
 	if _, err := c.Load(t.Context(), e); !errors.Is(err, port.ErrEndpointLost) {
 		t.Fatalf("load: got %v", err)
 	}
-	gone := port.Endpoint{ID: "s2", Address: "127.0.0.1:1"}
-	if _, err := c.Call(t.Context(), gone, &router.ServiceRequest{Method: http.MethodPost, Path: "/"}); !errors.Is(err, port.ErrNotSent) {
+	closedPort := port.Endpoint{ID: "s2", Address: "127.0.0.1:1"}
+	if _, err := c.Call(t.Context(), closedPort, &router.ServiceRequest{Method: http.MethodPost, Path: "/"}); !errors.Is(err, port.ErrNotSent) {
 		t.Fatalf("call: got %v", err)
 	}
 }
