--- a/internal/adapter/httporders/httporders.go
+++ b/internal/adapter/httporders/httporders.go
@@ -1,5 +1,5 @@
-// Package httporders sends placement's orders to runners over HTTP and reads
-// their actual state. It implements port.Orderer.
+// Package httporders implements port.Orderer: it sends placement orders to
+// runners over HTTP and reads the runners' actual state.
 package httporders
 
 import (
@@ -15,28 +15,28 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// Bounds of the calls.
+// Limits of the calls.
 const (
 	dialTimeout     = 500 * time.Millisecond
 	idleConnections = 1
 	maxReplyBytes   = 1 << 20
 )
 
-// Client reaches runners. Its errors are port.ErrNotSent, ErrRefused,
-// ErrStaleFence and ErrEndpointLost. It sends each order at most once.
+// Client calls runners and sends each order at most once. Its errors are
+// port.ErrNotSent, port.ErrRefused, port.ErrStaleFence and port.ErrEndpointLost.
 type Client struct {
-	once *oncehttp.Client
+	client *oncehttp.Client
 }
 
 var _ port.Orderer = (*Client)(nil)
 
 // New returns a Client.
 func New() *Client {
-	return &Client{once: oncehttp.New(oncehttp.Options{DialTimeout: dialTimeout, IdleConnections: idleConnections})}
+	return &Client{client: oncehttp.New(oncehttp.Options{DialTimeout: dialTimeout, IdleConnections: idleConnections})}
 }
 
-// Order sends one order. ErrEndpointLost: it may have been taken; read the
-// state before anything else.
+// Order sends one order. After port.ErrEndpointLost the runner may have accepted
+// the order; read its state before sending another.
 func (c *Client) Order(ctx context.Context, e port.Endpoint, o port.Order) error {
 	body, err := json.Marshal(o)
 	if err != nil {
@@ -57,7 +57,7 @@
 	}
 }
 
-// State reads the runner's own word on what it serves.
+// State returns the state that the runner itself reports, such as its models.
 func (c *Client) State(ctx context.Context, e port.Endpoint) (port.RunnerState, error) {
 	var s port.RunnerState
 	status, reply, err := c.call(ctx, http.MethodGet, e, "/v1/state", nil)
@@ -79,7 +79,7 @@
 		return 0, nil, merry.Wrap(port.ErrNotSent, merry.WithCause(err))
 	}
 	r.Header.Set("Content-Type", "application/json")
-	res, err := c.once.Do(r, body)
+	res, err := c.client.Do(r, body)
 	if err != nil {
 		return 0, nil, err
 	}
--- a/internal/adapter/httporders/httporders_test.go
+++ b/internal/adapter/httporders/httporders_test.go
@@ -19,17 +19,18 @@
 	return port.Endpoint{ID: "e1", Address: s.Listener.Addr().String()}
 }
 
-// What a runner answers decides whether the order may have been taken.
+// The status of a runner's answer determines whether it may have accepted the
+// order.
 func TestOrderErrors(t *testing.T) {
 	cases := []struct {
 		name   string
 		status int
 		want   error
 	}{
-		{"taken", 200, nil},
-		{"an old fencing number", 409, port.ErrStaleFence},
+		{"accepted", 200, nil},
+		{"a stale fencing token", 409, port.ErrStaleFence},
 		{"refused", 400, port.ErrRefused},
-		{"a fault of the runner says nothing", 500, port.ErrEndpointLost},
+		{"an internal error proves nothing", 500, port.ErrEndpointLost},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -41,15 +42,16 @@
 	}
 }
 
-// The runner takes an order and its connection dies before the answer. Sent
-// again by the transport it would be obeyed twice; the loss is told instead.
-func TestLostOrderIsNotSentAgain(t *testing.T) {
-	var taken atomic.Int32
+// Guards against an order that is executed twice: the runner accepts the order
+// and its connection closes before the answer. The transport must not send the
+// order again; the client returns ErrEndpointLost.
+func TestLostOrderIsNotRetried(t *testing.T) {
+	var received atomic.Int32
 	e := runner(t, func(w http.ResponseWriter, r *http.Request) {
 		if _, err := io.ReadAll(r.Body); err != nil {
 			t.Error(err)
 		}
-		if taken.Add(1) == 1 {
+		if received.Add(1) == 1 {
 			return // keeps the connection alive for the next order
 		}
 		conn, _, err := w.(http.Hijacker).Hijack()
@@ -64,12 +66,12 @@
 	if err := c.Order(context.Background(), e, port.Order{ID: "2"}); !errors.Is(err, port.ErrEndpointLost) {
 		t.Fatalf("got %v", err)
 	}
-	if n := taken.Load(); n != 2 {
-		t.Fatalf("taken %d times, want 2", n)
+	if n := received.Load(); n != 2 {
+		t.Fatalf("the runner received %d orders, want 2", n)
 	}
 }
 
-func TestUnreachableRunnerGotNothing(t *testing.T) {
+func TestOrderToUnreachableRunnerIsNotSent(t *testing.T) {
 	e := port.Endpoint{Address: "127.0.0.1:1"}
 	if err := New().Order(context.Background(), e, port.Order{}); !errors.Is(err, port.ErrNotSent) {
 		t.Fatalf("got %v", err)
