--- a/internal/adapter/daemon/daemon.go
+++ b/internal/adapter/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon holds what every daemon's main does: command line, settings
-// and the common settings fields.
+// Package daemon contains what the daemons' main functions share: the command
+// line, the loading of settings, and the common settings fields.
 package daemon
 
 import (
@@ -22,31 +22,32 @@
 	ExitSettings = 3
 )
 
-// Common are the settings that routers and keepers share.
+// Common contains the settings that several daemons share.
 type Common struct {
 	// ID is unique among all daemons of the system.
 	ID            string `json:"id" validate:"required,max=64"`
 	Host          string `json:"host" validate:"required,ip"`
 	FailureDomain string `json:"failure_domain" validate:"required,max=64"`
 	Listen        Listen `json:"listen" validate:"required"`
-	// AdminTokenSHA256 is the hash of the operators' token, in hex. Where it is
-	// empty no admin call is served.
+	// AdminTokenSHA256 is the hash of the operators' token, in hex. If it is
+	// empty, all admin calls are refused.
 	AdminTokenSHA256 string `json:"admin_token_sha256" validate:"omitempty,len=64,hexadecimal"`
 	LogLevel         string `json:"log_level" validate:"oneof=debug info warn error"`
-	// Keepers are the peer addresses tried first.
+	// Keepers are the keepers' peer addresses that are tried first.
 	Keepers []string `json:"keepers" validate:"max=64,dive,hostname_port"`
-	// DrainTimeout bounds a graceful shutdown.
+	// DrainTimeout limits the duration of a graceful shutdown.
 	DrainTimeout time.Duration `json:"drain_timeout" validate:"min=100ms,max=24h"`
 }
 
-// Listen holds the addresses a daemon binds. Callers stays empty at keepers.
+// Listen contains the addresses that a daemon listens on. Callers is empty for
+// keepers.
 type Listen struct {
 	Callers string `json:"callers" validate:"omitempty,hostname_port"`
 	Admin   string `json:"admin" validate:"required,hostname_port"`
 	Peers   string `json:"peers" validate:"required,hostname_port"`
 }
 
-// CommonDefaults are the values of fields that a file leaves out.
+// CommonDefaults returns the values of common fields that the file omits.
 func CommonDefaults() Common {
 	return Common{LogLevel: "info", DrainTimeout: 30 * time.Second}
 }
@@ -54,13 +55,13 @@
 // options is the command line of a daemon.
 type options struct {
 	Settings string `long:"settings" value-name:"FILE" description:"JSON settings file (required)"`
-	Check    bool   `long:"check-settings" description:"check the settings file, say what is wrong with it, and exit"`
+	Check    bool   `long:"check-settings" description:"check the settings file, report any error in it, and exit"`
 	Version  bool   `long:"version" description:"print the version and exit"`
 }
 
-// Start reads the command line and the settings file into out, which holds
-// the defaults, and returns the file's path. When done is true the process
-// ends with the exit code.
+// Start parses the command line and reads the settings file into out, which
+// contains the defaults. It returns the file's path. If done is true, the
+// process must exit with the code.
 func Start(name, summary string, args []string, out any, stdout, stderr io.Writer) (path string, code int, done bool) {
 	var o options
 	parser := flags.NewNamedParser(name, flags.HelpFlag|flags.PassDoubleDash)
@@ -70,7 +71,7 @@
 		return "", ExitFailure, true
 	}
 	rest, err := parser.ParseArgs(args)
-	if code, done := parsed(err, rest, name, stdout, stderr); done {
+	if code, done := handleParseResult(err, rest, name, stdout, stderr); done {
 		return "", code, true
 	}
 	if o.Version {
@@ -92,11 +93,11 @@
 	return o.Settings, ExitOK, false
 }
 
-func parsed(err error, rest []string, name string, stdout, stderr io.Writer) (int, bool) {
-	var wrong *flags.Error
+func handleParseResult(err error, rest []string, name string, stdout, stderr io.Writer) (int, bool) {
+	var flagsErr *flags.Error
 	switch {
-	case errors.As(err, &wrong) && wrong.Type == flags.ErrHelp:
-		fmt.Fprintln(stdout, wrong.Message)
+	case errors.As(err, &flagsErr) && flagsErr.Type == flags.ErrHelp:
+		fmt.Fprintln(stdout, flagsErr.Message)
 		return ExitOK, true
 	case err != nil:
 		fmt.Fprintf(stderr, "%s: %v\n", name, err)
