--- a/internal/adapter/eventstream/eventstream.go
+++ b/internal/adapter/eventstream/eventstream.go
@@ -1,5 +1,5 @@
-// Package eventstream cuts a stream of server-sent events into whole events
-// without changing a byte of them.
+// Package eventstream splits a stream of server-sent events into complete
+// events and leaves their bytes unchanged.
 package eventstream
 
 import (
@@ -12,79 +12,82 @@
 	"github.com/tmaxmax/go-sse"
 )
 
-// ContentType is the media type of streams of events.
+// ContentType is the media type of event streams.
 const ContentType = "text/event-stream"
 
-// MaxEventBytes bounds one event: what is longer is no event of ours.
+// MaxEventBytes limits the size of one event. The system's own events are
+// shorter.
 const MaxEventBytes = 1 << 20
 
-// firstBuffer holds most events; a longer one makes it grow.
-const firstBuffer = 1 << 10
+// initialBufferBytes is the initial buffer size. It suffices for most events;
+// the buffer grows for longer ones.
+const initialBufferBytes = 1 << 10
 
-// ErrTorn: the stream ended inside an event.
-var ErrTorn = merry.Sentinel("eventstream: the stream ended inside an event")
+// ErrIncompleteEvent is returned if the stream ends inside an event.
+var ErrIncompleteEvent = merry.Sentinel("eventstream: the stream ended inside an event")
 
-// Is reports whether a media type is that of streams of events.
+// Is reports whether a Content-Type value is that of an event stream.
 func Is(contentType string) bool {
 	media, _, _ := strings.Cut(contentType, ";")
 	return strings.EqualFold(strings.TrimSpace(media), ContentType)
 }
 
-// Event is one event.
+// Event is one event with its unchanged bytes.
 type Event struct {
-	// ID is the event's id, empty where it has none.
+	// ID is the event's ID, or empty if it has none.
 	ID string
-	// Raw is the event as it came, with the blank line that ends it. It is
-	// valid until the next call of Next.
+	// Raw is the event as received, including the blank line that ends it. It
+	// is valid until the next call of Next.
 	Raw []byte
 }
 
-// Reader reads events.
+// Reader reads complete events from a stream.
 type Reader struct {
-	scanner *bufio.Scanner
-	torn    bool
+	scanner    *bufio.Scanner
+	incomplete bool
 }
 
-// NewReader reads the events of r.
+// NewReader returns a Reader for the events of r.
 func NewReader(r io.Reader) *Reader {
 	reader := &Reader{scanner: bufio.NewScanner(r)}
-	reader.scanner.Buffer(make([]byte, 0, firstBuffer), MaxEventBytes)
+	reader.scanner.Buffer(make([]byte, 0, initialBufferBytes), MaxEventBytes)
 	reader.scanner.Split(reader.split)
 	return reader
 }
 
-// Next returns the next whole event. The error is io.EOF at the end of the
-// stream, ErrTorn where it ends inside an event, else that of the source.
-// A torn event is never returned: a caller that had half of one could not be
-// served the rest by another run.
+// Next returns the next complete event. The error is io.EOF at the end of the
+// stream, ErrIncompleteEvent if the stream ends inside an event, otherwise the
+// error of the underlying reader. An incomplete event is never returned: another
+// run could not serve the rest of it to a caller that has received a part.
 func (r *Reader) Next() (Event, error) {
 	if !r.scanner.Scan() {
 		switch {
 		case r.scanner.Err() != nil:
 			return Event{}, r.scanner.Err()
-		case r.torn:
-			return Event{}, merry.Wrap(ErrTorn)
+		case r.incomplete:
+			return Event{}, merry.Wrap(ErrIncompleteEvent)
 		}
 		return Event{}, io.EOF
 	}
 	raw := r.scanner.Bytes()
-	return Event{ID: idOf(raw), Raw: raw}, nil
+	return Event{ID: eventID(raw), Raw: raw}, nil
 }
 
-// split ends a token behind a blank line.
+// split is a bufio.SplitFunc that ends a token after a blank line.
 func (r *Reader) split(data []byte, atEOF bool) (int, []byte, error) {
-	if end := endOfEvent(data); end > 0 {
+	if end := eventLength(data); end > 0 {
 		return end, data[:end], nil
 	}
 	if atEOF && len(data) > 0 {
-		r.torn = true
+		r.incomplete = true
 		return len(data), nil, bufio.ErrFinalToken
 	}
 	return 0, nil, nil
 }
 
-// endOfEvent returns the length of the first event, or zero.
-func endOfEvent(data []byte) int {
+// eventLength returns the length of the first event in data, or zero if data
+// contains no complete event.
+func eventLength(data []byte) int {
 	first := 0
 	for _, blank := range [...]string{"\n\n", "\r\n\r\n"} {
 		at := bytes.Index(data, []byte(blank))
@@ -95,9 +98,10 @@
 	return first
 }
 
-// idOf reads the event's id. What the library can't read has none, which only
-// keeps the stream from being continued elsewhere.
-func idOf(raw []byte) string {
+// eventID returns the event's ID. If the library can't parse the event, the ID is
+// empty; the only consequence is that the stream can't be continued from this
+// event at another endpoint.
+func eventID(raw []byte) string {
 	for e, err := range sse.Read(bytes.NewReader(raw), nil) {
 		if err != nil {
 			return ""
