--- a/internal/adapter/httpprobe/probe.go
+++ b/internal/adapter/httpprobe/probe.go
@@ -1,4 +1,4 @@
-// Package httpprobe asks an endpoint for its own word: GET /v1/load.
+// Package httpprobe reads an endpoint's load report with GET /v1/load.
 package httpprobe
 
 import (
@@ -18,13 +18,14 @@
 	idleTimeout    = 30 * time.Second
 )
 
-// ErrNoReport: the endpoint did not answer with a load report.
+// ErrNoReport is returned if the endpoint does not answer with a load report.
 var ErrNoReport = merry.Sentinel("probe: no load report")
 
 // Client probes endpoints.
 type Client struct{ http *http.Client }
 
-// New returns a client; each probe's time is bounded by its context.
+// New returns a Client without a timeout of its own; the context limits each
+// probe.
 func New() *Client {
 	return &Client{http: &http.Client{
 		Transport:     &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: idleTimeout},
--- a/internal/adapter/httpprobe/probe_test.go
+++ b/internal/adapter/httpprobe/probe_test.go
@@ -11,8 +11,8 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// Only a whole report counts as the endpoint's own word: an error page or a
-// report cut short must not make an endpoint live.
+// Guards against an error page or a truncated report that marks an endpoint as
+// live: only a complete report is accepted.
 func TestLoad(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -23,14 +23,14 @@
 		{"a report", 200, `{"endpoint":"e","incarnation":3,"state":"leaving"}`, true},
 		{"an error", 503, `{"endpoint":"e"}`, false},
 		{"a redirect", 302, ``, false},
-		{"cut short", 200, `{"endpoint":"e"`, false},
+		{"truncated", 200, `{"endpoint":"e"`, false},
 		{"too large", 200, `{"endpoint":"` + strings.Repeat("e", maxReportBytes) + `"}`, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				if r.URL.Path != "/v1/load" {
-					t.Errorf("asked for %s", r.URL.Path)
+					t.Errorf("requested path %s, want /v1/load", r.URL.Path)
 				}
 				w.WriteHeader(c.status)
 				_, _ = io.WriteString(w, c.body)
