--- a/internal/adapter/httpanswer/httpanswer.go
+++ b/internal/adapter/httpanswer/httpanswer.go
@@ -1,5 +1,5 @@
-// Package httpanswer reads whole answers of HTTP servers. Clients of object
-// stores use it; it knows nothing of what the answers say.
+// Package httpanswer reads complete HTTP responses and fails if they stall. It
+// is used by clients of object stores and doesn't interpret the responses.
 package httpanswer
 
 import (
@@ -11,42 +11,44 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// Errors of an answer that can't be read.
+// Errors of responses that can't be read completely.
 var (
-	// ErrStalled: the answer doesn't begin, or doesn't go on.
+	// ErrStalled is returned if the response doesn't start or continue in time.
 	ErrStalled = merry.Sentinel("http: the answer doesn't come")
-	// ErrTooLarge: the answer is over its bound.
+	// ErrTooLarge is returned if the response body exceeds MaxBytes.
 	ErrTooLarge = merry.Sentinel("http: the answer is too large")
 )
 
-// wholeWithin bounds an answer that never stops coming and never ends: a list
-// of a megabyte over a link of 1 Mbit/s.
-const wholeWithin = 10 * time.Second
+// maxBodyTime limits a response that keeps arriving but never ends. It suffices
+// for a list of one megabyte over a link of 1 Mbit/s.
+const maxBodyTime = 10 * time.Second
 
-// Bounds of one answer.
+// Bounds are the limits of one response.
 type Bounds struct {
-	// Begin is the wait for its beginning, Pause that for each next piece.
+	// Begin limits the wait for the start of the response, Pause the wait for
+	// each further part of it.
 	Begin, Pause time.Duration
-	// MaxBytes bounds its body.
+	// MaxBytes limits the size of the body.
 	MaxBytes int64
 }
 
-// Answer is a whole answer.
+// Answer is a response with its complete body.
 type Answer struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// Do sends a request and reads the answer. A bound on the whole of it would end
-// each read of a large answer over a slow link shortly before its end, for ever:
-// what counts is that it goes on.
+// Do sends a request and reads the complete response. The time limits apply to
+// the progress of the response: with a short limit on the total time, every
+// attempt to read a large response over a slow link would be cut off before its
+// end.
 func Do(client *http.Client, r *http.Request, b Bounds) (*Answer, error) {
-	ctx, cancel := context.WithTimeoutCause(r.Context(), b.Begin+wholeWithin, ErrStalled)
+	ctx, cancel := context.WithTimeoutCause(r.Context(), b.Begin+maxBodyTime, ErrStalled)
 	defer cancel()
-	ctx, stop := context.WithCancelCause(ctx)
-	defer stop(nil)
-	stalled := time.AfterFunc(b.Begin, func() { stop(ErrStalled) })
+	ctx, cancelCause := context.WithCancelCause(ctx)
+	defer cancelCause(nil)
+	stalled := time.AfterFunc(b.Begin, func() { cancelCause(ErrStalled) })
 	defer stalled.Stop()
 	a, err := read(client, r.WithContext(ctx), b.MaxBytes, func() { stalled.Reset(b.Pause) })
 	if cause := context.Cause(ctx); err != nil && cause != nil {
@@ -55,33 +57,33 @@
 	return a, err
 }
 
-func read(client *http.Client, r *http.Request, most int64, came func()) (*Answer, error) {
+func read(client *http.Client, r *http.Request, maxBytes int64, onProgress func()) (*Answer, error) {
 	res, err := client.Do(r)
 	if err != nil {
 		return nil, err
 	}
 	defer res.Body.Close()
-	came()
-	body, err := io.ReadAll(io.LimitReader(&progress{Reader: res.Body, came: came}, most+1))
+	onProgress()
+	body, err := io.ReadAll(io.LimitReader(&progressReader{Reader: res.Body, onProgress: onProgress}, maxBytes+1))
 	if err != nil {
 		return nil, err
 	}
-	if int64(len(body)) > most {
+	if int64(len(body)) > maxBytes {
 		return nil, ErrTooLarge
 	}
 	return &Answer{Status: res.StatusCode, Header: res.Header, Body: body}, nil
 }
 
-// progress tells of each piece that is read.
-type progress struct {
+// progressReader calls a function after each read that returns data.
+type progressReader struct {
 	io.Reader
-	came func()
+	onProgress func()
 }
 
-func (p *progress) Read(b []byte) (int, error) {
+func (p *progressReader) Read(b []byte) (int, error) {
 	n, err := p.Reader.Read(b)
 	if n > 0 {
-		p.came()
+		p.onProgress()
 	}
 	return n, err
 }
