--- a/internal/adapter/problem/problem.go
+++ b/internal/adapter/problem/problem.go
@@ -1,5 +1,5 @@
-// Package problem writes RFC 9457 problem documents with the outcome of the
-// request they answer.
+// Package problem writes RFC 9457 problem documents that include the outcome of
+// the refused or failed request.
 package problem
 
 import (
@@ -10,23 +10,24 @@
 	"time"
 )
 
-// Outcome is what is known of a refused or failed request.
+// Outcome states whether a refused or failed request was run.
 type Outcome string
 
 // The outcomes.
 const (
-	// OutcomeNotRun: nothing reached an endpoint, or the endpoint said so.
+	// OutcomeNotRun means that the request did not reach an endpoint, or that
+	// the endpoint reported that it did not run it.
 	OutcomeNotRun Outcome = "not_run"
-	// OutcomeFailed: it ran and failed.
+	// OutcomeFailed means that the request ran and failed.
 	OutcomeFailed Outcome = "failed"
-	// OutcomeUnknown: it may have run.
+	// OutcomeUnknown means that the request may have run.
 	OutcomeUnknown Outcome = "unknown"
 )
 
 // ContentType is the media type of a problem document.
 const ContentType = "application/problem+json"
 
-// Problem is one problem document.
+// Problem is a problem document with the extension members of this API.
 type Problem struct {
 	Type       string  `json:"type"`
 	Title      string  `json:"title"`
@@ -36,32 +37,33 @@
 	Reason     string  `json:"reason"`
 	DecisionID string  `json:"decision_id,omitempty"`
 	RequestID  string  `json:"request_id,omitempty"`
-	// Field is the path of the wrong field in the request.
+	// Field is the path of the invalid field in the request.
 	Field string `json:"field,omitempty"`
-	// RetryAfterMillis is exact where Retry-After is in whole seconds.
+	// RetryAfterMillis is the exact retry delay; the Retry-After header is
+	// rounded up to whole seconds.
 	RetryAfterMillis int64 `json:"retry_after_ms,omitempty"`
 }
 
-// WithRetryAfter sets when a retry can help.
+// WithRetryAfter sets the delay after which a retry may succeed, and returns p.
 func (p *Problem) WithRetryAfter(d time.Duration) *Problem {
 	p.RetryAfterMillis = d.Milliseconds()
 	return p
 }
 
-// Marshal returns the document as JSON with its defaults filled in.
+// Marshal returns the document as JSON, with the default type if none is set.
 func (p *Problem) Marshal() []byte {
 	if p.Type == "" {
 		p.Type = "about:blank"
 	}
 	raw, err := json.Marshal(p)
 	if err != nil {
-		// Only plain strings and numbers are in the struct.
+		// Marshalling can't fail: the struct holds only strings and numbers.
 		panic(err)
 	}
 	return raw
 }
 
-// Write sends the document with its status and Retry-After.
+// Write sends the document with its status and the Retry-After header, if set.
 func Write(w http.ResponseWriter, p *Problem) {
 	h := w.Header()
 	h.Set("Content-Type", ContentType)
@@ -70,6 +72,6 @@
 		h.Set("Retry-After", strconv.Itoa(int(seconds)))
 	}
 	w.WriteHeader(p.Status)
-	// The caller may be gone; there is nobody left to tell.
+	// If the write fails, the caller has disconnected; the error can't be reported.
 	_, _ = w.Write(p.Marshal())
 }
