--- a/internal/adapter/httpserver/httpserver.go
+++ b/internal/adapter/httpserver/httpserver.go
@@ -1,4 +1,5 @@
-// Package httpserver gives every HTTP listener the same bounds.
+// Package httpserver creates HTTP servers with the same limits for every
+// listener, and checks bearer tokens.
 package httpserver
 
 import (
@@ -12,8 +13,8 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/adapter/problem"
 )
 
-// Bounds of every listener. There is no write timeout, as a stream lasts as
-// long as its generation; writers of streams set their own deadlines.
+// Limits of every listener. There is no write timeout, because a stream lasts as
+// long as its generation; the writers of streams set their own deadlines.
 const (
 	ReadHeaderTimeout = 5 * time.Second
 	IdleTimeout       = 60 * time.Second
@@ -21,7 +22,7 @@
 	MaxBodyBytes      = 1 << 20
 )
 
-// New returns a server with the bounds. Each request's body is limited to
+// New returns a server with these limits. Each request body is limited to
 // MaxBodyBytes.
 func New(h http.Handler) *http.Server {
 	return &http.Server{
@@ -32,7 +33,8 @@
 	}
 }
 
-// Bearer returns the token of an Authorization header, or "".
+// Bearer returns the bearer token of the Authorization header, or "" if there
+// is none.
 func Bearer(r *http.Request) string {
 	scheme, token, found := strings.Cut(r.Header.Get("Authorization"), " ")
 	if !found || !strings.EqualFold(scheme, "Bearer") {
@@ -41,15 +43,15 @@
 	return token
 }
 
-// HashToken returns the SHA-256 of a token in hex, as records and settings
-// hold it.
+// HashToken returns the SHA-256 of a token in hex, the form used in records and
+// settings.
 func HashToken(token string) string {
 	sum := sha256.Sum256([]byte(token))
 	return hex.EncodeToString(sum[:])
 }
 
-// RequireToken lets a request pass only with the token of the given hash.
-// The compare takes the same time wherever the hashes differ.
+// RequireToken refuses requests without the token of the given hash. The hashes
+// are compared in constant time.
 func RequireToken(hash string, next http.Handler) http.Handler {
 	want := []byte(strings.ToLower(hash))
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
