--- a/internal/adapter/metrics/metrics.go
+++ b/internal/adapter/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics exports a go-metrics registry as JSON over HTTP. Names are
-// snake case and end in their unit, as in request_first_token_ms.
+// Package metrics exports a go-metrics registry as JSON over HTTP. Metric names
+// are in snake case and end in their unit, for example request_first_token_ms.
 package metrics
 
 import (
