--- a/internal/adapter/decisions/decisions.go
+++ b/internal/adapter/decisions/decisions.go
@@ -79,9 +79,9 @@
 func (s *shard) add(d *port.DecisionRecord) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	kept := *d
-	kept.Candidates = slices.Clone(d.Candidates)
-	s.ring[s.next] = kept
+	stored := *d
+	stored.Candidates = slices.Clone(d.Candidates)
+	s.ring[s.next] = stored
 	s.next++
 	if s.next == len(s.ring) {
 		s.next = 0
--- a/internal/adapter/httpadmin/httpadmin.go
+++ b/internal/adapter/httpadmin/httpadmin.go
@@ -106,8 +106,8 @@
 }
 
 func (o *Options) explain(w http.ResponseWriter, r *http.Request) {
-	subject, known := subjects[r.PathValue("subject")]
-	if !known {
+	subject, found := subjects[r.PathValue("subject")]
+	if !found {
 		problem.Write(w, &problem.Problem{
 			Status: http.StatusNotFound, Title: "explanations are kept for requests, endpoints, configurations and fingerprints",
 			Reason: "unknown_subject", Outcome: problem.OutcomeNotRun, Field: "subject",
--- a/internal/adapter/httpcaller/httpcaller.go
+++ b/internal/adapter/httpcaller/httpcaller.go
@@ -31,7 +31,7 @@
 
 // Organisations looks up the organisation that owns a key, given the key's
 // SHA-256 in hex.
-type Organisations func(keySHA256Hex string) (name string, known bool)
+type Organisations func(keySHA256Hex string) (name string, found bool)
 
 // Options configures the handler of the callers' listener.
 type Options struct {
@@ -110,11 +110,11 @@
 			h.rejectNotSynced(w)
 			return
 		}
-		organisation, known := "", false
+		organisation, found := "", false
 		if key := httpserver.Bearer(r); key != "" {
-			organisation, known = h.Organisations(httpserver.HashToken(key))
+			organisation, found = h.Organisations(httpserver.HashToken(key))
 		}
-		if !known {
+		if !found {
 			h.reject(w, http.StatusUnauthorized, "unauthorized", "Authorization", "the bearer key is missing or belongs to no organisation")
 			return
 		}
--- a/internal/adapter/httpplatform/client.go
+++ b/internal/adapter/httpplatform/client.go
@@ -147,7 +147,7 @@
 	status, raw, err := c.do(r, c.timeout)
 	if err != nil {
 		c.failed.Inc(1)
-		return port.Object{}, lostWrite(sent.Load(), err)
+		return port.Object{}, noReplyError(sent.Load(), err)
 	}
 	return writeResult(status, raw, kind, name)
 }
@@ -177,9 +177,9 @@
 	return r, nil
 }
 
-// lostWrite returns the error of a write without a reply. Once the write had a
+// noReplyError returns the error of a write without a reply. Once the write had a
 // connection, some of its bytes may have been sent, so the outcome is unknown.
-func lostWrite(sent bool, err error) error {
+func noReplyError(sent bool, err error) error {
 	if sent {
 		return merry.Prepend(port.ErrOutcomeUnknown, err.Error())
 	}
--- a/internal/adapter/jsonlog/bounded.go
+++ b/internal/adapter/jsonlog/bounded.go
@@ -20,9 +20,9 @@
 	batchBytes = 64 << 10
 	// burstSeconds is the burst size, in seconds of the permitted rate.
 	burstSeconds = 2
-	// reportEvery is the minimum time between two lines that report dropped
+	// reportInterval is the minimum time between two lines that report dropped
 	// lines.
-	reportEvery = time.Second
+	reportInterval = time.Second
 )
 
 // Bounded is a logger that never blocks and limits the volume of its output. A
@@ -42,8 +42,8 @@
 func NewBounded(w io.Writer, daemon, id, level string, bytesPerSecond int, registry gometrics.Registry) *Bounded {
 	out := &boundedWriter{
 		dst: w, lines: make(chan []byte, queueLines), stop: make(chan struct{}), done: make(chan struct{}),
-		limit: rate.NewLimiter(rate.Limit(bytesPerSecond), burstSeconds*bytesPerSecond),
-		total: gometrics.GetOrRegisterCounter("log_lines_dropped_total", registry),
+		limit:   rate.NewLimiter(rate.Limit(bytesPerSecond), burstSeconds*bytesPerSecond),
+		dropped: gometrics.GetOrRegisterCounter("log_lines_dropped_total", registry),
 	}
 	b := &Bounded{Logger: newLogger(out, daemon, id, level), out: out}
 	out.report = func(lines int64) { b.Warn().Str("event", "log_lines_dropped").Int64("lines", lines).Msg("") }
@@ -63,13 +63,13 @@
 
 // boundedWriter drops lines that exceed the rate or find the queue full.
 type boundedWriter struct {
-	dst    io.Writer
-	lines  chan []byte
-	stop   chan struct{}
-	done   chan struct{}
-	limit  *rate.Limiter
-	total  gometrics.Counter
-	report func(lines int64)
+	dst     io.Writer
+	lines   chan []byte
+	stop    chan struct{}
+	done    chan struct{}
+	limit   *rate.Limiter
+	dropped gometrics.Counter
+	report  func(lines int64)
 	// unreported counts the lines dropped since the last report; lastReport is
 	// its time in Unix nanoseconds.
 	unreported atomic.Int64
@@ -97,13 +97,13 @@
 
 func (w *boundedWriter) drop() {
 	w.unreported.Add(1)
-	w.total.Inc(1)
+	w.dropped.Inc(1)
 }
 
-// maybeReport logs the number of dropped lines, at most once per reportEvery.
+// maybeReport logs the number of dropped lines, at most once per reportInterval.
 func (w *boundedWriter) maybeReport(now time.Time) {
 	last := w.lastReport.Load()
-	if w.unreported.Load() == 0 || now.UnixNano()-last < int64(reportEvery) {
+	if w.unreported.Load() == 0 || now.UnixNano()-last < int64(reportInterval) {
 		return
 	}
 	if w.lastReport.CompareAndSwap(last, now.UnixNano()) {
--- a/internal/adapter/settings/settings.go
+++ b/internal/adapter/settings/settings.go
@@ -84,7 +84,7 @@
 	}
 	lines := make([]string, 0, len(fieldErrors))
 	for _, field := range fieldErrors {
-		lines = append(lines, describe(field))
+		lines = append(lines, describeFieldError(field))
 	}
 	return merry.Prepend(ErrInvalid, strings.Join(lines, "; "))
 }
@@ -97,7 +97,7 @@
 	return name
 }
 
-func describe(e validator.FieldError) string {
+func describeFieldError(e validator.FieldError) string {
 	_, path, nested := strings.Cut(e.Namespace(), ".")
 	if !nested {
 		path = e.Field()
