--- a/internal/adapter/grpcclaim/client.go
+++ b/internal/adapter/grpcclaim/client.go
@@ -17,51 +17,55 @@
 
 // Defaults of Options.
 const (
-	DefaultLanes       = 16
-	DefaultCalls       = 4
-	DefaultTimeout     = 1500 * time.Millisecond
-	DefaultTryTimeout  = 700 * time.Millisecond
-	DefaultMaxTries    = 2
-	DefaultSettleDelay = 100 * time.Millisecond
-	DefaultSettleRetry = time.Second
-	DefaultBadPeriod   = 2 * time.Second
-	DefaultMaxPending  = 8192
+	DefaultPartitions        = 16
+	DefaultCallsPerPartition = 4
+	DefaultTimeout           = 1500 * time.Millisecond
+	DefaultTryTimeout        = 700 * time.Millisecond
+	DefaultMaxTries          = 2
+	DefaultSettleDelay       = 100 * time.Millisecond
+	DefaultSettleRetry       = time.Second
+	DefaultDemotionPeriod    = 2 * time.Second
+	DefaultMaxPending        = 8192
 )
 
-// Errors of the client. They accompany ClaimUnavailable.
+// Errors of the client. Claim returns them with ClaimUnavailable.
 var (
-	// ErrNoKeeper: no keeper is known or none answered; nothing was sent or
-	// the attempt has been given up.
+	// ErrNoKeeper means that no keeper is known or that none answered in time.
+	// Either nothing was sent, or the attempt was abandoned.
 	ErrNoKeeper = merry.Sentinel("claims: no keeper answered")
-	// ErrUnavailable: a keeper answered that it can't take the claim now.
-	ErrUnavailable = merry.Sentinel("claims: the keeper could not take the claim")
-	// ErrClosed: the client is closed.
+	// ErrUnavailable means that a keeper did not decide on the claim, or that
+	// its reply was invalid.
+	ErrUnavailable = merry.Sentinel("claims: the keeper could not decide on the claim")
+	// ErrClosed means that the client is closed.
 	ErrClosed = merry.Sentinel("claims: the client is closed")
 )
 
 // Options of a Client. Only Keepers is required.
 type Options struct {
-	// Keepers returns the peer addresses of the keepers that may be asked,
-	// in any order.
+	// Keepers returns the peer addresses of the keepers that may be called, in
+	// any order.
 	Keepers func() []string
-	// Dial opens a connection to a keeper; the default is plain gRPC.
+	// Dial opens a connection to a keeper; the default is gRPC without TLS.
 	Dial func(address string) (grpc.ClientConnInterface, error)
-	// Lanes splits the key space for batching; at most CallsPerLane calls
-	// are under way for each. Best equal to the number of shards.
-	Lanes        int
-	CallsPerLane int
-	// Timeout bounds a claim, TryTimeout each of at most MaxTries keepers.
+	// Lanes is the number of partitions of the key space. Claims are batched per
+	// partition, with at most CallsPerPartition concurrent calls for each. It
+	// should equal the number of shards at the keepers.
+	Lanes             int
+	CallsPerPartition int
+	// Timeout bounds a claim, and TryTimeout the call to one keeper. At most
+	// MaxTries keepers are called for a claim.
 	Timeout    time.Duration
 	TryTimeout time.Duration
 	MaxTries   int
-	// SettleDelay gathers outcomes; SettleRetry spaces repeated calls.
+	// SettleDelay is how long outcomes are collected before they are sent
+	// together. SettleRetry is the delay before a failed call is repeated.
 	SettleDelay time.Duration
 	SettleRetry time.Duration
-	// BadPeriod is how long a keeper that failed is asked last.
-	BadPeriod time.Duration
-	// MaxPending bounds the outcomes that wait to be settled.
+	// DemotionPeriod is how long a keeper is called last after a failed call.
+	DemotionPeriod time.Duration
+	// MaxPending bounds the queue of outcomes. Outcomes beyond it are dropped.
 	MaxPending int
-	// Now is a monotonic clock.
+	// Now returns the time of a monotonic clock.
 	Now func() time.Time
 }
 
@@ -72,14 +76,14 @@
 	if o.Dial == nil {
 		o.Dial = dialPlain
 	}
-	setDefault(&o.Lanes, DefaultLanes)
-	setDefault(&o.CallsPerLane, DefaultCalls)
+	setDefault(&o.Lanes, DefaultPartitions)
+	setDefault(&o.CallsPerPartition, DefaultCallsPerPartition)
 	setDefault(&o.Timeout, DefaultTimeout)
 	setDefault(&o.TryTimeout, DefaultTryTimeout)
 	setDefault(&o.MaxTries, DefaultMaxTries)
 	setDefault(&o.SettleDelay, DefaultSettleDelay)
 	setDefault(&o.SettleRetry, DefaultSettleRetry)
-	setDefault(&o.BadPeriod, DefaultBadPeriod)
+	setDefault(&o.DemotionPeriod, DefaultDemotionPeriod)
 	setDefault(&o.MaxPending, DefaultMaxPending)
 }
 
@@ -94,15 +98,16 @@
 	return grpc.NewClient("passthrough:///"+address, grpc.WithTransportCredentials(insecure.NewCredentials()))
 }
 
-// unsettled is the result of a claim that may or may not stand.
+// unsettled is the result of a claim that is not granted, but may have been
+// written.
 var unsettled = claim.Result{Verdict: port.ClaimUnavailable, Reason: claim.ReasonUnsettled}
 
-// Client asks keepers for claims on behalf of a router. It implements
+// Client sends a router's claims and outcomes to keepers. It implements
 // port.Claimer and is safe for concurrent use.
 type Client struct {
 	opts      Options
-	keepers   *keepers
-	lanes     []*lane
+	keepers   *keeperPool
+	batchers  []*batcher
 	settler   *settler
 	retention atomic.Int64
 	stop      context.CancelFunc
@@ -110,46 +115,46 @@
 
 var _ port.Claimer = (*Client)(nil)
 
-// NewClient returns a Client; call Close when the router has finished.
+// NewClient returns a Client. The caller must close it.
 func NewClient(o Options) *Client {
 	o.setDefaults()
 	ctx, stop := context.WithCancel(context.Background())
 	c := &Client{opts: o, stop: stop}
-	c.keepers = newKeepers(&c.opts)
+	c.keepers = newKeeperPool(&c.opts)
 	c.settler = newSettler(ctx, &c.opts, c.keepers)
-	c.lanes = make([]*lane, o.Lanes)
-	for i := range c.lanes {
-		c.lanes[i] = &lane{client: c, ctx: ctx, number: i}
+	c.batchers = make([]*batcher, o.Lanes)
+	for i := range c.batchers {
+		c.batchers[i] = &batcher{client: c, ctx: ctx, partition: i}
 	}
 	return c
 }
 
-// Claim asks for the key. Only ClaimGranted allows a dispatch, once. Where it
-// gives up on an attempt whose claim may stand, it settles the attempt as
-// not_run in the background, which frees the key: the attempt is never
-// dispatched, as no grant is ever returned for it afterwards.
+// Claim requests the key for an attempt. Only ClaimGranted allows the caller to
+// dispatch the attempt, once. An attempt that is not granted, but whose claim may
+// have been written, is settled as not_run in the background, which frees the key.
+// Such an attempt is never dispatched, as no grant is returned for it afterwards.
 func (c *Client) Claim(ctx context.Context, e port.ClaimEntry) (port.ClaimVerdict, port.ClaimState, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.Timeout)
 	defer cancel()
-	w := &waiter{entry: e, done: make(chan struct{})}
-	c.lanes[claim.ShardOf(e.KeyHash, len(c.lanes))].enqueue(w)
+	w := &pendingClaim{entry: e, done: make(chan struct{})}
+	c.batchers[claim.ShardOf(e.KeyHash, len(c.batchers))].enqueue(w)
 	select {
 	case <-w.done:
 	case <-ctx.Done():
 	}
-	return w.collect().verdict()
+	return w.resultOrAbandon().returnValues()
 }
 
 // Settle records the outcome of a granted claim in the background. An outcome
-// other than not_run may be lost; the claim then reads as claimed.
-func (c *Client) Settle(s port.ClaimState) { c.settler.add(s) }
+// other than not_run may be lost; the stored outcome then remains "claimed".
+func (c *Client) Settle(s port.ClaimState) { c.settler.enqueue(s) }
 
-// Lookup asks a keeper for the platform's copy of a key.
+// Lookup returns the stored state of a key, as a keeper reads it from the platform.
 func (c *Client) Lookup(ctx context.Context, keyHash [16]byte) (port.ClaimState, bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.Timeout)
 	defer cancel()
 	var reply *peerv1.LookupClaimReply
-	err := c.keepers.try(ctx, claim.ShardOf(keyHash, c.opts.Lanes), c.opts.TryTimeout, func(ctx context.Context, k peerv1.KeeperClient) error {
+	err := c.keepers.callInOrder(ctx, claim.ShardOf(keyHash, c.opts.Lanes), c.opts.TryTimeout, func(ctx context.Context, k peerv1.KeeperClient) error {
 		var err error
 		reply, err = k.LookupClaim(ctx, &peerv1.LookupClaimRequest{KeyHash: keyHash[:]})
 		return err
@@ -162,69 +167,71 @@
 	}
 	st, ok := stateFromWire(reply.GetState())
 	if !ok {
-		return port.ClaimState{}, false, merry.Prepend(ErrUnavailable, "the reply can't be read")
+		return port.ClaimState{}, false, merry.Prepend(ErrUnavailable, "invalid claim state in the keeper's reply")
 	}
 	return st, true, nil
 }
 
-// Retention is how long outcomes are remembered, as the keepers last said;
-// zero before the first claim was answered.
+// Retention returns how long outcomes are stored, according to the last reply of a
+// keeper to a claim. It is zero before the first reply.
 func (c *Client) Retention() time.Duration { return time.Duration(c.retention.Load()) }
 
-// Close sends what waits to be settled, as far as the context allows, and
-// closes the connections.
+// Close sends the queued outcomes once more, until the context ends, and closes
+// the connections.
 func (c *Client) Close(ctx context.Context) {
 	c.settler.flush(ctx)
 	c.stop()
 	c.keepers.close()
 }
 
-// waiter is one claim under way. Whoever asked and the lane agree under the
-// lock on whether a result still counts: a grant that nobody takes is given
-// back as not_run, so that a key is never left claimed by an attempt that is
-// not dispatched.
-type waiter struct {
+// pendingClaim is one claim in progress. Its lock decides whether the result is
+// delivered before the caller abandons the claim. A grant that is not delivered is
+// settled as not_run, so that no key stays claimed by an attempt that is never
+// dispatched.
+type pendingClaim struct {
 	entry port.ClaimEntry
 	done  chan struct{}
 
-	mu       sync.Mutex
-	answered bool
-	gaveUp   bool
-	result   claim.Result
+	mu        sync.Mutex
+	delivered bool
+	abandoned bool
+	result    claim.Result
 }
 
-// answer reports whether the asker will see the result.
-func (w *waiter) answer(r claim.Result) bool {
+// deliver sets the result. It reports false if the caller has abandoned the claim.
+func (w *pendingClaim) deliver(r claim.Result) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.gaveUp {
+	if w.abandoned {
 		return false
 	}
 	w.result = r
-	w.answered = true
+	w.delivered = true
 	close(w.done)
 	return true
 }
 
-func (w *waiter) collect() outcome {
+// resultOrAbandon returns the delivered result, or abandons the claim if there is
+// none.
+func (w *pendingClaim) resultOrAbandon() claimResult {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !w.answered {
-		w.gaveUp = true
-		return outcome{claim.Result{Verdict: port.ClaimUnavailable, Reason: claim.ReasonOverdue}}
+	if !w.delivered {
+		w.abandoned = true
+		return claimResult{claim.Result{Verdict: port.ClaimUnavailable, Reason: claim.ReasonOverdue}}
 	}
-	return outcome{w.result}
+	return claimResult{w.result}
 }
 
-func (w *waiter) abandoned() bool {
+func (w *pendingClaim) isAbandoned() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.gaveUp
+	return w.abandoned
 }
 
-type outcome struct{ claim.Result }
+type claimResult struct{ claim.Result }
 
-func (o outcome) verdict() (port.ClaimVerdict, port.ClaimState, error) {
+func (o claimResult) returnValues() (port.ClaimVerdict, port.ClaimState, error) {
 	if o.Verdict != port.ClaimUnavailable {
 		return o.Verdict, o.Holder, nil
 	}
--- a/internal/adapter/grpcclaim/doc.go
+++ b/internal/adapter/grpcclaim/doc.go
@@ -1,4 +1,4 @@
 // Package grpcclaim carries at-most-once claims between routers and keepers
-// over gRPC. The Client implements port.Claimer at a router; the Server is
-// the keeper's side, over claimstore.
+// over gRPC. A router uses Client, which implements port.Claimer. A keeper
+// uses Server, which stores the claims in a Store.
 package grpcclaim
--- a/internal/adapter/grpcclaim/grpcclaim_test.go
+++ b/internal/adapter/grpcclaim/grpcclaim_test.go
@@ -16,16 +16,16 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/testkit/eventually"
 )
 
-const patience = 30 * time.Second
+const testTimeout = 30 * time.Second
 
-// fakeStore is one linear shard, which several keepers share as they would
+// fakeStore holds one shard behind a lock. Several keepers can share it, as they
 // share the platform.
 type fakeStore struct {
 	mu    sync.Mutex
 	shard *claim.Shard
 	calls int
-	// claim overrides the verdicts where set.
-	claim func(ctx context.Context, entries []port.ClaimEntry) []claim.Result
+	// claimOverride replaces decide if set.
+	claimOverride func(ctx context.Context, entries []port.ClaimEntry) []claim.Result
 }
 
 var limits = claim.Limits{MaxBytes: 1 << 20, Retention: time.Hour, TombstoneRetention: time.Hour, NotRunMemory: time.Hour}
@@ -35,7 +35,7 @@
 func (f *fakeStore) Claim(ctx context.Context, entries []port.ClaimEntry) []claim.Result {
 	f.mu.Lock()
 	f.calls++
-	override := f.claim
+	override := f.claimOverride
 	f.mu.Unlock()
 	if override != nil {
 		return override(ctx, entries)
@@ -85,7 +85,7 @@
 	peerv1.UnimplementedKeeperServer
 }
 
-// The methods of Server win over the embedded defaults.
+// These methods resolve the ambiguity between the two embedded types.
 func (k keeper) Claim(ctx context.Context, in *peerv1.ClaimRequest) (*peerv1.ClaimReply, error) {
 	return k.Server.Claim(ctx, in)
 }
@@ -111,19 +111,20 @@
 	return l.Addr().String()
 }
 
-// Addresses that refuse connections: these ports are reserved and have no
-// service. A port closed by the test itself could be given out again.
+// Addresses that refuse connections, as no service listens on these reserved
+// ports. A port that the test itself opened and closed could be reused by another
+// process.
 const (
-	refusing  = "127.0.0.1:1"
-	refusing2 = "127.0.0.1:2"
+	closedAddress  = "127.0.0.1:1"
+	closedAddress2 = "127.0.0.1:2"
 )
 
 func newTestClient(t *testing.T, o Options, addresses ...string) *Client {
 	t.Helper()
 	o.Keepers = func() []string { return addresses }
 	o.Lanes = 1
-	setDefault(&o.Timeout, patience)
-	setDefault(&o.TryTimeout, patience)
+	setDefault(&o.Timeout, testTimeout)
+	setDefault(&o.TryTimeout, testTimeout)
 	o.SettleDelay, o.SettleRetry = time.Millisecond, time.Millisecond
 	c := NewClient(o)
 	t.Cleanup(func() { c.Close(context.Background()) })
@@ -138,7 +139,7 @@
 	t.Helper()
 	got, holder, err := c.Claim(context.Background(), e)
 	if got != want {
-		t.Fatalf("got %s %+v %v, want %s", got, holder, err, want)
+		t.Fatalf("got verdict %s, holder %+v, error %v, want verdict %s", got, holder, err, want)
 	}
 	return holder
 }
@@ -147,77 +148,79 @@
 	c := newTestClient(t, Options{}, serve(t, newFakeStore()))
 	wantClaim(t, c, entry(1, "a"), port.ClaimGranted)
 	if holder := wantClaim(t, c, entry(1, "b"), port.ClaimHeld); holder.AttemptID != "a" {
-		t.Fatalf("holder %+v", holder)
+		t.Fatalf("got holder %+v, want attempt a", holder)
 	}
 	c.Settle(port.ClaimState{KeyHash: claim.KeyHash{1}, RequestID: "r1.x", AttemptID: "a", Outcome: port.ClaimDone, StatusCode: 200})
-	eventually.True(t, "the condition", func() bool {
+	eventually.True(t, "the stored outcome done with status 200", func() bool {
 		st, found, err := c.Lookup(context.Background(), claim.KeyHash{1})
 		return err == nil && found && st.Outcome == port.ClaimDone && st.StatusCode == 200
 	})
 	if _, found, err := c.Lookup(context.Background(), claim.KeyHash{2}); found || err != nil {
-		t.Fatalf("unknown key: %v %v", found, err)
+		t.Fatalf("lookup of an unclaimed key: found %v, error %v", found, err)
 	}
 	if c.Retention() != limits.Retention {
-		t.Fatalf("retention %s", c.Retention())
+		t.Fatalf("got retention %s, want that of the keeper", c.Retention())
 	}
 }
 
-// The preferred keeper is gone. Claims go to the other one, and the failed
-// one is not asked first again for a while.
-func TestFailsOverToAnotherKeeper(t *testing.T) {
+// Two of three keepers refuse connections. All claims are granted by the third one,
+// whichever keeper the partition prefers; failed keepers are called last for a while.
+func TestFailsOverToReachableKeeper(t *testing.T) {
 	store := newFakeStore()
-	c := newTestClient(t, Options{MaxTries: 3}, refusing, serve(t, store), refusing2)
+	c := newTestClient(t, Options{MaxTries: 3}, closedAddress, serve(t, store), closedAddress2)
 	for key := range byte(20) {
 		wantClaim(t, c, entry(key, "a"), port.ClaimGranted)
 	}
 }
 
-// The preferred keeper is cut off from the platform and says so; another one
-// still reaches it.
-func TestAsksAnotherKeeperWhenOneIsCutOff(t *testing.T) {
-	store, cut := newFakeStore(), newFakeStore()
-	cut.claim = unavailable(claim.ReasonPlatform)
-	addresses := []string{serve(t, store), serve(t, cut)}
-	// Which keeper a lane prefers hangs on the ports that the test was given: one
-	// time in 256, eight lanes all prefer the sound one.
-	const lanes, mostLanes = 8, 128
-	for lane := 0; lane < lanes || cut.callCount() == 0 && lane < mostLanes; lane++ {
-		// A fresh client each time, as the cut keeper is remembered.
+// The preferred keeper replies that it can't reach the platform. The claim is then
+// granted by a keeper that can.
+func TestFailsOverFromKeeperWithoutPlatform(t *testing.T) {
+	store, disconnected := newFakeStore(), newFakeStore()
+	disconnected.claimOverride = unavailable(claim.ReasonPlatform)
+	addresses := []string{serve(t, store), serve(t, disconnected)}
+	// Which keeper a partition prefers depends on the ports that the test was given.
+	// With a probability of 1 in 256, the first eight partitions all prefer the
+	// connected one, and further partitions are tried.
+	const minPartitions, maxPartitions = 8, 128
+	for partition := 0; partition < minPartitions || disconnected.callCount() == 0 && partition < maxPartitions; partition++ {
+		// Each partition uses a new client, as a client demotes the disconnected
+		// keeper after the first call.
 		c := newTestClient(t, Options{}, addresses...)
-		c.lanes[0].number = lane
-		wantClaim(t, c, entry(byte(lane), "a"), port.ClaimGranted)
+		c.batchers[0].partition = partition
+		wantClaim(t, c, entry(byte(partition), "a"), port.ClaimGranted)
 	}
-	if cut.callCount() == 0 {
-		t.Fatal("the cut keeper was never asked; the test proves nothing")
+	if disconnected.callCount() == 0 {
+		t.Fatal("no claim was sent to the disconnected keeper, so the failover was not tested")
 	}
 }
 
-// No keeper can be reached: refused at once, and nothing is left to settle,
-// as no byte was sent.
+// No keeper can be reached. The claim is refused, and nothing is queued to be
+// settled, as nothing was sent.
 func TestNoKeeperReachable(t *testing.T) {
-	c := newTestClient(t, Options{}, refusing)
+	c := newTestClient(t, Options{}, closedAddress)
 	verdict, _, err := c.Claim(context.Background(), entry(1, "a"))
 	if verdict != port.ClaimUnavailable || !errors.Is(err, ErrUnavailable) {
-		t.Fatalf("got %s %v", verdict, err)
+		t.Fatalf("got verdict %s, error %v, want unavailable with ErrUnavailable", verdict, err)
 	}
 	c.settler.mu.Lock()
 	defer c.settler.mu.Unlock()
 	if len(c.settler.queue) != 0 {
-		t.Fatal("a claim that was never sent waits to be settled")
+		t.Fatal("a claim that was never sent is queued to be settled")
 	}
 }
 
-// The caller's deadline passes while a keeper is slow; the grant comes in
-// afterwards. The router has answered not_run, so the grant is given back and
-// the caller's next attempt runs.
-func TestLateGrantIsGivenBack(t *testing.T) {
+// The caller's context ends while a keeper is slow, and the grant arrives
+// afterwards. The router has already answered not_run, so the attempt must be
+// settled as not_run to free the key for the caller's next attempt.
+func TestLateGrantIsSettledAsNotRun(t *testing.T) {
 	store := newFakeStore()
 	entered, release := make(chan struct{}), make(chan struct{})
-	store.claim = func(_ context.Context, entries []port.ClaimEntry) []claim.Result {
+	store.claimOverride = func(_ context.Context, entries []port.ClaimEntry) []claim.Result {
 		close(entered)
 		<-release
 		store.mu.Lock()
-		store.claim = nil
+		store.claimOverride = nil
 		store.mu.Unlock()
 		return store.decide(entries)
 	}
@@ -229,101 +232,104 @@
 	}()
 	verdict, _, _ := c.Claim(ctx, entry(1, "a"))
 	if verdict != port.ClaimUnavailable {
-		t.Fatalf("got %s", verdict)
+		t.Fatalf("got verdict %s after the context ended, want unavailable", verdict)
 	}
 	close(release)
-	eventually.True(t, "the condition", func() bool {
+	eventually.True(t, "the stored outcome not_run", func() bool {
 		st, found, _ := store.Lookup(context.Background(), claim.KeyHash{1})
 		return found && st.Outcome == port.ClaimNotRun
 	})
 	wantClaim(t, c, entry(1, "b"), port.ClaimGranted)
 }
 
-// A keeper could not settle whether its write took effect. The claim is not
-// granted, and the attempt is settled as not_run until the platform has it.
+// A keeper could not determine whether its write took effect. The claim is not
+// granted, and the client settles the attempt as not_run until it is stored.
 func TestUnsettledClaimIsSettledAsNotRun(t *testing.T) {
 	store := newFakeStore()
-	store.claim = func(_ context.Context, entries []port.ClaimEntry) []claim.Result {
-		store.decide(entries) // the write takes effect, its reply is lost
+	store.claimOverride = func(_ context.Context, entries []port.ClaimEntry) []claim.Result {
+		store.decide(entries) // The write takes effect, but its reply is lost.
 		return unavailable(claim.ReasonUnsettled)(context.Background(), entries)
 	}
 	c := newTestClient(t, Options{}, serve(t, store))
 	wantClaim(t, c, entry(1, "a"), port.ClaimUnavailable)
-	eventually.True(t, "the condition", func() bool {
+	eventually.True(t, "the stored outcome not_run", func() bool {
 		st, found, _ := store.Lookup(context.Background(), claim.KeyHash{1})
 		return found && st.Outcome == port.ClaimNotRun
 	})
 	store.mu.Lock()
-	store.claim = nil
+	store.claimOverride = nil
 	store.mu.Unlock()
 	wantClaim(t, c, entry(1, "b"), port.ClaimGranted)
 }
 
-// A keeper hangs after it took the call and may still write; the second one
-// refuses for want of room. The first write may come, so the attempt is
-// settled as not_run all the same.
-func TestRefusalAfterASilentKeeperIsUnsettled(t *testing.T) {
-	a := newAsking([]*waiter{{entry: entry(1, "a")}})
+// The first keeper does not answer and may still write the claim. The second one
+// refuses because its shard is full. The result must be unsettled, so that the
+// attempt is settled as not_run.
+func TestRefusalAfterUncertainCallIsUnsettled(t *testing.T) {
+	a := newClaimBatch([]*pendingClaim{{entry: entry(1, "a")}})
 	a.markUncertain()
 	reply := &peerv1.ClaimReply{Results: []*peerv1.ClaimResult{{Verdict: string(port.ClaimUnavailable), Reason: string(claim.ReasonFull)}}}
-	if err := a.read(reply); err != nil {
+	if err := a.applyReply(reply); err != nil {
 		t.Fatal(err)
 	}
 	if a.results[0] != unsettled {
-		t.Fatalf("got %+v", a.results[0])
+		t.Fatalf("got %+v, want unsettled", a.results[0])
 	}
 }
 
-// An answer of a newer keeper that this router doesn't know is no grant.
-func TestUnknownVerdictIsNoGrant(t *testing.T) {
+// A verdict that this router doesn't know, such as one of a newer keeper, and a
+// held verdict without a holder are not treated as grants.
+func TestUnknownVerdictIsUnsettled(t *testing.T) {
 	for _, m := range []*peerv1.ClaimResult{{}, {Verdict: "granted2"}, {Verdict: "held"}} {
 		if got := resultFromWire(m); got != unsettled {
-			t.Errorf("%v: got %+v", m, got)
+			t.Errorf("reply %v: got %+v, want unsettled", m, got)
 		}
 	}
 }
 
-// While a call is under way, the claims of a lane gather into the next one.
-func TestClaimsGatherIntoOneCall(t *testing.T) {
+// While a call is active, further claims of the partition are batched into the next
+// call.
+func TestClaimsAreBatchedIntoOneCall(t *testing.T) {
 	store := newFakeStore()
 	entered, release := make(chan struct{}), make(chan struct{})
 	var first sync.Once
-	store.claim = func(_ context.Context, entries []port.ClaimEntry) []claim.Result {
+	store.claimOverride = func(_ context.Context, entries []port.ClaimEntry) []claim.Result {
 		first.Do(func() {
 			close(entered)
 			<-release
 		})
 		return store.decide(entries)
 	}
-	c := newTestClient(t, Options{CallsPerLane: 1}, serve(t, store))
-	var wait sync.WaitGroup
-	ask := func(key byte) {
-		wait.Go(func() {
+	c := newTestClient(t, Options{CallsPerPartition: 1}, serve(t, store))
+	var wg sync.WaitGroup
+	startClaim := func(key byte) {
+		wg.Go(func() {
 			if verdict, _, err := c.Claim(context.Background(), entry(key, "a")); verdict != port.ClaimGranted {
-				t.Errorf("key %d: %s %v", key, verdict, err)
+				t.Errorf("key %d: got verdict %s, error %v, want granted", key, verdict, err)
 			}
 		})
 	}
-	ask(0)
+	startClaim(0)
 	<-entered
-	const more = 40
-	for key := range byte(more) {
-		ask(key + 1)
+	const queuedClaims = 40
+	for key := range byte(queuedClaims) {
+		startClaim(key + 1)
 	}
-	eventually.True(t, "the condition", func() bool {
-		c.lanes[0].mu.Lock()
-		defer c.lanes[0].mu.Unlock()
-		return len(c.lanes[0].waiting) == more
+	eventually.True(t, "all further claims in the queue", func() bool {
+		c.batchers[0].mu.Lock()
+		defer c.batchers[0].mu.Unlock()
+		return len(c.batchers[0].waiting) == queuedClaims
 	})
 	close(release)
-	wait.Wait()
+	wg.Wait()
 	if store.callCount() != 2 {
-		t.Fatalf("%d calls, want 2", store.callCount())
+		t.Fatalf("got %d calls, want 2", store.callCount())
 	}
 }
 
-// A malformed call is refused whole and reaches no store.
-func TestServerRefusesMalformedCalls(t *testing.T) {
+// A call with one malformed entry is rejected as a whole and doesn't reach the
+// store.
+func TestServerRejectsMalformedCalls(t *testing.T) {
 	store := newFakeStore()
 	s := NewServer(store)
 	long := string(make([]byte, maxIDBytes+1))
@@ -335,7 +341,7 @@
 		{KeyHash: key, RequestId: long, AttemptId: "a"},
 	} {
 		if _, err := s.Claim(context.Background(), &peerv1.ClaimRequest{Entries: []*peerv1.ClaimEntry{e}}); err == nil {
-			t.Errorf("%v was accepted", e)
+			t.Errorf("malformed claim %v was accepted", e)
 		}
 	}
 	if _, err := s.Settle(context.Background(), &peerv1.SettleRequest{States: []*peerv1.ClaimState{
--- a/internal/adapter/grpcclaim/server.go
+++ b/internal/adapter/grpcclaim/server.go
@@ -12,10 +12,10 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// MaxEntries bounds the claims or outcomes of one call.
+// MaxEntries is the maximum number of claims or outcomes in one call.
 const MaxEntries = 4096
 
-// Store is what a keeper keeps claims in; claimstore.Store is one.
+// Store stores a keeper's claims. claimstore.Store implements it.
 type Store interface {
 	Claim(ctx context.Context, entries []port.ClaimEntry) []claim.Result
 	Settle(ctx context.Context, states []port.ClaimState) int
@@ -23,16 +23,15 @@
 	Retention() time.Duration
 }
 
-// Server answers the claim methods of the Keeper service. A keeper embeds it
-// beside its Subscribe.
+// Server implements the claim methods of the Keeper service.
 type Server struct {
 	store Store
 }
 
-// NewServer returns a Server over the store.
+// NewServer returns a Server that uses the store.
 func NewServer(store Store) *Server { return &Server{store: store} }
 
-// Claim decides on every entry, in their order.
+// Claim decides on all entries and returns the results in the same order.
 func (s *Server) Claim(ctx context.Context, in *peerv1.ClaimRequest) (*peerv1.ClaimReply, error) {
 	if len(in.GetEntries()) > MaxEntries {
 		return nil, status.Errorf(codes.InvalidArgument, "more than %d claims", MaxEntries)
@@ -53,7 +52,7 @@
 	return out, nil
 }
 
-// Settle records outcomes and counts those the platform holds now.
+// Settle records outcomes and returns how many of them are stored at the platform.
 func (s *Server) Settle(ctx context.Context, in *peerv1.SettleRequest) (*peerv1.SettleReply, error) {
 	if len(in.GetStates()) > MaxEntries {
 		return nil, status.Errorf(codes.InvalidArgument, "more than %d outcomes", MaxEntries)
@@ -69,7 +68,7 @@
 	return &peerv1.SettleReply{Settled: int32(s.store.Settle(ctx, states))}, nil
 }
 
-// LookupClaim reads the platform's copy of a key.
+// LookupClaim returns the state of a key as stored at the platform.
 func (s *Server) LookupClaim(ctx context.Context, in *peerv1.LookupClaimRequest) (*peerv1.LookupClaimReply, error) {
 	var key claim.KeyHash
 	if !copyKey(&key, in.GetKeyHash()) {
--- a/internal/adapter/grpcclaim/settler.go
+++ b/internal/adapter/grpcclaim/settler.go
@@ -10,121 +10,123 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// Tries per outcome. A lost not_run keeps a key from a caller who was told
-// that it may try again, so it is tried for minutes; another outcome that is
-// lost reads as unknown, which is true.
+// Maximum tries per outcome. If a not_run were lost, the key would stay claimed
+// although its caller was told that it may try again, so it is retried for minutes.
+// If another outcome is lost, the claim reads as unknown, which is correct.
 const (
-	triesNotRun = 120
-	triesOther  = 3
+	maxTriesNotRun = 120
+	maxTriesOther  = 3
 )
 
-// settleTimeout is long, as outcomes wait at the keeper for a claim's write
-// to ride on.
+// settleTimeout is long because a keeper delays outcomes in order to store them in
+// the same write as later claims.
 const settleTimeout = 10 * time.Second
 
-type pending struct {
+type pendingOutcome struct {
 	state port.ClaimState
 	tries int
 }
 
-func (p *pending) triesLeft() bool {
+func (p *pendingOutcome) hasTriesLeft() bool {
 	if p.state.Outcome == port.ClaimNotRun {
-		return p.tries < triesNotRun
+		return p.tries < maxTriesNotRun
 	}
-	return p.tries < triesOther
+	return p.tries < maxTriesOther
 }
 
-// settler sends outcomes to the keepers in the background.
+// settler sends outcomes to keepers in the background.
 type settler struct {
 	ctx     context.Context
 	opts    *Options
-	keepers *keepers
-
-	mu     sync.Mutex
-	queue  []*pending
-	timed  bool
-	closed bool
-	// sending serialises calls, so that flush waits for the one under way.
-	sending sync.Mutex
+	keepers *keeperPool
+
+	mu       sync.Mutex
+	queue    []*pendingOutcome
+	timerSet bool
+	closed   bool
+	// sendMu serialises sendQueued, so that flush waits for a call in progress.
+	sendMu sync.Mutex
 }
 
-func newSettler(ctx context.Context, o *Options, k *keepers) *settler {
+func newSettler(ctx context.Context, o *Options, k *keeperPool) *settler {
 	return &settler{ctx: ctx, opts: o, keepers: k}
 }
 
-func (s *settler) add(st port.ClaimState) {
+func (s *settler) enqueue(st port.ClaimState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.queue) >= s.opts.MaxPending {
 		return
 	}
-	s.queue = append(s.queue, &pending{state: st})
+	s.queue = append(s.queue, &pendingOutcome{state: st})
 	s.schedule(s.opts.SettleDelay)
 }
 
-// schedule is called with the lock held.
+// schedule starts the timer if it isn't running. The caller holds mu.
 func (s *settler) schedule(d time.Duration) {
-	if s.timed || s.closed {
+	if s.timerSet || s.closed {
 		return
 	}
-	s.timed = true
-	time.AfterFunc(d, s.tick)
+	s.timerSet = true
+	time.AfterFunc(d, s.onTimer)
 }
 
-func (s *settler) tick() {
+func (s *settler) onTimer() {
 	s.mu.Lock()
-	s.timed = false
+	s.timerSet = false
 	s.mu.Unlock()
 	if s.ctx.Err() == nil {
-		s.sendAll(s.ctx)
+		s.sendQueued(s.ctx)
 	}
 }
 
-// flush sends once more what waits.
+// flush stops the timer from being set again and sends the queued outcomes once
+// more.
 func (s *settler) flush(ctx context.Context) {
 	s.mu.Lock()
 	s.closed = true
 	s.mu.Unlock()
-	s.sendAll(ctx)
+	s.sendQueued(ctx)
 }
 
-func (s *settler) sendAll(ctx context.Context) {
-	s.sending.Lock()
-	defer s.sending.Unlock()
-	var wait sync.WaitGroup
-	for lane, group := range s.takeByLane() {
+func (s *settler) sendQueued(ctx context.Context) {
+	s.sendMu.Lock()
+	defer s.sendMu.Unlock()
+	var wg sync.WaitGroup
+	for partition, group := range s.drainByPartition() {
 		for len(group) > 0 {
 			n := min(len(group), MaxEntries)
-			part := group[:n]
-			wait.Go(func() { s.send(ctx, lane, part) })
+			chunk := group[:n]
+			wg.Go(func() { s.send(ctx, partition, chunk) })
 			group = group[n:]
 		}
 	}
-	wait.Wait()
+	wg.Wait()
 }
 
-func (s *settler) takeByLane() map[int][]*pending {
+func (s *settler) drainByPartition() map[int][]*pendingOutcome {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	groups := map[int][]*pending{}
+	groups := map[int][]*pendingOutcome{}
 	for _, p := range s.queue {
-		lane := claim.ShardOf(p.state.KeyHash, s.opts.Lanes)
-		groups[lane] = append(groups[lane], p)
+		partition := claim.ShardOf(p.state.KeyHash, s.opts.Lanes)
+		groups[partition] = append(groups[partition], p)
 	}
 	s.queue = nil
 	return groups
 }
 
-// send keeps the outcomes of a group that the platform does not hold yet.
-// Settling twice changes nothing, so a group is repeated whole.
-func (s *settler) send(ctx context.Context, lane int, group []*pending) {
+// send sends a group of outcomes. Unless the keeper settles all of them, the whole
+// group is queued again, as settling an outcome twice changes nothing. Outcomes
+// without tries left are dropped.
+func (s *settler) send(ctx context.Context, partition int, group []*pendingOutcome) {
 	request := &peerv1.SettleRequest{States: make([]*peerv1.ClaimState, len(group))}
 	for i, p := range group {
 		p.tries++
 		request.States[i] = stateToWire(&p.state)
 	}
 	settled := 0
-	err := s.keepers.try(ctx, lane, settleTimeout, func(ctx context.Context, k peerv1.KeeperClient) error {
+	err := s.keepers.callInOrder(ctx, partition, settleTimeout, func(ctx context.Context, k peerv1.KeeperClient) error {
 		reply, err := k.Settle(ctx, request)
 		settled = int(reply.GetSettled())
 		return err
@@ -135,7 +137,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, p := range group {
-		if p.triesLeft() {
+		if p.hasTriesLeft() {
 			s.queue = append(s.queue, p)
 		}
 	}
--- a/internal/adapter/grpcclaim/wire.go
+++ b/internal/adapter/grpcclaim/wire.go
@@ -8,7 +8,7 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// maxIDBytes bounds the ids that a keeper stores.
+// maxIDBytes is the maximum length of a request id or an attempt id.
 const maxIDBytes = 256
 
 func entryToWire(e *port.ClaimEntry) *peerv1.ClaimEntry {
@@ -52,8 +52,8 @@
 	return m
 }
 
-// resultFromWire takes anything it doesn't know as unsettled: neither granted
-// nor known to be free.
+// resultFromWire returns unsettled for an unknown verdict or an invalid holder:
+// the claim is not granted, but may have been written.
 func resultFromWire(m *peerv1.ClaimResult) claim.Result {
 	r := claim.Result{Verdict: port.ClaimVerdict(m.GetVerdict()), Reason: claim.Reason(m.GetReason())}
 	switch r.Verdict {
