--- a/internal/ctl/client.go
+++ b/internal/ctl/client.go
@@ -13,10 +13,10 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// maxReplyBytes bounds a reply.
+// maxReplyBytes bounds the body of a reply.
 const maxReplyBytes = 64 << 20
 
-// reply is what a daemon answered.
+// reply is a daemon's HTTP response with its body read.
 type reply struct {
 	status int
 	header http.Header
@@ -24,20 +24,23 @@
 }
 
 func (r *reply) decode(out any) error {
-	return merry.Prepend(json.Unmarshal(r.body, out), "the reply can't be read")
+	return merry.Prepend(json.Unmarshal(r.body, out), "cannot decode the daemon's reply")
 }
 
-// problemReply is a refusal, with the winner where there is one.
+// problemReply is the body of a refusal. Winner is the record in force, for a
+// conflict that reports it.
 type problemReply struct {
-	Title   string     `json:"title"`
-	Detail  string     `json:"detail"`
-	Reason  string     `json:"reason"`
-	Outcome string     `json:"outcome"`
-	Field   string     `json:"field"`
-	Decide  string     `json:"decision_id"`
-	Winner  *versioned `json:"winner"`
+	Title      string           `json:"title"`
+	Detail     string           `json:"detail"`
+	Reason     string           `json:"reason"`
+	Outcome    string           `json:"outcome"`
+	Field      string           `json:"field"`
+	DecisionID string           `json:"decision_id"`
+	Winner     *versionedRecord `json:"winner"`
 }
 
+// text joins the field, the detail and the reason. It leaves out the field if
+// the detail starts with it, and falls back to the title.
 func (p *problemReply) text() string {
 	parts := []string{}
 	for _, s := range []string{p.Field, p.Detail, p.Reason} {
@@ -51,7 +54,7 @@
 	return strings.Join(parts, ": ")
 }
 
-// request is one call to an admin listener.
+// request is an HTTP request to a daemon, without the address.
 type request struct {
 	method string
 	path   string
@@ -59,7 +62,7 @@
 	body   []byte
 }
 
-func (r *request) changes() bool { return r.method != http.MethodGet }
+func (r *request) isWrite() bool { return r.method != http.MethodGet }
 
 type client struct {
 	conn *Connection
@@ -70,32 +73,33 @@
 	return &client{conn: c, http: &http.Client{Timeout: c.Timeout}}
 }
 
-// keepers asks the keepers in turn until one answers. A change that may have
-// reached a keeper is not sent to another one.
-func (c *client) keepers(ctx context.Context, r *request) (*reply, error) {
+// callKeeper sends the request to the keepers in turn until one replies with a
+// status other than 503. It stops at a missing authorisation, and sends a write
+// that may have taken effect to no other keeper.
+func (c *client) callKeeper(ctx context.Context, r *request) (*reply, error) {
 	if len(c.conn.Keepers) == 0 {
 		return nil, withAdvice(merry.Append(ErrUsage, "no keeper is known"),
-			"give --keeper IP:PORT, or set DRAGONFLYCTL_KEEPERS, or name a file with --config")
+			"pass --keeper IP:PORT, set DRAGONFLYCTL_KEEPERS, or list the keepers in the --config file")
 	}
-	var last error
+	var lastErr error
 	for _, address := range c.conn.Keepers {
 		got, err := c.do(ctx, address, r)
 		if err == nil && got.status != http.StatusServiceUnavailable {
-			return got, check(r, got)
+			return got, checkStatus(r, got)
 		}
 		if err == nil {
-			err = check(r, got)
+			err = checkStatus(r, got)
 		}
 		if errors.Is(err, ErrUnknown) || errors.Is(err, ErrUnauthorized) {
 			return nil, err
 		}
-		last = err
+		lastErr = err
 	}
-	return nil, last
+	return nil, lastErr
 }
 
-// do makes one call. It fails with ErrUnavailable where nothing was sent, and
-// with ErrUnknown where a change may have been made.
+// do sends a request to one daemon. If no complete response arrives, it
+// returns ErrUnknown for a write that may have taken effect, else ErrUnavailable.
 func (c *client) do(ctx context.Context, address string, r *request) (*reply, error) {
 	req, err := http.NewRequestWithContext(ctx, r.method, "http://"+address+r.path, bytes.NewReader(r.body))
 	if err != nil {
@@ -112,57 +116,61 @@
 	}
 	res, err := c.http.Do(req)
 	if err != nil {
-		return nil, c.failed(address, r, err)
+		return nil, c.transportError(address, r, err)
 	}
 	defer res.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(res.Body, maxReplyBytes))
 	if err != nil {
-		return nil, c.failed(address, r, err)
+		return nil, c.transportError(address, r, err)
 	}
 	return &reply{status: res.StatusCode, header: res.Header, body: body}, nil
 }
 
-func (c *client) failed(address string, r *request, err error) error {
-	var dial *net.OpError
-	notSent := errors.As(err, &dial) && dial.Op == "dial"
-	if r.changes() && !notSent {
+// transportError wraps the error of a request without a complete response. A
+// write may have taken effect unless the connection could not be opened.
+func (c *client) transportError(address string, r *request, err error) error {
+	var opErr *net.OpError
+	notSent := errors.As(err, &opErr) && opErr.Op == "dial"
+	if r.isWrite() && !notSent {
 		return withAdvice(merry.Appendf(ErrUnknown, "%s: %v", address, err),
-			"the change may be in force: look with `dragonflyctl get` or `why configuration` before trying again")
+			"the change may be in force: check with `dragonflyctl get` or `dragonflyctl why configuration` before trying again")
 	}
 	return withAdvice(merry.Appendf(ErrUnavailable, "%s: %v", address, err),
-		"check that the daemon runs and that the address is its admin listener; nothing was changed")
+		"check that the daemon is running and that the address is its admin listener; nothing was changed")
 }
 
-// check turns a refusal into an error.
-func check(asked *request, r *reply) error {
+// checkStatus turns a reply with an error status into an error with advice.
+// The statuses 412 and 409 mean a conflict. A 504 to a write leaves its outcome
+// unknown, while a 504 to a read changed nothing.
+func checkStatus(sent *request, r *reply) error {
 	if r.status < 300 {
 		return nil
 	}
 	var p problemReply
-	// A body that is no problem document leaves the status to speak.
+	// If the body isn't a problem document, the error names the status instead.
 	_ = json.Unmarshal(r.body, &p)
 	text := p.text()
 	if text == "" {
 		text = http.StatusText(r.status)
 	}
-	if r.status == http.StatusGatewayTimeout && !asked.changes() {
+	if r.status == http.StatusGatewayTimeout && !sent.isWrite() {
 		return withAdvice(merry.Append(ErrUnavailable, text), "the platform did not answer in time; try again in a second")
 	}
 	switch r.status {
 	case http.StatusUnauthorized, http.StatusForbidden:
-		return withAdvice(ErrUnauthorized, "give the token with --token, DRAGONFLYCTL_TOKEN or admin_token in the --config file")
+		return withAdvice(ErrUnauthorized, "pass the token with --token, DRAGONFLYCTL_TOKEN or admin_token in the --config file")
 	case http.StatusNotFound:
-		return withAdvice(merry.Append(ErrNotFound, text), "see what there is with `dragonflyctl list`")
+		return withAdvice(merry.Append(ErrNotFound, text), "list the existing records with `dragonflyctl list`")
 	case http.StatusPreconditionFailed, http.StatusConflict:
 		return conflictError(&p)
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
 		return withAdvice(merry.Append(ErrUnavailable, text), "nothing was changed; try again in a second, or at another keeper")
 	case http.StatusGatewayTimeout:
 		return withAdvice(merry.Append(ErrUnknown, text),
-			"the change may be in force: look for write id "+p.Decide+" with `dragonflyctl why configuration` before trying again")
+			"the change may be in force: search for write id "+p.DecisionID+" with `dragonflyctl why configuration` before trying again")
 	}
 	if r.status < http.StatusInternalServerError {
-		return withAdvice(merry.Append(ErrRefused, text), "correct what is named and try again; nothing was changed")
+		return withAdvice(merry.Append(ErrRefused, text), "correct the named field or condition and try again; nothing was changed")
 	}
 	return merry.Errorf("status %d: %s", r.status, text)
 }
@@ -172,6 +180,6 @@
 	if p.Winner == nil {
 		return withAdvice(err, "read the record again and repeat the change; nothing was changed")
 	}
-	err = merry.Appendf(ErrConflict, "the record stands at version %d now: %s", p.Winner.Version, compact(p.Winner.Document))
+	err = merry.Appendf(ErrConflict, "the record is now at version %d: %s", p.Winner.Version, compact(p.Winner.Document))
 	return withAdvice(err, "compare with `dragonflyctl diff -f FILE` and repeat the change; nothing was changed")
 }
--- a/internal/ctl/daemons.go
+++ b/internal/ctl/daemons.go
@@ -16,9 +16,9 @@
 	Members []port.Member `json:"members"`
 }
 
-// members lists the daemons as a keeper knows them.
+// members lists the daemons that a keeper knows.
 func (c *client) members(ctx context.Context) ([]port.Member, error) {
-	got, err := c.keepers(ctx, &request{method: http.MethodGet, path: "/admin/v1/members"})
+	got, err := c.callKeeper(ctx, &request{method: http.MethodGet, path: "/admin/v1/members"})
 	if err != nil {
 		return nil, err
 	}
@@ -26,7 +26,7 @@
 	return l.Members, got.decode(&l)
 }
 
-// memberByID finds a daemon's admin address through the keepers.
+// memberByID returns the member with the id, if it has an admin address.
 func (c *client) memberByID(ctx context.Context, id string) (port.Member, error) {
 	members, err := c.members(ctx)
 	if err != nil {
@@ -37,12 +37,13 @@
 			return m, nil
 		}
 	}
-	return port.Member{}, withAdvice(merry.Appendf(ErrNotFound, "no daemon %q", id),
-		"see the daemons with `dragonflyctl in-force`, or give the address itself")
+	return port.Member{}, withAdvice(merry.Appendf(ErrNotFound, "no daemon with id %q and a known admin address", id),
+		"list the daemons with `dragonflyctl in-force`, or pass the IP:PORT of the admin listener")
 }
 
-// hostStatus is one daemon's line of in-force.
-type hostStatus struct {
+// daemonStatus is the state of one daemon as a keeper reports it. HeardAgeMillis
+// is the age of that report, and -1 if no keeper that replied hears the daemon.
+type daemonStatus struct {
 	ID             string `json:"id"`
 	Role           string `json:"role"`
 	Host           string `json:"host"`
@@ -55,31 +56,31 @@
 	HeardAgeMillis int64  `json:"heard_age_ms"`
 }
 
-// inForce is a keeper's answer; fields that this build doesn't know are left
-// out.
-type inForce struct {
-	Version           uint64       `json:"version"`
-	Records           int          `json:"records"`
-	PlatformAgeMillis int64        `json:"platform_age_ms"`
-	StoreEra          uint64       `json:"store_era,omitempty"`
-	Hosts             []hostStatus `json:"hosts"`
-	Unanswered        []string     `json:"unanswered_keepers,omitempty"`
+// inForceReply is a keeper's reply to a GET of in-force. Fields that this build
+// doesn't know are dropped.
+type inForceReply struct {
+	Version           uint64         `json:"version"`
+	Records           int            `json:"records"`
+	PlatformAgeMillis int64          `json:"platform_age_ms"`
+	StoreEra          uint64         `json:"store_era,omitempty"`
+	Daemons           []daemonStatus `json:"hosts"`
+	UnansweredKeepers []string       `json:"unanswered_keepers,omitempty"`
 }
 
 type inForceCommand struct{ app *app }
 
 // Execute prints the version in force at each daemon.
 func (c *inForceCommand) Execute([]string) error {
-	got, err := c.app.client().keepers(c.app.ctx, &request{method: http.MethodGet, path: "/admin/v1/in-force"})
+	got, err := c.app.client().callKeeper(c.app.ctx, &request{method: http.MethodGet, path: "/admin/v1/in-force"})
 	if err != nil {
 		return err
 	}
-	var f inForce
+	var f inForceReply
 	if err := got.decode(&f); err != nil {
 		return err
 	}
 	var rows [][]string
-	for _, h := range f.Hosts {
+	for _, h := range f.Daemons {
 		rows = append(rows, []string{
 			h.FailureDomain, h.ID, h.Role, strings.TrimSpace(h.State + " " + h.Condition), versionText(h.Version),
 			strconv.FormatBool(h.Current), millisText(h.AgeMillis), millisText(h.HeardAgeMillis),
@@ -89,17 +90,17 @@
 	if err != nil || c.app.Output == "json" {
 		return err
 	}
-	c.app.note("newest version %d, %d records; the platform answered %s ago", f.Version, f.Records, millisText(f.PlatformAgeMillis))
+	c.app.printLine("newest version %d, %d records; the platform answered %s ago", f.Version, f.Records, millisText(f.PlatformAgeMillis))
 	if f.StoreEra > 0 {
-		c.app.note("era %d of the platform's store: it has come back from a copy before", f.StoreEra)
+		c.app.printLine("era %d of the platform's store: it has come back from a copy before", f.StoreEra)
 	}
-	if len(f.Unanswered) > 0 {
-		c.app.note("keepers that did not answer, so that lines may be missing or old: %s", strings.Join(f.Unanswered, ", "))
+	if len(f.UnansweredKeepers) > 0 {
+		c.app.printLine("keepers that did not answer, so that lines may be missing or old: %s", strings.Join(f.UnansweredKeepers, ", "))
 	}
 	return nil
 }
 
-// millisText shows a time, or a dash for one that is not known.
+// millisText formats a duration, or a dash for a negative one, which is unknown.
 func millisText(ms int64) string {
 	if ms < 0 {
 		return "-"
@@ -114,13 +115,13 @@
 	} `positional-args:"true" required:"true"`
 }
 
-type drained struct {
+type drainResult struct {
 	Daemon  string `json:"daemon"`
 	Address string `json:"address"`
 	Action  string `json:"action"`
 }
 
-// Execute asks one daemon to stop gracefully.
+// Execute requests one daemon to stop gracefully.
 func (c *drainCommand) Execute([]string) error {
 	id := c.Args.Daemon
 	address := id
@@ -136,17 +137,17 @@
 	if err != nil {
 		return err
 	}
-	if err := check(r, got); err != nil {
+	if err := checkStatus(r, got); err != nil {
 		return err
 	}
-	d := drained{Daemon: id, Address: address, Action: "draining"}
+	d := drainResult{Daemon: id, Address: address, Action: "draining"}
 	return c.app.printer().print(d, []string{"daemon", "address", "action"}, [][]string{{d.Daemon, d.Address, d.Action}})
 }
 
 type entryCommand struct {
 	app          *app
-	Organisation string `long:"organisation" value-name:"NAME" required:"true" description:"the organisation that calls"`
-	Model        string `long:"model" value-name:"NAME" description:"the model it wants"`
+	Organisation string `long:"organisation" value-name:"NAME" required:"true" description:"organisation of the caller"`
+	Model        string `long:"model" value-name:"NAME" description:"model that the caller requests"`
 }
 
 type entryReply struct {
@@ -154,11 +155,11 @@
 	ValidForMillis int64    `json:"valid_for_ms"`
 }
 
-// Execute asks the first router that answers.
+// Execute queries the routers in turn and prints the first successful reply.
 func (c *entryCommand) Execute([]string) error {
 	if len(c.app.Entries) == 0 {
-		return withAdvice(merry.Append(ErrUsage, "no callers' address is known"),
-			"give --entry-address IP:PORT, or set DRAGONFLYCTL_ENTRIES")
+		return withAdvice(merry.Append(ErrUsage, "no callers' address of a router is known"),
+			"pass --entry-address IP:PORT, set DRAGONFLYCTL_ENTRIES, or list the entries in the --config file")
 	}
 	query := url.Values{"organisation": {c.Organisation}}
 	if c.Model != "" {
@@ -166,14 +167,14 @@
 	}
 	header := http.Header{"Authorization": {"Bearer " + c.app.OrganisationKey}}
 	r := &request{method: http.MethodGet, path: "/v1/entry?" + query.Encode(), header: header}
-	var last error
+	var lastErr error
 	for _, address := range c.app.Entries {
 		got, err := c.app.client().do(c.app.ctx, address, r)
 		if err == nil {
-			err = entryCheck(r, got)
+			err = checkEntryStatus(r, got)
 		}
 		if err != nil {
-			last = err
+			lastErr = err
 			continue
 		}
 		var e entryReply
@@ -182,15 +183,17 @@
 		}
 		return c.printEntry(&e)
 	}
-	return last
+	return lastErr
 }
 
-func entryCheck(asked *request, r *reply) error {
+// checkEntryStatus is checkStatus for a router's callers' address, where a 401
+// refers to the organisation's key and not to the admin token.
+func checkEntryStatus(sent *request, r *reply) error {
 	if r.status == http.StatusUnauthorized {
 		return withAdvice(merry.Append(ErrUnauthorized, "the organisation's key is missing or wrong"),
-			"give it with --organisation-key or DRAGONFLYCTL_ORGANISATION_KEY")
+			"pass it with --organisation-key, DRAGONFLYCTL_ORGANISATION_KEY or organisation_key in the --config file")
 	}
-	return check(asked, r)
+	return checkStatus(sent, r)
 }
 
 func (c *entryCommand) printEntry(e *entryReply) error {
--- a/internal/ctl/document.go
+++ b/internal/ctl/document.go
@@ -13,7 +13,8 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// document is a record as its author wrote it, unknown fields included.
+// document is a record in the form its author wrote, including fields that
+// this build doesn't know.
 type document map[string]any
 
 func (d document) text(field string) string {
@@ -27,24 +28,25 @@
 func (d document) marshal() []byte {
 	raw, err := json.Marshal(d)
 	if err != nil {
-		// Only what was decoded from JSON is in it.
+		// A document holds only values decoded from JSON, so it can be encoded.
 		panic(err)
 	}
 	return raw
 }
 
-// readDocuments reads one or more documents, one after the other or in an
-// array, from a file or, for "-", from in.
-func readDocuments(path string, in io.Reader) ([]document, error) {
+// readDocuments reads one or more documents from the file at path or, for
+// "-", from input. The text is a sequence of JSON objects, of arrays of objects,
+// or of both.
+func readDocuments(path string, input io.Reader) ([]document, error) {
 	if path != "-" {
 		f, err := os.Open(path)
 		if err != nil {
 			return nil, merry.Append(ErrUsage, err.Error())
 		}
 		defer f.Close()
-		in = f
+		input = f
 	}
-	decoder := json.NewDecoder(in)
+	decoder := json.NewDecoder(input)
 	decoder.UseNumber()
 	var all []document
 	for {
@@ -56,14 +58,14 @@
 		if err != nil {
 			return nil, merry.Appendf(ErrUsage, "%s: %v", path, err)
 		}
-		found, err := asDocuments(raw)
+		parsed, err := asDocuments(raw)
 		if err != nil {
 			return nil, merry.Prepend(err, path)
 		}
-		all = append(all, found...)
+		all = append(all, parsed...)
 	}
 	if len(all) == 0 {
-		return nil, merry.Appendf(ErrUsage, "%s: no document", path)
+		return nil, merry.Appendf(ErrUsage, "input %s contains no document", path)
 	}
 	return all, nil
 }
@@ -77,51 +79,54 @@
 	for _, item := range items {
 		fields, ok := item.(map[string]any)
 		if !ok {
-			return nil, merry.Append(ErrUsage, "a document must be a JSON object")
+			return nil, merry.Append(ErrUsage, "every document must be a JSON object")
 		}
 		d := document(fields)
 		if d.kind() == "" || d.name() == "" {
-			return nil, merry.Append(ErrUsage, "a document needs kind and name")
+			return nil, merry.Append(ErrUsage, "every document needs the fields kind and name")
 		}
 		all = append(all, d)
 	}
 	return all, nil
 }
 
-// set puts a value at a dotted path. The value is taken as JSON where it is
-// JSON, else as a string; a field that holds a string keeps holding one, so
-// that a version 3 need not be quoted twice.
+// set writes a value at a dotted path and creates missing parent objects. The
+// text is used as JSON if it is valid JSON, else as a string. A field that
+// holds a string stays a string, so that setting a version to 3 needs no
+// additional quotes.
 func (d document) set(path, text string) error {
 	var value any
 	if readJSON([]byte(text), &value) != nil || !json.Valid([]byte(text)) {
 		value = text
 	}
-	fields, last, err := d.parent(path, true)
+	fields, field, err := d.parent(path, true)
 	if err != nil {
 		return err
 	}
-	if _, isString := fields[last].(string); isString {
-		if _, stays := value.(string); !stays {
+	if _, fieldIsString := fields[field].(string); fieldIsString {
+		if _, valueIsString := value.(string); !valueIsString {
 			value = text
 		}
 	}
-	fields[last] = value
+	fields[field] = value
 	return nil
 }
 
-// unset removes a dotted path.
+// unset removes the field at a dotted path.
 func (d document) unset(path string) error {
-	fields, last, err := d.parent(path, false)
+	fields, field, err := d.parent(path, false)
 	if err != nil {
 		return err
 	}
-	if _, found := fields[last]; !found {
-		return merry.Appendf(ErrUsage, "%s is not set", path)
+	if _, found := fields[field]; !found {
+		return merry.Appendf(ErrUsage, "field %s is not set in the record", path)
 	}
-	delete(fields, last)
+	delete(fields, field)
 	return nil
 }
 
+// parent returns the object that contains the last field of a dotted path, and
+// that field's name. Missing objects on the path are created if create is true.
 func (d document) parent(path string, create bool) (map[string]any, string, error) {
 	names := strings.Split(path, ".")
 	fields := map[string]any(d)
@@ -131,42 +136,42 @@
 		}
 		next, ok := fields[name].(map[string]any)
 		if !ok {
-			return nil, "", merry.Appendf(ErrUsage, "%s: %s is no object", path, name)
+			return nil, "", merry.Appendf(ErrUsage, "cannot resolve path %s: field %s is not an object", path, name)
 		}
 		fields = next
 	}
 	return fields, names[len(names)-1], nil
 }
 
-// change is one difference between two documents.
-type change struct {
+// fieldChange is a field whose value differs between two documents.
+type fieldChange struct {
 	Path string `json:"path"`
 	Old  any    `json:"old,omitempty"`
 	New  any    `json:"new,omitempty"`
 }
 
-// differences lists what changes from one document to the other.
-func differences(from, to document) []change {
+// differences lists the fields that change from one document to the other.
+func differences(from, to document) []fieldChange {
 	return compare("", map[string]any(from), map[string]any(to))
 }
 
-func compare(path string, from, to any) []change {
+func compare(path string, from, to any) []fieldChange {
 	old, oldIsObject := from.(map[string]any)
-	fresh, freshIsObject := to.(map[string]any)
-	// A whole object that comes or goes is listed field by field.
-	added := from == nil && len(fresh) > 0
+	updated, updatedIsObject := to.(map[string]any)
+	// An object that is added or removed as a whole is listed field by field.
+	added := from == nil && len(updated) > 0
 	removed := to == nil && len(old) > 0
-	if !added && !removed && (!oldIsObject || !freshIsObject) {
+	if !added && !removed && (!oldIsObject || !updatedIsObject) {
 		if reflect.DeepEqual(from, to) {
 			return nil
 		}
-		return []change{{Path: path, Old: from, New: to}}
+		return []fieldChange{{Path: path, Old: from, New: to}}
 	}
-	var all []change
-	for _, name := range fieldNames(old, fresh) {
-		all = append(all, compare(join(path, name), old[name], fresh[name])...)
+	var changes []fieldChange
+	for _, name := range fieldNames(old, updated) {
+		changes = append(changes, compare(join(path, name), old[name], updated[name])...)
 	}
-	return all
+	return changes
 }
 
 func fieldNames(a, b map[string]any) []string {
--- a/internal/ctl/errors.go
+++ b/internal/ctl/errors.go
@@ -6,30 +6,32 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// Exit codes of dragonflyctl; scripts rely on them.
+// Exit codes of dragonflyctl. Scripts rely on them.
 const (
 	ExitOK = 0
-	// ExitFailure: something unexpected, see the message.
+	// ExitFailure reports an unexpected error; see the message.
 	ExitFailure = 1
-	// ExitUsage: wrong arguments or settings.
+	// ExitUsage reports wrong arguments or settings.
 	ExitUsage = 2
-	// ExitNotFound: no such record, request or daemon.
+	// ExitNotFound reports that the record, request or daemon does not exist.
 	ExitNotFound = 3
-	// ExitConflict: another operator's change came first; nothing changed.
+	// ExitConflict reports that another operator's change came first; nothing
+	// was changed.
 	ExitConflict = 4
-	// ExitRefused: the document or the condition is not accepted.
+	// ExitRefused reports that the document or the condition was not accepted.
 	ExitRefused = 5
-	// ExitUnavailable: no daemon could carry it out; nothing changed.
+	// ExitUnavailable reports that no daemon could execute the command; nothing
+	// was changed.
 	ExitUnavailable = 6
-	// ExitUnknown: the change may be in force or not.
+	// ExitUnknown reports that the change may or may not be in force.
 	ExitUnknown = 7
-	// ExitUnauthorized: the admin token is missing or wrong.
+	// ExitUnauthorized reports a missing or wrong admin token.
 	ExitUnauthorized = 8
-	// ExitDifferent: diff found a difference.
+	// ExitDifferent reports that diff found a difference.
 	ExitDifferent = 10
 )
 
-// Errors of the command line. Each ends a command with its own exit code.
+// Errors of the commands. Each has its own exit code.
 var (
 	ErrUsage        = merry.Sentinel("wrong arguments")
 	ErrNotFound     = merry.Sentinel("not found")
@@ -67,24 +69,24 @@
 	return ExitFailure
 }
 
-// advise is an error with what to do next.
-type advise struct {
-	err  error
-	next string
+// advisedError is an error with advice on what to do next.
+type advisedError struct {
+	err    error
+	advice string
 }
 
-func (a *advise) Error() string { return a.err.Error() }
-func (a *advise) Unwrap() error { return a.err }
+func (a *advisedError) Error() string { return a.err.Error() }
+func (a *advisedError) Unwrap() error { return a.err }
 
-func withAdvice(err error, next string) error { return &advise{err: err, next: next} }
+func withAdvice(err error, advice string) error { return &advisedError{err: err, advice: advice} }
 
 func adviceOf(err error) string {
-	var a *advise
+	var a *advisedError
 	if errors.As(err, &a) {
-		return a.next
+		return a.advice
 	}
 	if errors.Is(err, ErrUsage) {
 		return "see dragonflyctl --help"
 	}
-	return "look at the daemon's log, and try again"
+	return "check the daemon's log and try again"
 }
--- a/internal/ctl/evacuations.go
+++ b/internal/ctl/evacuations.go
@@ -12,18 +12,19 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// domainArg names a failure domain.
+// domainArg is the positional argument that names a failure domain.
 type domainArg struct {
 	Domain string `positional-arg-name:"FAILURE-DOMAIN" description:"name of the failure domain"`
 }
 
 type evacuateCommand struct {
 	app    *app
-	Reason string    `long:"reason" required:"true" value-name:"TEXT" description:"why, for those who ask later"`
+	Reason string    `long:"reason" required:"true" value-name:"TEXT" description:"reason, shown by the evacuations command"`
 	Target domainArg `positional-args:"true" required:"true"`
 }
 
-// Execute has the endpoints of a failure domain get nothing more.
+// Execute creates an evacuation record, after which the endpoints of the
+// failure domain receive no new work.
 func (c *evacuateCommand) Execute([]string) error {
 	d := document{
 		"schema_version": json.Number("2"), "kind": port.ObjectDomainEvacuation, "name": c.Target.Domain,
@@ -33,12 +34,12 @@
 	}
 	w, err := c.app.client().put(c.app.ctx, d, 0)
 	if errors.Is(err, ErrConflict) {
-		return withAdvice(err, "it is evacuated already: see `dragonflyctl evacuations`")
+		return withAdvice(err, "the failure domain is already evacuated: see `dragonflyctl evacuations`")
 	}
 	if err != nil {
 		return err
 	}
-	return c.app.printApplied([]applied{{
+	return c.app.printApplied([]applyResult{{
 		Kind: d.kind(), Name: d.name(), Action: "evacuated", Version: w.Version, WriteID: w.WriteID,
 	}})
 }
@@ -48,26 +49,27 @@
 	Target domainArg `positional-args:"true" required:"true"`
 }
 
-// Execute takes an evacuation back.
+// Execute deletes the evacuation record of a failure domain.
 func (c *useAgainCommand) Execute([]string) error {
 	kind, name := port.ObjectDomainEvacuation, c.Target.Domain
 	_, version, err := c.app.client().fetch(c.app.ctx, kind, name, 0)
 	if errors.Is(err, ErrNotFound) {
-		return withAdvice(err, "it isn't evacuated by an operator of this system: see `dragonflyctl evacuations`")
+		return withAdvice(err, "no evacuation of this failure domain was ordered with dragonflyctl: see `dragonflyctl evacuations`")
 	}
 	if err != nil {
 		return err
 	}
-	w, err := c.app.client().remove(c.app.ctx, kind, name, condition(version))
+	w, err := c.app.client().remove(c.app.ctx, kind, name, precondition(version))
 	if err != nil {
 		return err
 	}
-	return c.app.printApplied([]applied{{Kind: kind, Name: name, Action: "used again", Version: w.Version, WriteID: w.WriteID}})
+	return c.app.printApplied([]applyResult{{Kind: kind, Name: name, Action: "used again", Version: w.Version, WriteID: w.WriteID}})
 }
 
 type evacuationsCommand struct{ app *app }
 
-// Execute lists the evacuations in force, whoever gave the order.
+// Execute lists all evacuations in force, those ordered through the platform
+// included.
 func (c *evacuationsCommand) Execute([]string) error {
 	all, err := c.app.client().evacuations(c.app.ctx)
 	if err != nil {
@@ -84,13 +86,13 @@
 	return c.app.printer().print(all, []string{"failure domain", "ordered through", "by", "since", "reason", "version"}, rows)
 }
 
-// evacuationList is a daemon's answer.
+// evacuationList is a keeper's reply to a GET of the evacuations.
 type evacuationList struct {
 	Evacuations []evacuation.Evacuation `json:"evacuations"`
 }
 
 func (c *client) evacuations(ctx context.Context) ([]evacuation.Evacuation, error) {
-	got, err := c.keepers(ctx, &request{method: http.MethodGet, path: "/admin/v1/evacuations"})
+	got, err := c.callKeeper(ctx, &request{method: http.MethodGet, path: "/admin/v1/evacuations"})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/ctl/hashtoken.go
+++ b/internal/ctl/hashtoken.go
@@ -10,25 +10,25 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/adapter/httpserver"
 )
 
-// Bounds of an admin token, in bytes. A shorter one can be guessed.
+// Bounds of an admin token, in bytes. A shorter token can be guessed.
 const (
-	leastToken = 16
-	mostToken  = 1024
+	minTokenBytes = 16
+	maxTokenBytes = 1024
 )
 
-// hashTokenCommand prints the hash of a token. It asks no daemon.
+// hashTokenCommand prints the hash of a token. It contacts no daemon.
 type hashTokenCommand struct{ app *app }
 
 // Execute implements flags.Commander.
 func (c *hashTokenCommand) Execute([]string) error {
-	raw, err := io.ReadAll(io.LimitReader(c.app.stdin, mostToken+1))
+	raw, err := io.ReadAll(io.LimitReader(c.app.stdin, maxTokenBytes+1))
 	if err != nil {
-		return merry.Prepend(err, "read the token")
+		return merry.Prepend(err, "read the token from standard input")
 	}
 	token := strings.TrimSpace(string(raw))
-	if len(token) < leastToken || len(token) > mostToken {
-		return withAdvice(merry.Appendf(ErrUsage, "a token has %d to %d bytes", leastToken, mostToken),
-			"give it on standard input, for example: openssl rand -hex 24 | tee admin-token | dragonflyctl hash-token")
+	if len(token) < minTokenBytes || len(token) > maxTokenBytes {
+		return withAdvice(merry.Appendf(ErrUsage, "a token must have %d to %d bytes", minTokenBytes, maxTokenBytes),
+			"pass the token on standard input, for example: openssl rand -hex 24 | tee admin-token | dragonflyctl hash-token")
 	}
 	_, err = fmt.Fprintln(c.app.stdout, httpserver.HashToken(token))
 	return err
--- a/internal/ctl/output.go
+++ b/internal/ctl/output.go
@@ -27,9 +27,9 @@
 	table := tablewriter.NewTable(p.out)
 	table.Header(header)
 	if err := table.Bulk(rows); err != nil {
-		return merry.Prepend(err, "table")
+		return merry.Prepend(err, "cannot build the output table")
 	}
-	return merry.Prepend(table.Render(), "table")
+	return merry.Prepend(table.Render(), "cannot print the output table")
 }
 
 func (p *printer) printJSON(v any) error {
--- a/internal/ctl/recordcommands.go
+++ b/internal/ctl/recordcommands.go
@@ -10,49 +10,50 @@
 
 type applyCommand struct {
 	app       *app
-	File      flags.Filename `short:"f" long:"file" required:"true" value-name:"FILE" description:"JSON documents; - reads the standard input"`
-	IfVersion uint64         `long:"if-version" value-name:"N" description:"only where the record stands at this version"`
+	File      flags.Filename `short:"f" long:"file" required:"true" value-name:"FILE" description:"file of JSON documents; - reads standard input"`
+	IfVersion uint64         `long:"if-version" value-name:"N" description:"apply only if the record is at this version"`
 }
 
-// Execute applies each document. It stops at the first that fails, as the
-// later ones may rest on it, and shows what was done until then.
+// Execute applies the documents in order. It stops at the first failure, as
+// later documents may depend on the failed one, and prints the results up to
+// there.
 func (c *applyCommand) Execute([]string) error {
 	documents, err := readDocuments(string(c.File), c.app.stdin)
 	if err != nil {
 		return err
 	}
 	if c.IfVersion > 0 && len(documents) > 1 {
-		return merry.Append(ErrUsage, "--if-version is for a single document")
+		return merry.Append(ErrUsage, "--if-version requires a single document")
 	}
-	var done []applied
-	var failed error
+	var results []applyResult
+	var applyErr error
 	for _, d := range documents {
 		a, err := c.app.client().apply(c.app.ctx, d, c.IfVersion)
 		if err != nil {
-			failed = merry.Prepend(err, a.Kind+"/"+a.Name)
+			applyErr = merry.Prepend(err, a.Kind+"/"+a.Name)
 			break
 		}
-		done = append(done, a)
+		results = append(results, a)
 	}
-	if len(done) > 0 {
-		if err := c.app.printApplied(done); err != nil {
+	if len(results) > 0 {
+		if err := c.app.printApplied(results); err != nil {
 			return err
 		}
 	}
-	return failed
+	return applyErr
 }
 
-func (a *app) printApplied(done []applied) error {
+func (a *app) printApplied(results []applyResult) error {
 	var rows [][]string
-	for _, d := range done {
+	for _, d := range results {
 		rows = append(rows, []string{d.Kind, d.Name, d.Action, versionText(d.Version), d.WriteID})
 	}
-	return a.printer().print(done, []string{"kind", "name", "action", "version", "write id"}, rows)
+	return a.printer().print(results, []string{"kind", "name", "action", "version", "write id"}, rows)
 }
 
 type getCommand struct {
 	app    *app
-	Schema int       `long:"schema-version" value-name:"N" description:"show it in this schema version; the default is the stored one"`
+	Schema int       `long:"schema-version" value-name:"N" description:"schema version to show the record in; the default is the stored one"`
 	Record recordArg `positional-args:"true" required:"true"`
 }
 
@@ -63,7 +64,7 @@
 		return err
 	}
 	if c.app.Output == "json" {
-		// The bare document, so that it can be revised and applied.
+		// Prints the document alone, so that the output can be changed and applied.
 		return c.app.printer().printJSON(d)
 	}
 	rows := [][]string{{"(version)", versionText(version)}}
@@ -76,19 +77,19 @@
 type listCommand struct {
 	app  *app
 	Args struct {
-		Kind kindArg `positional-arg-name:"KIND" description:"kind of record; all kinds where left out"`
+		Kind kindArg `positional-arg-name:"KIND" description:"kind of record; the default is all kinds"`
 	} `positional-args:"true"`
 }
 
-// Execute prints the records of one kind or of all.
+// Execute prints the records of one kind or of all kinds.
 func (c *listCommand) Execute([]string) error {
-	wanted := kinds
+	selected := kinds
 	if c.Args.Kind != "" {
-		wanted = []string{string(c.Args.Kind)}
+		selected = []string{string(c.Args.Kind)}
 	}
-	all := []listed{}
+	all := []listedRecord{}
 	var rows [][]string
-	for _, kind := range wanted {
+	for _, kind := range selected {
 		found, err := c.app.client().list(c.app.ctx, kind)
 		if err != nil {
 			return err
@@ -103,17 +104,18 @@
 
 type editCommand struct {
 	app       *app
-	Set       []string  `long:"set" value-name:"PATH=VALUE" description:"set a field, as in spec.limits.batch=32; the value is JSON or else a string"`
+	Set       []string  `long:"set" value-name:"PATH=VALUE" description:"set a field, for example spec.limits.batch=32; a value that is not valid JSON is taken as a string"`
 	Unset     []string  `long:"unset" value-name:"PATH" description:"remove a field"`
-	IfVersion uint64    `long:"if-version" value-name:"N" description:"only where the record stands at this version; the default is the version just read"`
-	Schema    int       `long:"schema-version" value-name:"N" description:"edit it in this schema version"`
+	IfVersion uint64    `long:"if-version" value-name:"N" description:"write only if the record is at this version; the default is the version just read"`
+	Schema    int       `long:"schema-version" value-name:"N" description:"schema version to edit the record in; the default is the stored one"`
 	Record    recordArg `positional-args:"true" required:"true"`
 }
 
-// Execute revises one record on condition of its version.
+// Execute changes one record, provided that its version is still the one read
+// or the one given.
 func (c *editCommand) Execute([]string) error {
 	if len(c.Set)+len(c.Unset) == 0 {
-		return withAdvice(merry.Append(ErrUsage, "nothing to edit"), "name changes with --set PATH=VALUE or --unset PATH")
+		return withAdvice(merry.Append(ErrUsage, "no change given"), "pass changes with --set PATH=VALUE or --unset PATH")
 	}
 	d, version, err := c.app.client().fetch(c.app.ctx, string(c.Record.Kind), c.Record.Name, c.Schema)
 	if err != nil {
@@ -125,11 +127,11 @@
 	if c.IfVersion > 0 {
 		version = c.IfVersion
 	}
-	w, err := c.app.client().put(c.app.ctx, d, condition(version))
+	w, err := c.app.client().put(c.app.ctx, d, precondition(version))
 	if err != nil {
 		return err
 	}
-	return c.app.printApplied([]applied{{
+	return c.app.printApplied([]applyResult{{
 		Kind: string(c.Record.Kind), Name: c.Record.Name, Action: "changed", Version: w.Version, WriteID: w.WriteID,
 	}})
 }
@@ -138,7 +140,7 @@
 	for _, s := range c.Set {
 		path, value, found := strings.Cut(s, "=")
 		if !found {
-			return merry.Appendf(ErrUsage, "--set %s: PATH=VALUE is wanted", s)
+			return merry.Appendf(ErrUsage, "--set %s: expected PATH=VALUE", s)
 		}
 		if err := d.set(path, value); err != nil {
 			return err
@@ -154,33 +156,33 @@
 
 type diffCommand struct {
 	app  *app
-	File flags.Filename `short:"f" long:"file" required:"true" value-name:"FILE" description:"JSON documents; - reads the standard input"`
+	File flags.Filename `short:"f" long:"file" required:"true" value-name:"FILE" description:"file of JSON documents; - reads standard input"`
 }
 
-// compared is the difference of one document from what is in force.
-type compared struct {
-	Kind    string   `json:"kind"`
-	Name    string   `json:"name"`
-	Version uint64   `json:"version"`
-	Changes []change `json:"changes"`
+// recordDiff lists the fields in which a document differs from the record in force.
+type recordDiff struct {
+	Kind    string        `json:"kind"`
+	Name    string        `json:"name"`
+	Version uint64        `json:"version"`
+	Changes []fieldChange `json:"changes"`
 }
 
-// Execute prints what apply would change.
+// Execute prints the changes that apply would make.
 func (c *diffCommand) Execute([]string) error {
 	documents, err := readDocuments(string(c.File), c.app.stdin)
 	if err != nil {
 		return err
 	}
-	all := []compared{}
+	all := []recordDiff{}
 	var rows [][]string
 	for _, d := range documents {
-		one, err := c.app.client().diff(c.app.ctx, d)
+		diff, err := c.app.client().diff(c.app.ctx, d)
 		if err != nil {
 			return err
 		}
-		all = append(all, one)
-		for _, ch := range one.Changes {
-			rows = append(rows, []string{one.Kind + "/" + one.Name, ch.Path, valueText(ch.Old), valueText(ch.New)})
+		all = append(all, diff)
+		for _, ch := range diff.Changes {
+			rows = append(rows, []string{diff.Kind + "/" + diff.Name, ch.Path, valueText(ch.Old), valueText(ch.New)})
 		}
 	}
 	if len(rows) == 0 && c.app.Output != "json" {
@@ -191,18 +193,19 @@
 		return err
 	}
 	if len(rows) > 0 {
-		return withAdvice(ErrDifferent, "bring the file into force with `dragonflyctl apply -f`")
+		return withAdvice(ErrDifferent, "apply the file with `dragonflyctl apply -f`")
 	}
 	return nil
 }
 
 type deleteCommand struct {
 	app       *app
-	IfVersion uint64    `long:"if-version" value-name:"N" description:"only where the record stands at this version; the default is the version just read"`
+	IfVersion uint64    `long:"if-version" value-name:"N" description:"delete only if the record is at this version; the default is the version just read"`
 	Record    recordArg `positional-args:"true" required:"true"`
 }
 
-// Execute deletes one record on condition of its version.
+// Execute deletes one record, provided that its version is still the one read
+// or the one given.
 func (c *deleteCommand) Execute([]string) error {
 	kind, name := string(c.Record.Kind), c.Record.Name
 	version := c.IfVersion
@@ -213,9 +216,9 @@
 		}
 		version = current
 	}
-	w, err := c.app.client().remove(c.app.ctx, kind, name, condition(version))
+	w, err := c.app.client().remove(c.app.ctx, kind, name, precondition(version))
 	if err != nil {
 		return err
 	}
-	return c.app.printApplied([]applied{{Kind: kind, Name: name, Action: "deleted", Version: w.Version, WriteID: w.WriteID}})
+	return c.app.printApplied([]applyResult{{Kind: kind, Name: name, Action: "deleted", Version: w.Version, WriteID: w.WriteID}})
 }
--- a/internal/ctl/records.go
+++ b/internal/ctl/records.go
@@ -15,24 +15,26 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
+// kinds are the kinds of records that operators write.
 var kinds = []string{
 	port.ObjectDomainEvacuation, port.ObjectModelDeployment, port.ObjectOrganisationPriority, port.ObjectRequestQuarantine, port.ObjectRoutingConfiguration,
 }
 
-// versioned is a record as keepers answer it.
-type versioned struct {
+// versionedRecord is a record as a keeper returns it.
+type versionedRecord struct {
 	Version  uint64          `json:"version"`
 	Deleted  bool            `json:"deleted,omitempty"`
 	Document json.RawMessage `json:"document,omitempty"`
 }
 
 type recordList struct {
-	Records []versioned `json:"records"`
+	Records []versionedRecord `json:"records"`
 }
 
-// written is the answer to a change that took effect.
-type written struct {
-	versioned
+// writeResult is a keeper's reply to a successful write. Superseded means that a
+// later write has already replaced it.
+type writeResult struct {
+	versionedRecord
 	WriteID    string `json:"write_id"`
 	Superseded bool   `json:"superseded"`
 }
@@ -41,31 +43,33 @@
 	return "/admin/v1/" + kind + "/" + url.PathEscape(name)
 }
 
-// fetch returns a record and its version.
+// fetch returns a record and its version. If schema is positive, the keeper
+// converts the record to that schema version.
 func (c *client) fetch(ctx context.Context, kind, name string, schema int) (document, uint64, error) {
 	path := recordPath(kind, name)
 	if schema > 0 {
 		path += "?schema_version=" + strconv.Itoa(schema)
 	}
-	got, err := c.keepers(ctx, &request{method: http.MethodGet, path: path})
+	got, err := c.callKeeper(ctx, &request{method: http.MethodGet, path: path})
 	if err != nil {
 		return nil, 0, err
 	}
 	version, err := strconv.ParseUint(strings.Trim(got.header.Get("ETag"), `"`), 10, 64)
 	if err != nil {
-		return nil, 0, merry.Prepend(err, "the keeper's ETag")
+		return nil, 0, merry.Prepend(err, "invalid ETag in the keeper's reply")
 	}
 	var d document
 	if err := readJSON(got.body, &d); err != nil {
-		return nil, 0, merry.Prepend(err, "the record can't be read")
+		return nil, 0, merry.Prepend(err, "cannot decode the record")
 	}
 	return d, version, nil
 }
 
-// condition is the version a change rests on; zero: the record is new.
-type condition uint64
+// precondition is the version that the record must have for a write to be
+// accepted; zero requires that the record doesn't exist.
+type precondition uint64
 
-func (v condition) header() http.Header {
+func (v precondition) header() http.Header {
 	h := http.Header{}
 	if v == 0 {
 		h.Set("If-None-Match", "*")
@@ -75,28 +79,28 @@
 	return h
 }
 
-func (c *client) put(ctx context.Context, d document, v condition) (written, error) {
+func (c *client) put(ctx context.Context, d document, v precondition) (writeResult, error) {
 	r := &request{method: http.MethodPut, path: recordPath(d.kind(), d.name()), header: v.header(), body: d.marshal()}
 	r.header.Set("Content-Type", "application/json")
-	return c.change(ctx, r)
+	return c.write(ctx, r)
 }
 
-func (c *client) remove(ctx context.Context, kind, name string, v condition) (written, error) {
-	return c.change(ctx, &request{method: http.MethodDelete, path: recordPath(kind, name), header: v.header()})
+func (c *client) remove(ctx context.Context, kind, name string, v precondition) (writeResult, error) {
+	return c.write(ctx, &request{method: http.MethodDelete, path: recordPath(kind, name), header: v.header()})
 }
 
-func (c *client) change(ctx context.Context, r *request) (written, error) {
-	var w written
-	got, err := c.keepers(ctx, r)
+func (c *client) write(ctx context.Context, r *request) (writeResult, error) {
+	var w writeResult
+	got, err := c.callKeeper(ctx, r)
 	if err != nil {
 		return w, err
 	}
 	return w, got.decode(&w)
 }
 
-// list returns the documents of a kind in a table's order.
-func (c *client) list(ctx context.Context, kind string) ([]listed, error) {
-	got, err := c.keepers(ctx, &request{method: http.MethodGet, path: "/admin/v1/" + kind})
+// list returns the records of a kind, sorted by name.
+func (c *client) list(ctx context.Context, kind string) ([]listedRecord, error) {
+	got, err := c.callKeeper(ctx, &request{method: http.MethodGet, path: "/admin/v1/" + kind})
 	if err != nil {
 		return nil, err
 	}
@@ -104,31 +108,31 @@
 	if err := got.decode(&l); err != nil {
 		return nil, err
 	}
-	var out []listed
+	var out []listedRecord
 	for _, r := range l.Records {
 		var d document
 		if err := readJSON(r.Document, &d); err != nil {
-			return nil, merry.Prepend(err, "a record can't be read")
+			return nil, merry.Prepend(err, "cannot decode a record of the list")
 		}
-		out = append(out, listed{Version: r.Version, Document: d})
+		out = append(out, listedRecord{Version: r.Version, Document: d})
 	}
-	slices.SortFunc(out, func(a, b listed) int { return strings.Compare(a.Document.name(), b.Document.name()) })
+	slices.SortFunc(out, func(a, b listedRecord) int { return strings.Compare(a.Document.name(), b.Document.name()) })
 	return out, nil
 }
 
-type listed struct {
+type listedRecord struct {
 	Version  uint64   `json:"version"`
 	Document document `json:"document"`
 }
 
-// kindOf accepts a kind in plural or singular.
-func kindOf(s string) (string, error) {
+// parseKind returns the plural form of a kind given in its plural or singular form.
+func parseKind(s string) (string, error) {
 	for _, k := range kinds {
 		if s == k || s == strings.TrimSuffix(k, "s") || s+"s" == k || singular(k) == s {
 			return k, nil
 		}
 	}
-	return "", merry.Appendf(ErrUsage, "no kind %q; the kinds are %s", s, strings.Join(kinds, ", "))
+	return "", merry.Appendf(ErrUsage, "unknown kind %q; the kinds are %s", s, strings.Join(kinds, ", "))
 }
 
 func singular(kind string) string {
@@ -138,8 +142,8 @@
 	return strings.TrimSuffix(kind, "s")
 }
 
-// applied is what became of one document.
-type applied struct {
+// applyResult is the outcome of writing or deleting one record.
+type applyResult struct {
 	Kind    string `json:"kind"`
 	Name    string `json:"name"`
 	Action  string `json:"action"`
@@ -147,10 +151,11 @@
 	WriteID string `json:"write_id,omitempty"`
 }
 
-// apply brings one document into force unless it already is.
-func (c *client) apply(ctx context.Context, d document, ifVersion uint64) (applied, error) {
-	a := applied{Kind: d.kind(), Name: d.name()}
-	kind, err := kindOf(d.kind())
+// apply creates or updates the record of one document. Without ifVersion it
+// writes nothing if the record already equals the document.
+func (c *client) apply(ctx context.Context, d document, ifVersion uint64) (applyResult, error) {
+	a := applyResult{Kind: d.kind(), Name: d.name()}
+	kind, err := parseKind(d.kind())
 	if err != nil {
 		return a, err
 	}
@@ -165,7 +170,7 @@
 		a.Action, a.Version = "unchanged", version
 		return a, nil
 	}
-	w, err := c.put(ctx, d, condition(version))
+	w, err := c.put(ctx, d, precondition(version))
 	if err != nil {
 		return a, err
 	}
@@ -185,18 +190,18 @@
 	return schema
 }
 
-// diff compares a document with the one in force; where there is none, every
-// field is new.
-func (c *client) diff(ctx context.Context, d document) (compared, error) {
-	kind, err := kindOf(d.kind())
+// diff compares a document with the record in force. If there is none, every
+// field counts as added.
+func (c *client) diff(ctx context.Context, d document) (recordDiff, error) {
+	kind, err := parseKind(d.kind())
 	if err != nil {
-		return compared{}, err
+		return recordDiff{}, err
 	}
 	d["kind"] = kind
 	current, version, err := c.fetch(ctx, kind, d.name(), schemaOf(d))
 	if err != nil && !errors.Is(err, ErrNotFound) {
-		return compared{}, err
+		return recordDiff{}, err
 	}
 	changes := differences(current, d)
-	return compared{Kind: kind, Name: d.name(), Version: version, Changes: changes}, nil
+	return recordDiff{Kind: kind, Name: d.name(), Version: version, Changes: changes}, nil
 }
--- a/internal/ctl/why.go
+++ b/internal/ctl/why.go
@@ -18,18 +18,18 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// maxAsked bounds the daemons that are asked at the same time.
-const maxAsked = 16
+// maxConcurrentCalls bounds the daemons that are queried at the same time.
+const maxConcurrentCalls = 16
 
 type whyCommand struct {
 	app  *app
 	Args struct {
 		Subject whySubject `positional-arg-name:"SUBJECT" required:"true" description:"request, endpoint, configuration, failure-domain or fingerprint"`
-		ID      string     `positional-arg-name:"ID" required:"true" description:"request id, endpoint id, KIND/NAME, a failure domain, or a request's fingerprint"`
+		ID      string     `positional-arg-name:"ID" required:"true" description:"request id, endpoint id, KIND/NAME of a configuration, name of a failure domain, or fingerprint of a request"`
 	} `positional-args:"true" required:"true"`
 }
 
-// whySubject is what a decision was about.
+// whySubject is the kind of object that decisions are about.
 type whySubject string
 
 var subjectPaths = map[whySubject]string{
@@ -40,39 +40,39 @@
 	"fingerprint":    "fingerprints",
 }
 
-// UnmarshalFlag accepts one of the subjects.
+// UnmarshalFlag accepts a subject in its singular or plural form.
 func (s *whySubject) UnmarshalFlag(value string) error {
 	*s = whySubject(strings.TrimSuffix(value, "s"))
 	if subjectPaths[*s] == "" {
-		return merry.Appendf(ErrUsage, "no subject %q; ask why request, why endpoint, why configuration, why failure-domain or why fingerprint", value)
+		return merry.Appendf(ErrUsage, "unknown subject %q; use why request, why endpoint, why configuration, why failure-domain or why fingerprint", value)
 	}
 	return nil
 }
 
-// Complete lists the subjects that start with what is typed.
+// Complete lists the subjects that start with match.
 func (s *whySubject) Complete(match string) []flags.Completion {
 	return completions(match, "configuration", "endpoint", "failure-domain", "fingerprint", "request")
 }
 
-// explained is the answer to a why.
-type explained struct {
+// explanation is the result of the why command.
+type explanation struct {
 	Subject   string     `json:"subject"`
 	ID        string     `json:"id"`
 	Decisions []decision `json:"decisions"`
-	// Audit is the trail of a configuration.
+	// Audit is set for configurations only.
 	Audit *audit `json:"audit,omitempty"`
-	// Unanswered are daemons that were not reached; their decisions are
-	// missing here.
+	// Unanswered lists the daemons that gave no usable reply. Their decisions
+	// are missing from Decisions.
 	Unanswered []string `json:"unanswered,omitempty"`
 }
 
-// decision is a decision with the daemon that took it.
+// decision is a decision and the daemon that made it.
 type decision struct {
 	Daemon string `json:"daemon"`
 	port.DecisionRecord
 }
 
-// audit is a keeper's trail of one record.
+// audit is the trail of accepted changes to one record, as a keeper returns it.
 type audit struct {
 	Version  uint64       `json:"version"`
 	Deleted  bool         `json:"deleted"`
@@ -84,21 +84,22 @@
 	Actor   string    `json:"actor"`
 	Action  string    `json:"action"`
 	WriteID string    `json:"write_id"`
-	// BasedOn is the version that the operator had seen; zero for none.
+	// BasedOn is the version that the change was conditional on; zero if the
+	// record was to be created.
 	BasedOn uint64 `json:"based_on"`
 	Reason  string `json:"reason"`
 }
 
-// Execute asks every daemon that may know and prints what they say in order
-// of time.
+// Execute queries every daemon that may have made the decisions and prints the
+// decisions in order of time.
 func (c *whyCommand) Execute([]string) error {
-	x := &explained{Subject: string(c.Args.Subject), ID: c.Args.ID}
+	x := &explanation{Subject: string(c.Args.Subject), ID: c.Args.ID}
 	cl := c.app.client()
-	askable, err := cl.whoKnows(c.app.ctx, c.Args.Subject, c.Args.ID)
+	targets, err := cl.daemonsFor(c.app.ctx, c.Args.Subject, c.Args.ID)
 	if err != nil {
 		return err
 	}
-	if err := cl.explain(c.app.ctx, x, askable); err != nil {
+	if err := cl.collectDecisions(c.app.ctx, x, targets); err != nil {
 		return err
 	}
 	if c.Args.Subject == "configuration" {
@@ -107,47 +108,51 @@
 		}
 	}
 	if len(x.Decisions) == 0 && x.Audit == nil {
-		return c.nothingKnown(x)
+		return c.notFoundError(x)
 	}
-	return c.printExplained(x)
+	return c.printExplanation(x)
 }
 
-func (c *whyCommand) nothingKnown(x *explained) error {
-	next := "daemons remember the last decisions only; search the collected logs for \"subject_id\":\"" + x.ID + "\""
+func (c *whyCommand) notFoundError(x *explanation) error {
+	advice := "daemons hold only recent decisions; search the collected logs for \"subject_id\":\"" + x.ID + "\""
 	if len(x.Unanswered) > 0 {
-		next = "not reached: " + strings.Join(x.Unanswered, ", ") + "; " + next
+		advice = "these daemons did not reply: " + strings.Join(x.Unanswered, ", ") + "; " + advice
 	}
-	return withAdvice(merry.Appendf(ErrNotFound, "no decision on %s %s is remembered", x.Subject, x.ID), next)
+	return withAdvice(merry.Appendf(ErrNotFound, "no daemon that replied holds a decision on %s %s", x.Subject, x.ID), advice)
 }
 
-// daemon is one daemon to ask.
+// daemon identifies a daemon and its admin listener. The id is empty for a
+// daemon that is known only by an address from the options.
 type daemon struct{ id, address string }
 
-// whoKnows lists the daemons that may have decided. The id of a generation
-// names its router, so nobody else is asked. Any other id was chosen by the
-// caller, and any daemon may have served it.
-func (c *client) whoKnows(ctx context.Context, subject whySubject, id string) ([]daemon, error) {
+// daemonsFor lists the daemons that may have made decisions on a subject. The id
+// of a generation contains the id of its router, so only that router is
+// queried. Any other request id was chosen by the caller and may have been
+// served by any daemon.
+func (c *client) daemonsFor(ctx context.Context, subject whySubject, id string) ([]daemon, error) {
 	all, err := c.daemons(ctx)
 	if err != nil || subject != "request" {
 		return all, err
 	}
 	router, _, _ := cutLast(id, ".")
-	named := slices.DeleteFunc(slices.Clone(all), func(d daemon) bool { return d.id != router })
-	if len(named) > 0 {
-		return named, nil
+	matching := slices.DeleteFunc(slices.Clone(all), func(d daemon) bool { return d.id != router })
+	if len(matching) > 0 {
+		return matching, nil
 	}
 	return all, nil
 }
 
+// cutLast is strings.Cut at the last separator.
 func cutLast(s, sep string) (before, after string, found bool) {
-	at := strings.LastIndex(s, sep)
-	if at < 0 {
+	i := strings.LastIndex(s, sep)
+	if i < 0 {
 		return s, "", false
 	}
-	return s[:at], s[at+len(sep):], true
+	return s[:i], s[i+len(sep):], true
 }
 
-// daemons lists the members, or the given addresses where no keeper answers.
+// daemons lists the members that aren't dead, and the given addresses that
+// aren't among them. If no keeper replies, only the given addresses remain.
 func (c *client) daemons(ctx context.Context) ([]daemon, error) {
 	var all []daemon
 	members, err := c.members(ctx)
@@ -170,15 +175,16 @@
 	return all, nil
 }
 
-// explain joins what the daemons remember.
-func (c *client) explain(ctx context.Context, x *explained, daemons []daemon) error {
+// collectDecisions queries the daemons concurrently and adds their decisions to
+// x in order of time. Daemons that fail are added to x.Unanswered.
+func (c *client) collectDecisions(ctx context.Context, x *explanation, daemons []daemon) error {
 	answers := make([][]decision, len(daemons))
 	errs := make([]error, len(daemons))
 	var group errgroup.Group
-	group.SetLimit(maxAsked)
+	group.SetLimit(maxConcurrentCalls)
 	for i, d := range daemons {
 		group.Go(func() error {
-			answers[i], errs[i] = c.ask(ctx, x, d)
+			answers[i], errs[i] = c.fetchDecisions(ctx, x, d)
 			return nil
 		})
 	}
@@ -196,7 +202,9 @@
 	return nil
 }
 
-func (c *client) ask(ctx context.Context, x *explained, d daemon) ([]decision, error) {
+// fetchDecisions returns the decisions that one daemon still holds. A status of
+// 404 means that it holds none.
+func (c *client) fetchDecisions(ctx context.Context, x *explanation, d daemon) ([]decision, error) {
 	path := "/admin/v1/explain/" + subjectPaths[whySubject(x.Subject)] + "/" + escapeSegments(x.ID)
 	r := &request{method: http.MethodGet, path: path}
 	got, err := c.do(ctx, d.address, r)
@@ -206,7 +214,7 @@
 	if got.status == http.StatusNotFound {
 		return nil, nil
 	}
-	if err := check(r, got); err != nil {
+	if err := checkStatus(r, got); err != nil {
 		return nil, err
 	}
 	var e struct {
@@ -226,7 +234,7 @@
 	return out, nil
 }
 
-// escapeSegments keeps the slashes of KIND/NAME.
+// escapeSegments escapes an id for a URL path but keeps the slash of KIND/NAME.
 func escapeSegments(id string) string {
 	parts := strings.Split(id, "/")
 	for i := range parts {
@@ -235,22 +243,23 @@
 	return strings.Join(parts, "/")
 }
 
-// addAudit adds who changed a configuration; the platform alone keeps it.
-func (c *client) addAudit(ctx context.Context, x *explained) error {
+// addAudit adds the audit trail of a configuration, which is stored only in the
+// platform and read through a keeper.
+func (c *client) addAudit(ctx context.Context, x *explanation) error {
 	kind, name, found := strings.Cut(x.ID, "/")
 	if !found {
-		return withAdvice(merry.Append(ErrUsage, "a configuration is named KIND/NAME"), "as in why configuration routing-configurations/default")
+		return withAdvice(merry.Append(ErrUsage, "the id of a configuration must have the form KIND/NAME"), "for example: dragonflyctl why configuration routing-configurations/default")
 	}
-	kind, err := kindOf(kind)
+	kind, err := parseKind(kind)
 	if err != nil && len(x.Decisions) > 0 {
-		// A kind that is written by other tools than this one: daemons decide on
-		// it, but its trail is not kept with it.
+		// Other tools write records of this kind. Daemons make decisions on them,
+		// but their audit trail isn't stored with the record.
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	got, err := c.keepers(ctx, &request{method: http.MethodGet, path: "/admin/v1/audit/" + kind + "/" + url.PathEscape(name)})
+	got, err := c.callKeeper(ctx, &request{method: http.MethodGet, path: "/admin/v1/audit/" + kind + "/" + url.PathEscape(name)})
 	if err != nil {
 		if errors.Is(err, ErrNotFound) {
 			return nil
@@ -262,7 +271,7 @@
 	return got.decode(x.Audit)
 }
 
-func (c *whyCommand) printExplained(x *explained) error {
+func (c *whyCommand) printExplanation(x *explanation) error {
 	if c.app.Output == "json" {
 		return c.app.printer().printJSON(x)
 	}
@@ -278,7 +287,7 @@
 	}
 	for i := range x.Decisions {
 		if d := x.Decisions[i].Delivered; d != nil {
-			c.app.note("%s", deliveryText(d))
+			c.app.printLine("%s", deliveryText(d))
 		}
 	}
 	if err := c.printCandidates(x); err != nil {
@@ -288,7 +297,7 @@
 		return err
 	}
 	if len(x.Unanswered) > 0 {
-		c.app.note("not reached, so that decisions may be missing: %s", strings.Join(x.Unanswered, ", "))
+		c.app.printLine("not reached, so that decisions may be missing: %s", strings.Join(x.Unanswered, ", "))
 	}
 	return nil
 }
@@ -300,11 +309,12 @@
 	}
 }
 
-// deliveryText says what the caller had of a stream, and when: where a late
-// answer lost its time.
+// deliveryText summarises the delivery of a stream to its caller. It shows
+// which part of the time a late response spent waiting for a placement, for
+// the first event, or in the longest pause.
 func deliveryText(d *port.Delivery) string {
-	read := d.FirstMillis - d.HeldMillis
-	text := fmt.Sprintf("the caller had %d events: %d ms until a place, %d ms from there to the first event", d.Events, d.HeldMillis, read)
+	firstEventMillis := d.FirstMillis - d.HeldMillis
+	text := fmt.Sprintf("the caller had %d events: %d ms until a place, %d ms from there to the first event", d.Events, d.HeldMillis, firstEventMillis)
 	if d.GapMillis > 0 {
 		text += fmt.Sprintf(", the longest pause %d ms before event %d", d.GapMillis, d.GapEvent)
 	}
@@ -314,13 +324,13 @@
 	return text
 }
 
-// printCandidates shows the scores of the newest decision that has some.
-func (c *whyCommand) printCandidates(x *explained) error {
+// printCandidates prints the scores of the newest decision that has candidates.
+func (c *whyCommand) printCandidates(x *explanation) error {
 	for _, d := range slices.Backward(x.Decisions) {
 		if len(d.Candidates) == 0 {
 			continue
 		}
-		c.app.note("candidates of decision %s; the lowest score wins", d.ID)
+		c.app.printLine("candidates of decision %s; the lowest score wins", d.ID)
 		var rows [][]string
 		for _, k := range d.Candidates {
 			rows = append(rows, []string{
@@ -336,7 +346,7 @@
 	if a == nil {
 		return nil
 	}
-	c.app.note("accepted changes; the record stands at version %d, deleted: %v", a.Version, a.Deleted)
+	c.app.printLine("accepted changes; the record stands at version %d, deleted: %v", a.Version, a.Deleted)
 	var rows [][]string
 	for _, e := range a.Accepted {
 		rows = append(rows, []string{e.Time.UTC().Format(time.RFC3339Nano), e.Actor, e.Action, numberText(e.BasedOn), e.Reason, e.WriteID})
@@ -344,7 +354,7 @@
 	return c.app.printer().print(nil, []string{"time", "actor", "action", "based on", "reason", "write id"}, rows)
 }
 
-func (a *app) note(format string, args ...any) { fmt.Fprintf(a.stdout, format+"\n", args...) }
+func (a *app) printLine(format string, args ...any) { fmt.Fprintf(a.stdout, format+"\n", args...) }
 
 func numberText(n uint64) string {
 	if n == 0 {
--- a/internal/ctl/why_test.go
+++ b/internal/ctl/why_test.go
@@ -7,9 +7,11 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// A report came late. The daemon's line of its end, as the log has it, says
-// where the time went: in the queue, until the first event, or in one pause.
-func TestDeliveryTellsWhereTheTimeWent(t *testing.T) {
+// Guards against a delivery summary that doesn't separate the time until a
+// placement, the time until the first event and the longest pause. Operators
+// read it to find where a late report lost its time. The input has the form of
+// the daemon's log entry for the end of a stream.
+func TestDeliveryTextShowsQueueFirstEventAndLongestGap(t *testing.T) {
 	cases := []struct{ line, want string }{
 		{
 			`{"events":235,"held_ms":1210,"first_event_ms":1940,"longest_gap_ms":63,"longest_gap_event":12,"runners":1}`,
