--- a/cmd/dragonfly-entry/assemble.go
+++ b/cmd/dragonfly-entry/assemble.go
@@ -29,13 +29,13 @@
 	"github.com/dragonflyrail/dragonflyrail/platform"
 )
 
-// idleConnections per endpoint are kept for reuse.
+// idleConnections is the number of unused connections kept per endpoint.
 const idleConnections = 16
 
-// closeTimeout bounds the end of the listeners, once no request is open.
+// closeTimeout bounds the shutdown of the listeners. No request is open by then.
 const closeTimeout = 200 * time.Millisecond
 
-// assembly is the daemon's parts, joined.
+// assembly holds the connected components of the daemon.
 type assembly struct {
 	settings *entrySettings
 	logger   *log.Logger
@@ -44,13 +44,14 @@
 	placer   *scheduling.Client
 	gateway  *gateway.Gateway
 	callers  *http.Server
-	servers  []listening
+	servers  []httpListener
 	peers    *grpc.Server
 }
 
-// listening is an HTTP server with its address.
-type listening struct {
-	field   string
+// httpListener is an HTTP server, the address to listen on, and the name of the
+// setting that the address comes from.
+type httpListener struct {
+	setting string
 	address string
 	server  *http.Server
 }
@@ -65,10 +66,11 @@
 		DialTimeout: s.ConnectTimeout, LoadTimeout: s.ReportTimeout,
 		IdleConnections: idleConnections, IdleTimeout: s.IdleTimeout,
 	})
-	a.keeper = newKeeper(s, &sources{a.store, runners}, logger, registry, store)
+	a.keeper = newKeeper(s, &keeperSources{a.store, runners}, logger, registry, store)
 	a.keeper.Service(nil).Register(a.peers)
-	// A pool is scheduled by one daemon, for which it is alone.
-	scheduler := routing.NewScheduler(routing.Options{RouterID: s.ID, BusyUse: busyUse, UnreadLimit: unreadLimit})
+	// A pool is scheduled by a single daemon, so the scheduler gets no list of other
+	// routers.
+	scheduler := routing.NewScheduler(routing.Options{RouterID: s.ID, BusyUse: busyThreshold, UnreadLimit: prefillBacklogLimit})
 	pools := scheduling.NewPoolScheduler(scheduler, nil)
 	registry.GetOrRegister("scheduling_runs_held", gometrics.NewFunctionalGauge(func() int64 { return int64(pools.Held()) }))
 	a.placer = scheduling.NewClient(scheduling.Options{
@@ -83,7 +85,7 @@
 		View:      a.keeper, Quarantine: a.keeper.Quarantine(), Limits: a.keeper, Announcer: a.keeper, Sink: store, Policy: record.Policy, Evacuations: record.Evacuations, Metrics: registry,
 	})
 	a.callers = httpserver.New(&platform.Callers{App: a.gateway, Logger: logger})
-	a.servers = []listening{
+	a.servers = []httpListener{
 		{"listen.callers", s.Listen.Callers, a.callers},
 		{"directory", s.Directory, httpserver.New(platform.DirectoryHandler(a.gateway))},
 		{"readiness", s.Readiness, httpserver.New(platform.ReadinessHandler(a.gateway))},
@@ -93,38 +95,38 @@
 	return a
 }
 
-// sources are where a keeper learns from.
-type sources struct {
+// keeperSources are the clients that the keeper reads state through.
+type keeperSources struct {
 	store   *platform.Store
 	runners *platform.Runners
 }
 
-func newKeeper(s *entrySettings, from *sources, logger *log.Logger, registry gometrics.Registry, sink port.DecisionSink) *keeper.Keeper {
+func newKeeper(s *entrySettings, src *keeperSources, logger *log.Logger, registry gometrics.Registry, sink port.DecisionSink) *keeper.Keeper {
 	return keeper.New(keeper.Options{
 		Self: port.Member{
 			ID: s.ID, Host: s.Host, FailureDomain: s.FailureDomain,
-			CallerAddress: s.callers(), AdminAddress: s.Listen.Admin, PeerAddress: s.peers(),
+			CallerAddress: s.callerAddress(), AdminAddress: s.Listen.Admin, PeerAddress: s.peerAddress(),
 		},
-		Keepers: s.Keepers, Platform: from.store, Endpoints: from.store, Prober: from.runners, Kinds: []string{route.RecordKind}, ListedKinds: record.Kinds(), PresentKinds: []string{port.ObjectPlatformEvacuation},
+		Keepers: s.Keepers, Platform: src.store, Endpoints: src.store, Prober: src.runners, Kinds: []string{route.RecordKind}, ListedKinds: record.Kinds(), PresentKinds: []string{port.ObjectPlatformEvacuation},
 		Decisions: sink, Logger: logger, Registry: registry,
 		Watchers: s.Watchers, WatchWait: s.WatchWait, WatchPause: s.WatchPause, FallbackAfter: s.FallbackAfter,
 		RelistEvery: s.RelistEvery, HeartbeatEvery: s.HeartbeatEvery, SilenceAfter: s.SilenceAfter,
 		ProbeWhenAway: true, ProbeEvery: s.ProbeEvery, ProbesPerSecond: probesPerSecond,
-		DutyCheck: dutyCheck, LinkRetry: linkRetry, RetryPause: retryPause, RetryPauseMax: retryPauseMax,
-		EntryLife: s.entryLife(),
+		DutyCheck: roleCheckInterval, LinkRetry: linkRetry, RetryPause: retryPause, RetryPauseMax: retryPauseMax,
+		EntryLife: s.entryTTL(),
 	})
 }
 
-// Pauses towards the store. They are short, as endpoints leave at a notice of
-// two seconds and routes must be in force within as many.
+// Intervals of the keeper. They are short, as endpoints give only two seconds'
+// notice before they leave, and routes must be in force within two seconds.
 const (
-	dutyCheck     = 100 * time.Millisecond
-	retryPause    = 100 * time.Millisecond
-	retryPauseMax = time.Second
-	// linkRetry is the least pause before a lost link to a peer is tried again:
-	// daemons that restart together hear of each other through it.
+	roleCheckInterval = 100 * time.Millisecond
+	retryPause        = 100 * time.Millisecond
+	retryPauseMax     = time.Second
+	// linkRetry is the shortest pause before a lost link to a peer is opened
+	// again. Daemons that restart together discover each other over these links.
 	linkRetry = 100 * time.Millisecond
-	// probesPerSecond bounds the probes of runners while the store is away.
+	// probesPerSecond bounds the probes of runners while the store is unavailable.
 	probesPerSecond = 40
 )
 
@@ -137,38 +139,38 @@
 	}))
 }
 
-// serve runs until the context ends or an operator drains the daemon, then
-// shuts down gracefully.
-func (a *assembly) serve(stop context.Context) error {
-	failed := make(chan error, len(a.servers)+1)
+// serve runs until the context is cancelled or an operator drains the daemon,
+// then shuts down gracefully.
+func (a *assembly) serve(stopCtx context.Context) error {
+	serveErrs := make(chan error, len(a.servers)+1)
 	for _, l := range a.servers {
 		listener, err := net.Listen("tcp", l.address)
 		if err != nil {
-			return merry.Prepend(err, l.field)
+			return merry.Prepend(err, l.setting)
 		}
-		go func() { failed <- l.server.Serve(listener) }()
+		go func() { serveErrs <- l.server.Serve(listener) }()
 	}
 	peers, err := net.Listen("tcp", a.settings.Listen.Peers)
 	if err != nil {
 		return merry.Prepend(err, "listen.peers")
 	}
-	go func() { failed <- a.peers.Serve(peers) }()
-	running, end := context.WithCancel(context.Background())
-	defer end()
+	go func() { serveErrs <- a.peers.Serve(peers) }()
+	runCtx, cancel := context.WithCancel(context.Background())
+	defer cancel()
 	var background sync.WaitGroup
-	background.Go(func() { a.run(running) })
-	background.Go(func() { a.gateway.Run(running) })
-	background.Go(func() { a.placer.Run(running) })
+	background.Go(func() { a.run(runCtx) })
+	background.Go(func() { a.gateway.Run(runCtx) })
+	background.Go(func() { a.placer.Run(runCtx) })
 	a.logger.Info().Str("event", "started").Str("callers", a.settings.Listen.Callers).
 		Str("admin", a.settings.Listen.Admin).Str("peers", a.settings.Listen.Peers).Msg("")
 	select {
-	case err := <-failed:
+	case err := <-serveErrs:
 		return err
-	case <-stop.Done():
+	case <-stopCtx.Done():
 	case <-a.gateway.Draining():
 	}
 	a.shutDown()
-	end()
+	cancel()
 	background.Wait()
 	return nil
 }
@@ -179,8 +181,9 @@
 	}
 }
 
-// shutDown drains, then closes. The other listeners stay to the end, so that
-// callers are told of other daemons and operators can watch.
+// shutDown drains the daemon, then closes the listeners. They all stay open
+// during the drain, so that callers can be directed to other daemons and
+// operators can observe the drain.
 func (a *assembly) shutDown() {
 	a.logger.Info().Str("event", "draining").Int("open_requests", a.gateway.Open()).Msg("")
 	a.gateway.Drain(context.Background())
--- a/cmd/dragonfly-entry/main.go
+++ b/cmd/dragonfly-entry/main.go
@@ -1,6 +1,6 @@
-// Command dragonfly-entry runs on the entry hosts of the users' platform: it
-// serves the operators' routes, tells callers where to connect, follows the
-// platform's store, and relays what it learns to the other daemons. See
+// Command dragonfly-entry runs on the entry hosts of the users' platform. It
+// serves the operators' routes, tells callers where to connect, watches the
+// platform's store, and relays the store's state to the other daemons. See
 // --help and docs/design/platform.md.
 package main
 
@@ -19,13 +19,14 @@
 
 const (
 	name    = "dragonfly-entry"
-	summary = "Serves the routes of the platform's operators, and keeps routes and endpoints current."
-	// settingsVariable names the settings file where the command line doesn't.
+	summary = "Serves the routes of the platform's operators, and keeps its routes and endpoints up to date with the platform's store."
+	// settingsVariable is the environment variable with the path of the settings
+	// file, used if the command line is empty.
 	settingsVariable = "DRAGONFLYRAIL_BOOT"
 )
 
-// logWithin bounds the time in which the last lines are written.
-const logWithin = 100 * time.Millisecond
+// logFlushTimeout bounds the time to write the buffered log lines at exit.
+const logFlushTimeout = 100 * time.Millisecond
 
 func main() {
 	s := defaults()
@@ -36,7 +37,8 @@
 	os.Exit(run(path, &s))
 }
 
-// arguments adds the settings file that the platform names.
+// arguments returns the command line or, if it is empty, the settings file that
+// the environment names.
 func arguments(args []string) []string {
 	path := os.Getenv(settingsVariable)
 	if len(args) > 0 || path == "" {
@@ -48,15 +50,15 @@
 func run(path string, s *entrySettings) int {
 	registry := gometrics.NewRegistry()
 	logger := jsonlog.NewBounded(os.Stdout, name, s.ID, s.LogLevel, s.LogBytesPerSecond, registry)
-	defer logger.Close(logWithin)
-	stop, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
+	defer logger.Close(logFlushTimeout)
+	stopCtx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer cancel()
 	a := assemble(s, logger.Logger, registry)
-	// Without a handler the signal would end the process.
-	hangup := make(chan os.Signal, 1)
-	signal.Notify(hangup, syscall.SIGHUP)
-	go a.followSettings(stop, path, hangup)
-	if err := a.serve(stop); err != nil {
+	// Without a handler SIGHUP would end the process.
+	sighup := make(chan os.Signal, 1)
+	signal.Notify(sighup, syscall.SIGHUP)
+	go a.watchSettings(stopCtx, path, sighup)
+	if err := a.serve(stopCtx); err != nil {
 		logger.Error().Err(err).Str("event", "failed").Msg("")
 		return daemon.ExitFailure
 	}
--- a/cmd/dragonfly-entry/reload.go
+++ b/cmd/dragonfly-entry/reload.go
@@ -11,17 +11,17 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/adapter/settings"
 )
 
-// settingsEvery is how often the settings file is looked at without a signal.
-const settingsEvery = 5 * time.Second
+// settingsPollInterval is the time between two checks of the settings file for
+// changes, which need no signal.
+const settingsPollInterval = 5 * time.Second
 
-// followSettings takes over what changes in the settings file until the
-// context ends.
-func (a *assembly) followSettings(ctx context.Context, path string, hangup <-chan os.Signal) {
-	settings.Follow(ctx, path, settingsEvery, hangup, a.reload)
+// watchSettings applies changes of the settings file until the context ends.
+func (a *assembly) watchSettings(ctx context.Context, path string, sighup <-chan os.Signal) {
+	settings.Follow(ctx, path, settingsPollInterval, sighup, a.reload)
 }
 
-// reload takes over the fields that can change while the daemon serves. A file
-// that is wrong changes nothing: the daemon goes on with what it has.
+// reload applies the settings that can change while the daemon serves. If the
+// file is invalid, all settings stay as they are.
 func (a *assembly) reload(raw []byte, err error) {
 	next := defaults()
 	if err == nil {
--- a/cmd/dragonfly-entry/reload_test.go
+++ b/cmd/dragonfly-entry/reload_test.go
@@ -12,8 +12,9 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/adapter/settings"
 )
 
-// document is a settings file with every required field.
-func document(t *testing.T, change func(map[string]any)) []byte {
+// settingsJSON returns a settings file with every required field, after change
+// has modified it.
+func settingsJSON(t *testing.T, change func(map[string]any)) []byte {
 	t.Helper()
 	m := map[string]any{
 		"id": "e", "host": "127.0.0.1", "failure_domain": "d",
@@ -29,7 +30,7 @@
 	return raw
 }
 
-func decoded(t *testing.T, raw []byte) *entrySettings {
+func decodeSettings(t *testing.T, raw []byte) *entrySettings {
 	t.Helper()
 	s := defaults()
 	if err := settings.Decode(raw, &s); err != nil {
@@ -38,24 +39,24 @@
 	return &s
 }
 
-// The operator changes the settings of a daemon that serves: what can change
-// does, what can't is named as such, and a wrong file changes nothing.
+// Guards against a reload that ignores changeable settings, doesn't log that other
+// settings need a restart, or applies parts of an invalid file.
 func TestReload(t *testing.T) {
 	var out bytes.Buffer
-	a := assemble(decoded(t, document(t, func(map[string]any) {})), jsonlog.New(&out, name, "e", "info"), gometrics.NewRegistry())
+	a := assemble(decodeSettings(t, settingsJSON(t, func(map[string]any) {})), jsonlog.New(&out, name, "e", "info"), gometrics.NewRegistry())
 	cases := []struct {
 		name  string
 		raw   []byte
 		want  string
 		slack float64
 	}{
-		{"seeds and budget", document(t, func(m map[string]any) {
+		{"seeds and budget", settingsJSON(t, func(m map[string]any) {
 			m["keepers"] = []string{"127.0.0.9:9"}
 			m["retry_slack"] = 7
 		}), `"needs_restart":false`, 7},
-		{"a wrong field", document(t, func(m map[string]any) { m["retry_ratio"] = 2 }), "retry_ratio", 7},
+		{"a wrong field", settingsJSON(t, func(m map[string]any) { m["retry_ratio"] = 2 }), "retry_ratio", 7},
 		{"no JSON", []byte("{"), "reload_refused", 7},
-		{"a listener", document(t, func(m map[string]any) { m["directory"] = "127.0.0.1:44" }), `"needs_restart":true`, defaults().RetrySlack},
+		{"a listener", settingsJSON(t, func(m map[string]any) { m["directory"] = "127.0.0.1:44" }), `"needs_restart":true`, defaults().RetrySlack},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -65,7 +66,7 @@
 				t.Fatalf("log %q lacks %q", out.String(), c.want)
 			}
 			if a.settings.RetrySlack != c.slack {
-				t.Fatalf("slack %v in force, want %v", a.settings.RetrySlack, c.slack)
+				t.Fatalf("retry_slack %v in force, want %v", a.settings.RetrySlack, c.slack)
 			}
 		})
 	}
--- a/cmd/dragonfly-entry/settings.go
+++ b/cmd/dragonfly-entry/settings.go
@@ -14,20 +14,21 @@
 // entrySettings are the settings of one entry daemon.
 type entrySettings struct {
 	daemon.Common
-	// AdvertiseCallers and AdvertisePeers are the addresses that others are told
-	// where they differ from those listened on, as behind address translation.
+	// AdvertiseCallers and AdvertisePeers are the addresses announced to others,
+	// if they differ from the addresses listened on, as behind address
+	// translation.
 	AdvertiseCallers string `json:"advertise_callers" validate:"omitempty,hostname_port"`
 	AdvertisePeers   string `json:"advertise_peers" validate:"omitempty,hostname_port"`
-	// Directory and Readiness are the addresses at which callers ask where to
-	// connect, and the platform asks whether this daemon serves. Metrics are
-	// served without a token.
+	// Directory and Readiness are the listen addresses where callers query which
+	// daemons to connect to, and where the platform queries whether this daemon
+	// serves. Metrics is the listen address of the metrics, which need no token.
 	Directory string `json:"directory" validate:"required,hostname_port"`
 	Readiness string `json:"readiness" validate:"required,hostname_port"`
 	Metrics   string `json:"metrics" validate:"required,hostname_port"`
 	// Store is the address of the platform's store.
 	Store        string        `json:"store" validate:"required,hostname_port"`
 	StoreTimeout time.Duration `json:"store_timeout" validate:"min=10ms,max=1m"`
-	// Watchers is how many daemons of the whole system watch the store.
+	// Watchers is the number of daemons in the whole system that watch the store.
 	Watchers       int           `json:"watchers" validate:"min=1,max=64"`
 	WatchWait      time.Duration `json:"watch_wait" validate:"min=100ms,max=30s"`
 	WatchPause     time.Duration `json:"watch_pause" validate:"min=0,max=10s"`
@@ -35,30 +36,31 @@
 	RelistEvery    time.Duration `json:"relist_every" validate:"min=1s,max=24h"`
 	HeartbeatEvery time.Duration `json:"heartbeat_every" validate:"min=50ms,max=10s"`
 	SilenceAfter   time.Duration `json:"silence_after" validate:"min=200ms,max=1m,gtfield=HeartbeatEvery"`
-	// ProbeEvery is the time between questions to a runner whether it leaves,
-	// while the store is away.
+	// ProbeEvery is the time between two probes of a runner while the store is
+	// unavailable. They find out whether the runner is leaving.
 	ProbeEvery     time.Duration `json:"probe_every" validate:"min=10ms,max=1m"`
 	EntryValidity  time.Duration `json:"entry_validity" validate:"min=10ms,max=1h"`
 	ConnectTimeout time.Duration `json:"connect_timeout" validate:"min=10ms,max=1m"`
 	ReportTimeout  time.Duration `json:"report_timeout" validate:"min=10ms,max=1m"`
 	// IdleTimeout is how long an unused connection to an endpoint is kept.
 	IdleTimeout time.Duration `json:"idle_timeout" validate:"min=10ms,max=10m"`
-	// Grace is the time from the order to stop to the kill.
+	// Grace is the time in seconds between the platform's stop signal and its kill.
 	Grace float64 `json:"grace_seconds" validate:"min=1,max=86400"`
-	// EndpointBeat is the time between two writes of an endpoint's entry in the
-	// registry, in milliseconds.
+	// EndpointBeat is the time in milliseconds between two writes of an endpoint's
+	// entry in the registry.
 	EndpointBeat int64 `json:"endpoint_beat_ms" validate:"min=1,max=600000"`
-	// ReclaimNotice is the time that an endpoint serves on at least after it
-	// was heard to leave, in milliseconds.
+	// ReclaimNotice is the time in milliseconds that an endpoint serves on at least
+	// after the daemons have learned that it is leaving.
 	ReclaimNotice int64 `json:"reclaim_notice_ms" validate:"min=0,max=600000"`
-	// RetryRatio and RetrySlack bound what all daemons together send to a
-	// second endpoint: a share of the requests, and a number in a window.
+	// RetryRatio and RetrySlack bound the requests that all daemons together send
+	// to a second endpoint: RetryRatio as a share of the requests, RetrySlack as a
+	// number within a window.
 	RetryRatio float64 `json:"retry_ratio" validate:"min=0,max=1"`
 	RetrySlack float64 `json:"retry_slack" validate:"min=0,max=1000000"`
 	// MaxOpen bounds the requests open at once.
 	MaxOpen           int `json:"max_open_requests" validate:"min=1,max=1000000"`
 	RememberDecisions int `json:"remember_decisions" validate:"min=32,max=1000000"`
-	// LogBytesPerSecond bounds the log; warnings and errors go past it.
+	// LogBytesPerSecond bounds the log output. Warnings and errors are exempt.
 	LogBytesPerSecond int `json:"log_bytes_per_second" validate:"min=1000,max=1000000000"`
 }
 
@@ -75,7 +77,8 @@
 	}
 }
 
-// Breaker limits that no operator has needed to change.
+// Circuit breaker limits. They are constants and not settings, as no operator has
+// needed to change them.
 const (
 	breakerFailures     = 3
 	breakerOpenFor      = 500 * time.Millisecond
@@ -83,57 +86,60 @@
 	breakerMaxEndpoints = 4096
 )
 
-// Parts of what is granted that this daemon uses.
+// Fixed parameters, among them the fractions of configured budgets that this
+// daemon uses.
 const (
-	// retryPart keeps the sum over all daemons under the bound while daemons
-	// restart, each with its burst anew.
-	retryPart = 0.5
-	// Parts of the grace until which generations and calls are taken, and at
-	// which the rest is broken off.
-	takeGenerationsPart = 0.3
-	takeCallsPart       = 0.7
-	endPart             = 0.93
-	// busyUse lets an organisation over its share wait only once the pool is
-	// expected to be full: its generations end within ten seconds, and held back
-	// before they would be late while caches stand half empty.
-	busyUse = 1.0
-	// unreadLimit is two reports' prompts: engines read 7 tokens a millisecond
-	// while others decode, so the second of them still has its first token
-	// within a second.
-	unreadLimit = 6144
-	// refusalsTried bounds the endpoints asked in turn while each is full.
-	refusalsTried = 3
-	// beatsOfLife is how many beats an endpoint's entry outlives its last write.
-	beatsOfLife = 3
-	// reportMaxAge: what rode on an answer is old after that.
+	// retryFraction keeps the retries of all daemons together under the bound
+	// while daemons restart, each of which starts with a full burst.
+	retryFraction = 0.5
+	// Fractions of the grace period. New generations are accepted until the first
+	// and new calls until the second; at the third, open requests are aborted.
+	acceptGenerationsFraction = 0.3
+	acceptCallsFraction       = 0.7
+	forceCloseFraction        = 0.93
+	// busyThreshold makes an organisation over its share wait only if the pool is
+	// expected to be full. Its generations end within ten seconds, so holding
+	// requests back earlier would delay them while caches are half empty.
+	busyThreshold = 1.0
+	// prefillBacklogLimit is the length of two reports' prompts. Engines prefill 7
+	// tokens per millisecond while they decode other generations, so the second
+	// report still gets its first token within a second.
+	prefillBacklogLimit = 6144
+	// maxRefusals bounds the endpoints tried for a request while each refuses as full.
+	maxRefusals = 3
+	// entryTTLBeats is the number of beats that an endpoint's entry stays in the
+	// registry after its last write.
+	entryTTLBeats = 3
+	// reportMaxAge is the age above which a load report that came with a response
+	// is no longer used.
 	reportMaxAge = 2 * time.Second
 )
 
-// entryLife is how long the registry keeps an entry that nobody writes again.
-func (s *entrySettings) entryLife() time.Duration {
-	return beatsOfLife * time.Duration(s.EndpointBeat) * time.Millisecond
+// entryTTL is how long the registry keeps an entry that is not renewed.
+func (s *entrySettings) entryTTL() time.Duration {
+	return entryTTLBeats * time.Duration(s.EndpointBeat) * time.Millisecond
 }
 
-// callers is the address at which callers reach this daemon.
-func (s *entrySettings) callers() string { return cmp.Or(s.AdvertiseCallers, s.Listen.Callers) }
+// callerAddress is the address at which callers reach this daemon.
+func (s *entrySettings) callerAddress() string { return cmp.Or(s.AdvertiseCallers, s.Listen.Callers) }
 
-// peers is the address at which other daemons reach this one.
-func (s *entrySettings) peers() string { return cmp.Or(s.AdvertisePeers, s.Listen.Peers) }
+// peerAddress is the address at which other daemons reach this one.
+func (s *entrySettings) peerAddress() string { return cmp.Or(s.AdvertisePeers, s.Listen.Peers) }
 
 func (s *entrySettings) options() gateway.Options {
 	grace := time.Duration(s.Grace * float64(time.Second))
-	part := func(p float64) time.Duration { return time.Duration(p * float64(grace)) }
+	graceFraction := func(p float64) time.Duration { return time.Duration(p * float64(grace)) }
 	return gateway.Options{
-		ID: s.ID, CallerAddress: s.callers(),
+		ID: s.ID, CallerAddress: s.callerAddress(),
 		Breaker: breaker.Options{
 			Failures: breakerFailures, OpenFor: breakerOpenFor, MaxOpenFor: breakerMaxOpenFor,
 			MaxEndpoints: breakerMaxEndpoints,
 		},
-		RetryShare: s.RetryRatio * retryPart, RetryBurst: int(s.RetrySlack * retryPart),
-		MaxOpen: s.MaxOpen, RefusalsTried: refusalsTried, ReportMaxAge: reportMaxAge,
+		RetryShare: s.RetryRatio * retryFraction, RetryBurst: int(s.RetrySlack * retryFraction),
+		MaxOpen: s.MaxOpen, RefusalsTried: maxRefusals, ReportMaxAge: reportMaxAge,
 		EntryValidity: s.EntryValidity, ReclaimNotice: time.Duration(s.ReclaimNotice) * time.Millisecond,
 		Drain: gateway.DrainOptions{
-			TakeGenerations: part(takeGenerationsPart), TakeCalls: part(takeCallsPart), End: part(endPart),
+			TakeGenerations: graceFraction(acceptGenerationsFraction), TakeCalls: graceFraction(acceptCallsFraction), End: graceFraction(forceCloseFraction),
 		},
 	}
 }
