--- a/cmd/dragonfly-keeper/assemble.go
+++ b/cmd/dragonfly-keeper/assemble.go
@@ -23,23 +23,24 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// Times of a graceful shutdown.
+// Timing of a graceful shutdown.
 const (
-	// leaveFor lets the word of leaving go out before the streams close.
-	leaveFor     = 300 * time.Millisecond
-	closeTimeout = 2 * time.Second
+	// leaveNoticeDelay is the time for the leave notice to reach the subscribers
+	// before their streams close.
+	leaveNoticeDelay = 300 * time.Millisecond
+	closeTimeout     = 2 * time.Second
 )
 
-// assembly is the daemon's parts, joined.
+// assembly holds the connected components of the daemon.
 type assembly struct {
-	settings *keeperSettings
-	logger   *log.Logger
-	keeper   *keeper.Keeper
-	extras   extras
-	admin    *http.Server
-	peers    *grpc.Server
-	drain    chan struct{}
-	drainOne sync.Once
+	settings  *keeperSettings
+	logger    *log.Logger
+	keeper    *keeper.Keeper
+	services  services
+	admin     *http.Server
+	peers     *grpc.Server
+	drain     chan struct{}
+	drainOnce sync.Once
 }
 
 func assemble(s *keeperSettings, logger *log.Logger) *assembly {
@@ -58,25 +59,26 @@
 		HeartbeatEvery: s.HeartbeatEvery, SilenceAfter: s.SilenceAfter,
 	})
 	a := &assembly{settings: s, logger: logger, keeper: k, drain: make(chan struct{})}
-	a.extras = newExtras(&parts{settings: s, logger: logger, registry: registry, platform: platform, decisions: store, keeper: k})
+	a.services = newServices(&serviceDeps{settings: s, logger: logger, registry: registry, platform: platform, decisions: store, keeper: k})
 	records := &httprecords.Handler{Keeper: k, Decisions: store}
 	a.admin = httpserver.New(httpadmin.New(httpadmin.Options{
 		TokenSHA256: s.AdminTokenSHA256, Logger: logger, Decisions: store, Registry: registry,
 		Ready: k.Ready, Drain: a.startDrain,
 		Register: func(mux *http.ServeMux) {
 			records.Register(mux)
-			a.extras.register(mux)
+			a.services.register(mux)
 		},
 	}))
 	a.peers = grpc.NewServer(grpcpeer.ServerOptions()...)
-	k.Service(a.extras.claims).Register(a.peers)
+	k.Service(a.services.claims).Register(a.peers)
 	return a
 }
 
-func (a *assembly) startDrain() { a.drainOne.Do(func() { close(a.drain) }) }
+func (a *assembly) startDrain() { a.drainOnce.Do(func() { close(a.drain) }) }
 
-// serve runs until the context ends or an operator drains the keeper.
-func (a *assembly) serve(stop context.Context) error {
+// serve runs until the context is cancelled or an operator drains the keeper,
+// then shuts down gracefully.
+func (a *assembly) serve(stopCtx context.Context) error {
 	admin, err := net.Listen("tcp", a.settings.Listen.Admin)
 	if err != nil {
 		return merry.Prepend(err, "listen.admin")
@@ -85,38 +87,38 @@
 	if err != nil {
 		return merry.Prepend(err, "listen.peers")
 	}
-	running, end := context.WithCancel(context.Background())
-	defer end()
+	runCtx, cancel := context.WithCancel(context.Background())
+	defer cancel()
 	var background sync.WaitGroup
-	background.Go(func() { _ = a.keeper.Run(running) })
-	background.Go(func() { a.extras.run(running) })
-	failed := make(chan error, 2)
-	go func() { failed <- a.admin.Serve(admin) }()
-	go func() { failed <- a.peers.Serve(peers) }()
+	background.Go(func() { _ = a.keeper.Run(runCtx) })
+	background.Go(func() { a.services.run(runCtx) })
+	serveErrs := make(chan error, 2)
+	go func() { serveErrs <- a.admin.Serve(admin) }()
+	go func() { serveErrs <- a.peers.Serve(peers) }()
 	a.logger.Info().Str("event", "ready").Str("admin", admin.Addr().String()).Str("peers", peers.Addr().String()).Msg("")
 	select {
-	case err := <-failed:
+	case err := <-serveErrs:
 		return err
-	case <-stop.Done():
+	case <-stopCtx.Done():
 	case <-a.drain:
 	}
 	a.shutDown()
-	end()
+	cancel()
 	background.Wait()
 	return nil
 }
 
-// shutDown says that the keeper leaves, so that subscribers choose another
-// before their streams end. It holds nothing that would be lost.
+// shutDown announces that the keeper leaves, so that subscribers switch to another
+// one before their streams end. The keeper has no state that would be lost.
 func (a *assembly) shutDown() {
 	a.keeper.SetLeaving()
-	time.Sleep(leaveFor)
+	time.Sleep(leaveNoticeDelay)
 	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
 	if err := a.admin.Shutdown(ctx); err != nil {
 		a.logger.Warn().Err(err).Str("event", "admin_close").Msg("")
 	}
-	// Subscriptions have no end of their own.
+	// Stop is used instead of GracefulStop, as subscriptions don't end by themselves.
 	a.peers.Stop()
 	a.logger.Info().Str("event", "stopped").Msg("")
 }
--- a/cmd/dragonfly-keeper/main.go
+++ b/cmd/dragonfly-keeper/main.go
@@ -1,6 +1,6 @@
-// Command dragonfly-keeper holds records, membership, leases and claims
-// between the platform and the other daemons. See --help and
-// docs/operations/records.md.
+// Command dragonfly-keeper keeps records, membership, leases and claims in the
+// platform's object service and relays them to the other daemons. See --help
+// and docs/operations/records.md.
 package main
 
 import (
@@ -29,9 +29,9 @@
 
 func run(s *keeperSettings) int {
 	logger := jsonlog.New(os.Stdout, name, s.ID, s.LogLevel)
-	stop, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
+	stopCtx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer cancel()
-	if err := assemble(s, logger).serve(stop); err != nil {
+	if err := assemble(s, logger).serve(stopCtx); err != nil {
 		logger.Error().Err(err).Str("event", "failed").Msg("")
 		return daemon.ExitFailure
 	}
--- a/cmd/dragonfly-keeper/services.go
+++ b/cmd/dragonfly-keeper/services.go
@@ -19,8 +19,8 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// parts are what claims and placement build on.
-type parts struct {
+// serviceDeps are the components that claims and placement depend on.
+type serviceDeps struct {
 	settings  *keeperSettings
 	logger    *log.Logger
 	registry  gometrics.Registry
@@ -29,18 +29,20 @@
 	keeper    *keeper.Keeper
 }
 
-// extras are the keeper's jobs beside records and membership.
-type extras struct {
-	// claims serves at-most-once claims; nil answers Unimplemented.
+// services are the keeper's functions besides records and membership: claims and
+// placement.
+type services struct {
+	// claims serves at-most-once claims; if it is nil, claim calls return
+	// Unimplemented.
 	claims grpcpeer.ClaimService
-	// background runs until the context ends.
+	// background functions run until the context ends.
 	background []func(ctx context.Context)
 	// routes are added to the admin listener.
 	routes []func(mux *http.ServeMux)
 }
 
-// newExtras is where claims and placement are joined to the keeper.
-func newExtras(p *parts) extras {
+// newServices creates claims and placement for a keeper.
+func newServices(p *serviceDeps) services {
 	claims := claimstore.New(claimstore.Options{
 		Platform: p.platform,
 		Limits:   claim.Limits{Retention: p.settings.ClaimRetention},
@@ -48,14 +50,14 @@
 		Logger:   p.logger,
 		Metrics:  p.registry,
 	})
-	e := extras{claims: grpcclaim.NewServer(claims)}
+	e := services{claims: grpcclaim.NewServer(claims)}
 	loop, err := placement.New(placement.Options{
 		Platform: p.platform, Orderer: httporders.New(), Decisions: p.decisions, View: p.keeper,
 		KeeperID: p.settings.ID, Session: uuid.NewString(), MaxLoads: p.settings.PlacementLoads,
 		Logger: p.logger, Metrics: p.registry,
 	})
 	if err != nil {
-		// The terms are the package's own defaults.
+		// Only invalid placement terms fail, and these are the package's defaults.
 		panic(err)
 	}
 	e.background = append(e.background, loop.Run)
@@ -72,7 +74,7 @@
 	return n
 }
 
-func (e *extras) run(ctx context.Context) {
+func (e *services) run(ctx context.Context) {
 	done := make(chan struct{})
 	for _, f := range e.background {
 		go func() { f(ctx); done <- struct{}{} }()
@@ -82,7 +84,7 @@
 	}
 }
 
-func (e *extras) register(mux *http.ServeMux) {
+func (e *services) register(mux *http.ServeMux) {
 	for _, f := range e.routes {
 		f(mux)
 	}
