--- a/cmd/dragonfly-router/assemble.go
+++ b/cmd/dragonfly-router/assemble.go
@@ -21,13 +21,13 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/router"
 )
 
-// idleConnections per endpoint are kept for reuse.
+// idleConnections is the number of unused connections kept per endpoint.
 const idleConnections = 64
 
-// closeTimeout bounds the end of the listeners, once no request is open.
+// closeTimeout bounds the shutdown of the listeners. No request is open by then.
 const closeTimeout = 2 * time.Second
 
-// assembly is the daemon's parts, joined.
+// assembly holds the connected components of the daemon.
 type assembly struct {
 	settings *routerSettings
 	logger   *log.Logger
@@ -56,7 +56,7 @@
 	})
 	a := &assembly{settings: s, logger: logger, system: sys, app: router.New(options, ports)}
 	a.callers = httpserver.New(httpcaller.New(httpcaller.Options{
-		Application: a.app, Organisations: sys.organisation, Synced: sys.view.Synced,
+		Application: a.app, Organisations: sys.organisationByKey, Synced: sys.view.Synced,
 		KeyRetention: sys.claims.Retention, BodyTimeout: s.BodyTimeout, WriteTimeout: s.WriteTimeout,
 	}))
 	a.admin = httpserver.New(httpadmin.New(httpadmin.Options{
@@ -67,9 +67,9 @@
 	return a, nil
 }
 
-// serve runs until the context ends or an operator drains the router, then
-// shuts down gracefully.
-func (a *assembly) serve(stop context.Context) error {
+// serve runs until the context is cancelled or an operator drains the router,
+// then shuts down gracefully.
+func (a *assembly) serve(stopCtx context.Context) error {
 	callers, err := net.Listen("tcp", a.settings.Listen.Callers)
 	if err != nil {
 		return merry.Prepend(err, "listen.callers")
@@ -81,30 +81,30 @@
 	if err := a.system.listen(a.app); err != nil {
 		return merry.Prepend(err, "listen.peers")
 	}
-	running, end := context.WithCancel(context.Background())
-	defer end()
+	runCtx, cancel := context.WithCancel(context.Background())
+	defer cancel()
 	var background sync.WaitGroup
-	background.Go(func() { a.system.run(running) })
-	background.Go(func() { a.app.Run(running) })
-	failed := make(chan error, 2)
-	go func() { failed <- a.callers.Serve(callers) }()
-	go func() { failed <- a.admin.Serve(admin) }()
+	background.Go(func() { a.system.run(runCtx) })
+	background.Go(func() { a.app.Run(runCtx) })
+	serveErrs := make(chan error, 2)
+	go func() { serveErrs <- a.callers.Serve(callers) }()
+	go func() { serveErrs <- a.admin.Serve(admin) }()
 	a.logger.Info().Str("event", "ready").Str("callers", callers.Addr().String()).
 		Str("admin", admin.Addr().String()).Str("peers", a.settings.Listen.Peers).Msg("")
 	select {
-	case err := <-failed:
+	case err := <-serveErrs:
 		return err
-	case <-stop.Done():
+	case <-stopCtx.Done():
 	case <-a.app.Draining():
 	}
 	a.shutDown()
-	end()
+	cancel()
 	background.Wait()
 	return nil
 }
 
-// shutDown drains, then closes. The admin listener stays to the end, so that
-// an operator can watch.
+// shutDown drains the router, then closes the listeners. The admin listener stays
+// open during the drain, so that operators can observe it.
 func (a *assembly) shutDown() {
 	a.logger.Info().Str("event", "draining").Int("open_requests", a.app.Open()).Msg("")
 	a.app.Drain(context.Background())
--- a/cmd/dragonfly-router/main.go
+++ b/cmd/dragonfly-router/main.go
@@ -1,5 +1,6 @@
-// Command dragonfly-router is the callers' front: admission, routing, streams,
-// outcomes and graceful shutdown. See --help and docs/operations/streams.md.
+// Command dragonfly-router accepts callers' requests. It does admission, routing,
+// streaming, the recording of outcomes, and graceful shutdown. See --help and
+// docs/operations/streams.md.
 package main
 
 import (
@@ -16,7 +17,7 @@
 
 const (
 	name    = "dragonfly-router"
-	summary = "Accepts callers' requests, routes them to endpoints and answers for their outcome."
+	summary = "Accepts callers' requests, routes them to endpoints and reports their outcome."
 )
 
 func main() {
@@ -29,17 +30,17 @@
 }
 
 func run(s *routerSettings) int {
-	// Ids are made for every request and decision; read chance in blocks.
+	// Every request and decision gets an id, so random bytes are read in blocks.
 	uuid.EnableRandPool()
 	logger := jsonlog.New(os.Stdout, name, s.ID, s.LogLevel)
-	stop, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
+	stopCtx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer cancel()
 	d, err := assemble(s, logger)
 	if err != nil {
 		logger.Error().Err(err).Str("event", "failed").Msg("")
 		return daemon.ExitFailure
 	}
-	if err := d.serve(stop); err != nil {
+	if err := d.serve(stopCtx); err != nil {
 		logger.Error().Err(err).Str("event", "failed").Msg("")
 		return daemon.ExitFailure
 	}
--- a/cmd/dragonfly-router/settings.go
+++ b/cmd/dragonfly-router/settings.go
@@ -14,11 +14,11 @@
 // routerSettings are the settings of one router.
 type routerSettings struct {
 	daemon.Common
-	// ResumeKeys sign resume tokens: the same at every router, in hex. The
-	// first signs, all are accepted.
+	// ResumeKeys are the keys of resume tokens in hex, the same at every router. The
+	// first key signs, and tokens signed with any of them are accepted.
 	ResumeKeys []string `json:"resume_keys" validate:"required,min=1,max=8,dive,min=32,max=256,hexadecimal"`
-	// Routers are the peer addresses of routers, asked for the records where
-	// no keeper can be reached at the start.
+	// Routers are the peer addresses of routers from which the records are fetched
+	// if no keeper can be reached at the start.
 	Routers        []string      `json:"routers" validate:"max=1024,dive,hostname_port"`
 	HeartbeatEvery time.Duration `json:"heartbeat_every" validate:"min=50ms,max=10s"`
 	SilenceAfter   time.Duration `json:"silence_after" validate:"min=200ms,max=1m,gtfield=HeartbeatEvery"`
@@ -34,35 +34,35 @@
 	PeerTimeout    time.Duration `json:"peer_timeout" validate:"min=10ms,max=1m"`
 	BodyTimeout    time.Duration `json:"body_timeout" validate:"min=100ms,max=10m"`
 	WriteTimeout   time.Duration `json:"write_timeout" validate:"min=100ms,max=10m"`
-	// Patience bounds what a run is worth before it is given up.
+	// Patience limits how long a run is pursued before it is given up.
 	Patience       patienceSettings `json:"patience"`
 	ReaderPatience time.Duration    `json:"reader_patience" validate:"min=10ms,max=10m"`
 	BufferFrames   int              `json:"buffer_frames" validate:"min=1,max=4096"`
 	LoadInterval   time.Duration    `json:"load_interval" validate:"min=10ms,max=1m"`
 	LoadStale      time.Duration    `json:"load_stale" validate:"min=10ms,max=10m"`
 	LoadSubset     int              `json:"load_subset" validate:"min=1,max=10000"`
-	// LoadPollsPerSecond bounds the polls; each costs some 400 bytes.
+	// LoadPollsPerSecond bounds the load polls, which cost about 400 bytes each.
 	LoadPollsPerSecond float64 `json:"load_polls_per_second" validate:"min=0.1,max=1000"`
 	// MaxOpen bounds the requests open at once.
 	MaxOpen     int     `json:"max_open_requests" validate:"min=1,max=1000000"`
 	MaxAttempts int     `json:"max_attempts" validate:"min=1,max=16"`
 	RetryShare  float64 `json:"retry_share" validate:"min=0,max=1"`
 	RetryBurst  int     `json:"retry_burst" validate:"min=0,max=10000"`
-	// RememberRequests and RememberReplyBytes bound what is kept for
-	// callers who ask again.
+	// RememberRequests and RememberReplyBytes bound the request statuses and the
+	// replies that are kept for callers who repeat a request.
 	RememberRequests   int `json:"remember_requests" validate:"min=16,max=1000000"`
 	RememberReplyBytes int `json:"remember_reply_bytes" validate:"min=0,max=1073741824"`
 	RememberDecisions  int `json:"remember_decisions" validate:"min=32,max=1000000"`
 }
 
-// patienceSettings are stream.Limits as operators write them.
+// patienceSettings is stream.Limits in the form of the settings file.
 type patienceSettings struct {
 	Failures        int `json:"failures" validate:"min=1,max=1000"`
 	StartedFailures int `json:"started_failures" validate:"min=1,max=1000,gtefield=Failures"`
 	QueuedRounds    int `json:"queued_rounds" validate:"min=1,max=100000"`
 	RunningRounds   int `json:"running_rounds" validate:"min=1,max=100000"`
-	// StartedRounds is no smaller than the others: a run that has begun is
-	// the last to be given up, as it can't move.
+	// StartedRounds must not be smaller than the other two. A run that has produced
+	// tokens can't move to another engine, so it is the last to be given up.
 	StartedRounds int           `json:"started_rounds" validate:"min=1,max=100000,gtefield=QueuedRounds,gtefield=RunningRounds"`
 	CancelTries   int           `json:"cancel_tries" validate:"min=1,max=100"`
 	Backoff       time.Duration `json:"backoff" validate:"min=1ms,max=10s"`
@@ -87,7 +87,8 @@
 	}
 }
 
-// Breaker limits that no operator has needed to change.
+// Circuit breaker limits. They are constants and not settings, as no operator has
+// needed to change them.
 const (
 	breakerFailures     = 3
 	breakerOpenFor      = 500 * time.Millisecond
--- a/cmd/dragonfly-router/settings_test.go
+++ b/cmd/dragonfly-router/settings_test.go
@@ -19,15 +19,16 @@
 	}
 }
 
-// A wrong patience is found when the settings are checked, and named: with 0
-// failures each lost call would end a report, and with less patience for a run
-// that has begun than for a queued one a report would be the first to go.
-func TestPatienceIsChecked(t *testing.T) {
-	const rest = `"id":"r","host":"127.0.0.1","failure_domain":"d","admin_token_sha256":"` +
+// Guards against accepting patience limits that break streams, and against errors
+// that don't name the field. With failures of 0, every lost call would end a
+// report. If a run that has begun had a lower limit than a queued one, it would
+// be the first to be given up.
+func TestPatienceValidation(t *testing.T) {
+	const requiredFields = `"id":"r","host":"127.0.0.1","failure_domain":"d","admin_token_sha256":"` +
 		`0000000000000000000000000000000000000000000000000000000000000000","keepers":["127.0.0.1:1"],` +
 		`"resume_keys":["00000000000000000000000000000000"],` +
 		`"listen":{"callers":"127.0.0.1:1","admin":"127.0.0.1:2","peers":"127.0.0.1:3"},`
-	for patience, field := range map[string]string{
+	for patience, wantErr := range map[string]string{
 		`{}`:                     "",
 		`{"failures":9}`:         "",
 		`{"failures":0}`:         "patience.failures",
@@ -40,15 +41,15 @@
 		`{"rounds":3}`:           "rounds",
 	} {
 		s := defaults()
-		err := settings.Decode([]byte("{"+rest+`"patience":`+patience+"}"), &s)
-		if (err == nil) != (field == "") || err != nil && !strings.Contains(err.Error(), field) {
-			t.Errorf("%s: got %v, want an error on %q", patience, err, field)
+		err := settings.Decode([]byte("{"+requiredFields+`"patience":`+patience+"}"), &s)
+		if (err == nil) != (wantErr == "") || err != nil && !strings.Contains(err.Error(), wantErr) {
+			t.Errorf("%s: got %v, want an error on %q", patience, err, wantErr)
 		}
 	}
 }
 
-// What an operator writes is what streams get.
-func TestPatienceReachesStreams(t *testing.T) {
+// Checks that the patience settings become the limits of streams.
+func TestPatienceSetsStreamLimits(t *testing.T) {
 	s := defaults()
 	s.Patience.StartedRounds = 7000
 	o, err := s.options()
--- a/cmd/dragonfly-router/system.go
+++ b/cmd/dragonfly-router/system.go
@@ -22,11 +22,11 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/router"
 )
 
-// settleTimeout bounds the last outcomes sent to keepers at the end.
+// settleTimeout bounds the sending of the last outcomes to keepers at shutdown.
 const settleTimeout = 2 * time.Second
 
-// system joins what this router shares with the other daemons: the view of
-// the state, the scheduler under it, claims, and the calls between peers.
+// system connects this router to the other daemons. It holds the view of the
+// shared state, the scheduler that uses it, the claims, and the server for peers.
 type system struct {
 	settings  *routerSettings
 	logger    *log.Logger
@@ -36,7 +36,7 @@
 	claims    *grpcclaim.Client
 	server    *grpc.Server
 	keys      atomic.Pointer[record.Keys]
-	// quarantine is joined with the decisions' sink once that is there.
+	// quarantine is set by ports, as it needs the decision sink.
 	quarantine *quarantine.Register
 }
 
@@ -53,11 +53,11 @@
 	sys.fleet = fleet.New(s.ID, sys.view)
 	sys.scheduler = routing.NewScheduler(routing.Options{RouterID: s.ID, Routers: sys.fleet})
 	sys.claims = grpcclaim.NewClient(grpcclaim.Options{Keepers: sys.keepers, Timeout: s.ClaimTimeout, TryTimeout: s.ClaimTimeout / 2})
-	sys.policy(nil)
+	sys.updatePolicy(nil)
 	return sys
 }
 
-// ports are the router's ports that lead to the other daemons.
+// ports returns the router's ports that connect it to the other daemons.
 func (s *system) ports(sink port.DecisionSink) router.Ports {
 	s.quarantine = quarantine.NewRegister(s.view, func(c quarantine.Change) {
 		sink.Record(&port.DecisionRecord{
@@ -67,25 +67,26 @@
 	})
 	return router.Ports{
 		Sink: sink, Quarantine: s.quarantine,
-		View: s.view, Scheduler: s.scheduler, Claimer: s.claims, Peers: peers{},
-		Announcer: s.view, Observer: s.view, Policy: s.policy, Evacuations: record.Evacuations,
+		View: s.view, Scheduler: s.scheduler, Claimer: s.claims, Peers: peerClient{},
+		Announcer: s.view, Observer: s.view, Policy: s.updatePolicy, Evacuations: record.Evacuations,
 		KeyRetention: s.claims.Retention,
 	}
 }
 
-// policy puts the keys of the organisations in force together with the rest.
-func (s *system) policy(rs []port.Record) port.Policy {
+// updatePolicy returns the policy of the records and puts the organisations' keys
+// from the same records in force.
+func (s *system) updatePolicy(rs []port.Record) port.Policy {
 	keys := record.NewKeys(rs)
 	s.keys.Store(&keys)
 	return record.Policy(rs)
 }
 
-func (s *system) organisation(keySHA256Hex string) (string, bool) {
+func (s *system) organisationByKey(keySHA256Hex string) (string, bool) {
 	return s.keys.Load().Organisation(keySHA256Hex)
 }
 
-// keepers are the addresses of keepers that may be asked: those known to be
-// live, else those of the settings.
+// keepers returns the addresses of the keepers that are known to be live, or the
+// addresses in the settings if none is.
 func (s *system) keepers() []string {
 	if live := s.fleet.LiveKeepers(); len(live) > 0 {
 		return live
@@ -93,7 +94,7 @@
 	return s.settings.Keepers
 }
 
-// listen serves the peers.
+// listen starts the server for peers.
 func (s *system) listen(app *router.Router) error {
 	listener, err := net.Listen("tcp", s.settings.Listen.Peers)
 	if err != nil {
@@ -117,7 +118,7 @@
 	}
 }
 
-// close sends the outcomes that still wait, then ends the peer server.
+// close sends the pending outcomes, then stops the peer server.
 func (s *system) close() {
 	ctx, cancel := context.WithTimeout(context.Background(), settleTimeout)
 	defer cancel()
@@ -125,12 +126,13 @@
 	s.server.Stop()
 }
 
-// peers asks other routers. It connects for each question, as questions are
-// rare and routers many.
-type peers struct{}
+// peerClient queries other routers. It opens a connection for each query, as
+// queries are rare and there are many routers.
+type peerClient struct{}
 
-// LookupRequest asks the router at the address what it knows of a request.
-func (peers) LookupRequest(ctx context.Context, address, requestID string) ([]byte, bool, error) {
+// LookupRequest queries the router at the address for the status of a request,
+// and returns it as JSON and whether it was found.
+func (peerClient) LookupRequest(ctx context.Context, address, requestID string) ([]byte, bool, error) {
 	conn, err := grpcpeer.Dial(address)
 	if err != nil {
 		return nil, false, err
