--- a/cmd/dragonfly-standin/fleet.go
+++ b/cmd/dragonfly-standin/fleet.go
@@ -15,7 +15,7 @@
 	Lapse time.Duration `long:"lapse" default:"3s" description:"age at which a runner's entry is removed"`
 }
 
-// Execute runs the stand-in until it is stopped.
+// Execute runs the stand-in until the process is stopped.
 func (c *fleetStoreCommand) Execute([]string) error {
 	s := standin.NewStore()
 	return c.serveWith("fleet-store", standin.Switched(s), hooks{
@@ -25,25 +25,26 @@
 
 type fleetRunnerCommand struct {
 	common
-	Service    string        `long:"service" default:"plain" description:"name of the service, plain or engines"`
-	Store      string        `long:"store" required:"true" description:"address of the store"`
-	Advertise  string        `long:"advertise" description:"address to register; without one, the address it listens on"`
-	EventEvery time.Duration `long:"event-every" default:"0s" description:"time of one event of a stream; 0 makes a plain service"`
-	Work       time.Duration `long:"work" default:"0s" description:"how long a plain service takes"`
-	Beat       time.Duration `long:"beat" default:"1s" description:"time between two writes of the entry"`
-	Notice     time.Duration `long:"notice" default:"1500ms" description:"how long it serves on once the store knows that it leaves"`
-	ColdFor    time.Duration `long:"cold-for" default:"0s" description:"how long it is cold after its start; more than it bears then ends it"`
-	ColdRate   float64       `long:"cold-per-second" default:"0" description:"requests a second that it bears while it is cold"`
-	Unsaid     bool          `long:"unsaid" description:"leave by removing the entry, without saying so"`
+	Service       string        `long:"service" default:"plain" description:"name of the service, plain or engines"`
+	Store         string        `long:"store" required:"true" description:"address of the store"`
+	Advertise     string        `long:"advertise" description:"address to register; the default is the address listened on"`
+	EventEvery    time.Duration `long:"event-every" default:"0s" description:"time between two events of a stream; 0 makes this a plain service"`
+	Work          time.Duration `long:"work" default:"0s" description:"time that a plain service takes for a request"`
+	Beat          time.Duration `long:"beat" default:"1s" description:"time between two writes of the entry"`
+	Notice        time.Duration `long:"notice" default:"1500ms" description:"time to continue serving after the leave notice"`
+	ColdFor       time.Duration `long:"cold-for" default:"0s" description:"how long the runner is cold after its start; too many requests in that time end it"`
+	ColdRate      float64       `long:"cold-per-second" default:"0" description:"requests per second that the runner tolerates while it is cold"`
+	WithoutNotice bool          `long:"unsaid" description:"leave by removing the entry, without a leave notice"`
 }
 
-// Execute runs the stand-in until it is stopped, which it announces.
+// Execute runs the stand-in until the process is stopped. It then announces that
+// the runner leaves, unless c.WithoutNotice is set.
 func (c *fleetRunnerCommand) Execute([]string) error {
 	r := &standin.Runner{
 		ID: c.ID, EventEvery: c.EventEvery, Work: c.Work, CacheTokens: standin.CacheTokens,
 		OnCrash: func() { os.Exit(exitCrashed) }, Cold: standin.NewCold(c.ColdFor, c.ColdRate),
 	}
-	var kept *standin.Registration
+	var registration *standin.Registration
 	return c.serveWith("fleet-runner", standin.SwitchedRunner(r), hooks{
 		background: func(ctx context.Context, l *log.Logger) {
 			r.SetLogger(l)
@@ -51,31 +52,33 @@
 			if address == "" {
 				address = c.Listen
 			}
-			kept = &standin.Registration{
+			registration = &standin.Registration{
 				Store: standin.StoreClient{Address: c.Store}, ID: c.ID, Every: c.Beat, Cold: r.Cold, Logger: l,
 				Entry: standin.Entry(c.Service, address, c.FailureDomain, time.Now().UnixMilli(), nil),
 			}
-			kept.Keep(ctx)
+			registration.Keep(ctx)
 		},
-		leave: func(l *log.Logger) { c.leave(r, kept, l) },
+		leave: func(l *log.Logger) { c.leave(r, registration, l) },
 	})
 }
 
-// exitCrashed is the exit code of a runner that a request has crashed.
+// exitCrashed is the exit code of a runner or an engine that a request has crashed.
 const exitCrashed = 3
 
-// leave tells the store, and serves on for the notice.
-func (c *fleetRunnerCommand) leave(r *standin.Runner, kept *standin.Registration, l *log.Logger) {
+// leave announces to the store that the runner leaves, or with c.WithoutNotice
+// only removes its entry, and then serves on for c.Notice.
+func (c *fleetRunnerCommand) leave(r *standin.Runner, registration *standin.Registration, l *log.Logger) {
 	r.SetLeaving(true)
-	tell := kept.Leave
-	if c.Unsaid {
-		tell = kept.Remove
+	notifyStore := registration.Leave
+	if c.WithoutNotice {
+		notifyStore = registration.Remove
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), c.Notice)
 	defer cancel()
-	err := tell(ctx)
+	err := notifyStore(ctx)
 	l.Info().Str("event", "leaving").Err(err).Int64("unix_ms", time.Now().UnixMilli()).Msg("")
 	time.Sleep(c.Notice)
-	// The entry is gone, or lapses.
-	_ = kept.Remove(context.Background())
+	// Removes the entry if it still exists. An error is ignored, as the store
+	// removes an entry that is no longer renewed.
+	_ = registration.Remove(context.Background())
 }
--- a/cmd/dragonfly-standin/main.go
+++ b/cmd/dragonfly-standin/main.go
@@ -1,5 +1,5 @@
-// Command dragonfly-standin runs one of the small stand-ins that take the
-// place of the platforms, engines, services and the weight store in tests.
+// Command dragonfly-standin runs a small stand-in that replaces a platform, an
+// engine, a service or the weight store in tests.
 package main
 
 import (
@@ -36,20 +36,20 @@
 		os.Exit(daemon.ExitOK)
 	}}
 	parser := flags.NewNamedParser(name, flags.HelpFlag|flags.PassDoubleDash)
-	parser.LongDescription = "Runs one stand-in. Faults are switched over HTTP: GET and PUT /standin/faults; counters: GET /standin/stats."
+	parser.LongDescription = "Runs one stand-in. GET and PUT /standin/faults read and switch faults, and GET /standin/stats reads counters."
 	if _, err := parser.AddGroup("Options", "", &o); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return daemon.ExitFailure
 	}
 	_, err := parser.ParseArgs(args)
-	var wrong *flags.Error
+	var flagErr *flags.Error
 	switch {
 	case err == nil:
 		return daemon.ExitOK
-	case errors.As(err, &wrong) && wrong.Type == flags.ErrHelp:
-		fmt.Println(wrong.Message)
+	case errors.As(err, &flagErr) && flagErr.Type == flags.ErrHelp:
+		fmt.Println(flagErr.Message)
 		return daemon.ExitOK
-	case errors.As(err, &wrong):
+	case errors.As(err, &flagErr):
 		fmt.Fprintf(os.Stderr, "%s: %v\n", name, err)
 		return daemon.ExitUsage
 	default:
--- a/cmd/dragonfly-standin/serve.go
+++ b/cmd/dragonfly-standin/serve.go
@@ -17,29 +17,30 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/adapter/jsonlog"
 )
 
-// stopTimeout is short: a stand-in's open streams are cut, like those of an
-// engine that is reclaimed.
+// stopTimeout is short, so that open streams are cut like those of an engine that
+// is reclaimed.
 const stopTimeout = 200 * time.Millisecond
 
-// common are the flags of every stand-in.
+// common holds the flags of every stand-in.
 type common struct {
-	Listen        string `long:"listen" default:"127.0.0.1:0" description:"address to bind; port 0 takes a free one"`
-	ID            string `long:"id" required:"true" description:"the stand-in's id"`
-	FailureDomain string `long:"failure-domain" default:"local" description:"the failure domain it stands in"`
+	Listen        string `long:"listen" default:"127.0.0.1:0" description:"address to listen on; port 0 selects a free port"`
+	ID            string `long:"id" required:"true" description:"id of the stand-in"`
+	FailureDomain string `long:"failure-domain" default:"local" description:"failure domain of the stand-in"`
 }
 
-// hooks are what a stand-in does besides answering.
+// hooks are functions that a stand-in runs besides serving requests.
 type hooks struct {
-	// background runs from the start until the process is told to stop.
+	// background runs from the start until the process is stopped.
 	background func(context.Context, *log.Logger)
 	// leave runs before the listener closes.
 	leave func(*log.Logger)
 }
 
-// serve answers until the process is told to stop.
+// serve handles requests until the process is stopped.
 func (c *common) serve(kind string, h http.Handler) error { return c.serveWith(kind, h, hooks{}) }
 
-func (c *common) serveWith(kind string, h http.Handler, also hooks) error {
+// serveWith is serve with hooks.
+func (c *common) serveWith(kind string, h http.Handler, extra hooks) error {
 	listener, err := net.Listen("tcp", c.Listen)
 	if err != nil {
 		return err
@@ -51,19 +52,19 @@
 	logger := jsonlog.New(os.Stdout, name+"-"+kind, c.ID, "info")
 	logger.Info().Str("event", "ready").Str("address", c.Listen).
 		Str("failure_domain", c.FailureDomain).Msg("")
-	var running sync.WaitGroup
-	if also.background != nil {
-		running.Go(func() { also.background(ctx, logger) })
+	var background sync.WaitGroup
+	if extra.background != nil {
+		background.Go(func() { extra.background(ctx, logger) })
 	}
 	go func() {
 		<-ctx.Done()
-		running.Wait()
-		if also.leave != nil {
-			also.leave(logger)
+		background.Wait()
+		if extra.leave != nil {
+			extra.leave(logger)
 		}
-		bounded, cancel := context.WithTimeout(context.Background(), stopTimeout)
+		shutdownCtx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 		defer cancel()
-		if server.Shutdown(bounded) != nil {
+		if server.Shutdown(shutdownCtx) != nil {
 			server.Close()
 		}
 	}()
