--- a/cmd/dragonfly-load/main.go
+++ b/cmd/dragonfly-load/main.go
@@ -1,5 +1,5 @@
-// Command dragonfly-load replays a workload against routers and reports what
-// a caller sees, as JSON and as a table.
+// Command dragonfly-load replays a workload against routers and reports the
+// results that callers see, as JSON and as a table.
 package main
 
 import (
@@ -23,14 +23,14 @@
 const name = "dragonfly-load"
 
 type options struct {
-	Workload string        `long:"workload" value-name:"FILE" description:"JSON workload file (required)"`
-	Routers  []string      `long:"router" value-name:"ADDRESS" description:"a router to ask for entry addresses; can be repeated"`
-	Duration time.Duration `long:"duration" description:"replaces the workload's duration"`
-	Drain    time.Duration `long:"drain" default:"60s" description:"how long requests may go on after the last arrival"`
-	Check    bool          `long:"check-text" description:"check each answer's text as the engine stand-in makes it"`
-	JSON     string        `long:"json" value-name:"FILE" description:"write the report as JSON; - is standard output, without the table"`
-	CheckOf  bool          `long:"check-settings" description:"check the workload file, say what is wrong with it, and exit"`
-	Version  bool          `long:"version" description:"print the version and exit"`
+	Workload      string        `long:"workload" value-name:"FILE" description:"JSON workload file (required)"`
+	Routers       []string      `long:"router" value-name:"ADDRESS" description:"address of a router to query for entry addresses; can be repeated"`
+	Duration      time.Duration `long:"duration" description:"duration that overrides the workload's"`
+	Drain         time.Duration `long:"drain" default:"60s" description:"how long requests may continue after the last arrival"`
+	CheckText     bool          `long:"check-text" description:"check that the text of each answer is the one that the engine stand-in generates"`
+	JSON          string        `long:"json" value-name:"FILE" description:"write the report as JSON; - is standard output, without the table"`
+	CheckSettings bool          `long:"check-settings" description:"check the workload file, report errors in it, and exit"`
+	Version       bool          `long:"version" description:"print the version and exit"`
 }
 
 func main() {
@@ -40,16 +40,16 @@
 func run(args []string) int {
 	var o options
 	parser := flags.NewNamedParser(name, flags.HelpFlag|flags.PassDoubleDash)
-	parser.LongDescription = "Replays a workload against the routers that /v1/entry names, resumes broken streams at another router, and reports stalls, gaps between tokens, first tokens, outcomes and completeness. Exits with 1 when an answer was cut or broken."
+	parser.LongDescription = "Replays a workload against the routers that /v1/entry names, resumes broken streams at another router, and reports stalls, gaps between tokens, times to the first token, outcomes and completeness. Exits with 1 if the outcome of a request is cut or broken."
 	if _, err := parser.AddGroup("Options", "", &o); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return daemon.ExitFailure
 	}
 	_, err := parser.ParseArgs(args)
-	var wrong *flags.Error
+	var flagErr *flags.Error
 	switch {
-	case errors.As(err, &wrong) && wrong.Type == flags.ErrHelp:
-		fmt.Println(wrong.Message)
+	case errors.As(err, &flagErr) && flagErr.Type == flags.ErrHelp:
+		fmt.Println(flagErr.Message)
 		return daemon.ExitOK
 	case err != nil:
 		fmt.Fprintf(os.Stderr, "%s: %v\n", name, err)
@@ -57,7 +57,7 @@
 	case o.Version:
 		fmt.Println(name, buildinfo.String())
 		return daemon.ExitOK
-	case o.Workload == "" || len(o.Routers) == 0 && !o.CheckOf:
+	case o.Workload == "" || len(o.Routers) == 0 && !o.CheckSettings:
 		fmt.Fprintf(os.Stderr, "%s: --workload and --router are required; see --help\n", name)
 		return daemon.ExitUsage
 	}
@@ -70,7 +70,7 @@
 		fmt.Fprintf(os.Stderr, "%s: %v\n", name, err)
 		return daemon.ExitSettings
 	}
-	if o.CheckOf {
+	if o.CheckSettings {
 		fmt.Printf("%s: settings are valid\n", o.Workload)
 		return daemon.ExitOK
 	}
@@ -79,8 +79,8 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	report := load.Run(ctx, &w, load.Options{Routers: o.Routers, CheckText: o.Check, Drain: o.Drain})
-	if err := write(o, report); err != nil {
+	report := load.Run(ctx, &w, load.Options{Routers: o.Routers, CheckText: o.CheckText, Drain: o.Drain})
+	if err := writeReport(o, report); err != nil {
 		fmt.Fprintf(os.Stderr, "%s: %v\n", name, err)
 		return daemon.ExitFailure
 	}
@@ -90,7 +90,7 @@
 	return daemon.ExitOK
 }
 
-func write(o *options, report *load.Report) error {
+func writeReport(o *options, report *load.Report) error {
 	if o.JSON != "" {
 		raw, err := json.MarshalIndent(report, "", "  ")
 		if err != nil {
