--- a/cmd/dragonflyctl/main.go
+++ b/cmd/dragonflyctl/main.go
@@ -1,4 +1,5 @@
-// Command dragonflyctl writes records and asks why: see --help.
+// Command dragonflyctl reads and writes records and explains the decisions of the
+// daemons. See --help.
 package main
 
 import (
