--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -1,5 +1,5 @@
-// Package engine is a stand-in for a model engine: the engine model on a real
-// clock, served over HTTP, with faults that are switched over HTTP.
+// Package engine is a stand-in for a model engine. It runs the engine model on
+// the real clock, serves it over HTTP, and has faults that are set over HTTP.
 package engine
 
 import (
@@ -21,54 +21,59 @@
 	DefaultRetention     = time.Minute
 	// DefaultCacheEventGap drops every seventh cache event.
 	DefaultCacheEventGap = 7
-	// maxKept bounds ended generations and barred ids.
-	maxKept = 20_000
-	// DefaultMaxTokens bounds an answer whose request sets no bound.
+	// maxEnded bounds the ended generations and barred ids that are stored.
+	maxEnded = 20_000
+	// DefaultMaxTokens bounds the output if the request sets no max_tokens.
 	DefaultMaxTokens = 20_000
 )
 
-// Options of the stand-in.
+// Options configures the stand-in.
 type Options struct {
 	ID          string
 	Incarnation uint64
 	Model       enginemodel.Config
-	// Models are ready from the start.
+	// Models are the models that are ready when the engine starts.
 	Models []port.ModelVersion
-	// FencesOrders refuses orders with an old fencing number.
+	// FencesOrders refuses orders with a fencing number below the highest one
+	// received.
 	FencesOrders bool
-	// ReportLag is the greatest age of a load report.
+	// ReportLag is the age of the load report that is served.
 	ReportLag     time.Duration
 	CacheEventLag time.Duration
-	// CacheEventGap drops every event whose number it divides; 0 drops none.
+	// CacheEventGap drops every event whose sequence number is a multiple of
+	// it; 0 drops none.
 	CacheEventGap uint64
 	// Retention is how long an ended generation can still be read.
 	Retention time.Duration
-	// WeightsURL is the weight store; without one, models load at once.
+	// WeightsURL is the base URL of the weight store. If it is empty, models
+	// load at once.
 	WeightsURL string
-	// Seed of the output lengths.
+	// Seed seeds the random output lengths.
 	Seed uint64
-	// Reclaimed is called when the notice of a reclaim is over; the process
-	// is expected to end.
+	// Reclaimed is called when the notice period of a reclaim has passed. It
+	// is expected to end the process.
 	Reclaimed func()
-	// Crashed ends the process, as a prompt that holds CrashMark does once it
-	// runs; nil for an engine that outlives such prompts.
+	// Crashed ends the process. It is called after the start of a generation
+	// whose prompt contains CrashMark. If it is nil, such prompts run normally.
 	Crashed func()
 }
 
 // CrashMark in a prompt crashes the engine that runs it.
 const CrashMark = "[[crash]]"
 
-// crashAfter is how long such a prompt runs before.
-const crashAfter = 50 * time.Millisecond
+// crashDelay is the time from the start of a generation with CrashMark to the crash.
+const crashDelay = 50 * time.Millisecond
 
-// crash ends the process where the prompt does that.
-func (e *Engine) crash(prompt string) {
+// scheduleCrash ends the process after crashDelay if the prompt contains
+// CrashMark.
+func (e *Engine) scheduleCrash(prompt string) {
 	if e.options.Crashed != nil && strings.Contains(prompt, CrashMark) {
-		time.AfterFunc(crashAfter, e.options.Crashed)
+		time.AfterFunc(crashDelay, e.options.Crashed)
 	}
 }
 
-// Stats count since the start; Held is a gauge.
+// Stats are counters since the start, except for Held: a gauge of the stored
+// generations, including ended ones and barred ids.
 type Stats struct {
 	Started     int    `json:"started"`
 	Finished    int    `json:"finished"`
@@ -82,14 +87,14 @@
 	Preemptions uint64 `json:"preemptions"`
 }
 
-// Engine serves one runner.
+// Engine is the HTTP handler of one runner.
 type Engine struct {
 	options Options
 	faults  switches.Switch[Faults]
 	mux     *http.ServeMux
 	wake    chan struct{}
 	sampler sampler
-	orders  orderBook
+	orders  orderState
 
 	mu          sync.Mutex
 	model       *enginemodel.Engine
@@ -99,7 +104,7 @@
 	stats Stats
 }
 
-// New returns an idle engine; Run makes it work.
+// New returns an idle engine. Generations make progress only while Run runs.
 func New(o Options) *Engine {
 	e := &Engine{
 		options:     o,
@@ -115,7 +120,7 @@
 	return e
 }
 
-// ServeHTTP serves the engine's API and the switches.
+// ServeHTTP serves the engine's API and the API that sets its faults.
 func (e *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	e.mux.ServeHTTP(w, r)
 }
@@ -138,8 +143,8 @@
 	defer timer.Stop()
 	<-timer.C
 	for {
-		took, events := e.step(time.Now())
-		if took == 0 {
+		duration, events := e.step(time.Now())
+		if duration == 0 {
 			select {
 			case <-e.wake:
 				continue
@@ -147,7 +152,7 @@
 				return
 			}
 		}
-		timer.Reset(took)
+		timer.Reset(duration)
 		select {
 		case <-timer.C:
 		case <-ctx.Done():
@@ -157,7 +162,8 @@
 	}
 }
 
-// step runs one batch and returns what to publish when it is over.
+// step runs one batch. It returns the batch's duration and the events to
+// publish when that time has passed.
 func (e *Engine) step(now time.Time) (time.Duration, []enginemodel.TokenEvent) {
 	factor := e.faults.Get().SlowFactor
 	if factor <= 0 {
@@ -166,8 +172,8 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.model.SetSlowFactor(factor)
-	took, events := e.model.Step(now)
-	return took, append([]enginemodel.TokenEvent(nil), events...)
+	duration, events := e.model.Step(now)
+	return duration, append([]enginemodel.TokenEvent(nil), events...)
 }
 
 func (e *Engine) publish(now time.Time, events []enginemodel.TokenEvent) {
@@ -178,21 +184,22 @@
 		if g == nil {
 			continue
 		}
-		g.yielded(now, event.Index, event.Final)
-		if status, _ := g.ending(); event.Final && status == port.GenerationFinished {
+		g.addToken(now, event.Index, event.Final)
+		if status, _ := g.statusAndEnd(); event.Final && status == port.GenerationFinished {
 			e.stats.Finished++
 			e.ended = append(e.ended, g.id)
 		}
 	}
-	e.forget(now)
+	e.evictEnded(now)
 }
 
-// forget drops ended generations that are too old or too many.
-func (e *Engine) forget(now time.Time) {
+// evictEnded removes ended generations, oldest first, that are older than the
+// retention or exceed maxEnded.
+func (e *Engine) evictEnded(now time.Time) {
 	for len(e.ended) > 0 {
 		id := e.ended[0]
-		_, ended := e.generations[id].ending()
-		if len(e.ended) <= maxKept && now.Sub(ended) < e.options.Retention {
+		_, ended := e.generations[id].statusAndEnd()
+		if len(e.ended) <= maxEnded && now.Sub(ended) < e.options.Retention {
 			return
 		}
 		delete(e.generations, id)
@@ -210,9 +217,9 @@
 	User      string `json:"user"`
 }
 
-// start takes a generation in, or says why not.
+// start adds a generation to the engine, or returns the reason for refusing it.
 func (e *Engine) start(now time.Time, id string, r *startRequest) (*generation, error) {
-	g := e.plan(id, r)
+	g := e.newGeneration(id, r)
 	job := enginemodel.Job{
 		ID: id, PromptTokens: PromptTokens(r.Prompt), OutputTokens: g.total, Priority: r.Priority,
 		PrefixHashes: PrefixHashes(r.Prompt, e.options.Model.BlockTokens),
@@ -221,7 +228,7 @@
 	defer e.mu.Unlock()
 	if e.generations[id] != nil {
 		e.stats.Refused++
-		return nil, errKnown
+		return nil, errUsedID
 	}
 	if err := e.model.Submit(now, job); err != nil {
 		e.stats.Refused++
@@ -236,16 +243,16 @@
 	return g, nil
 }
 
-// plan decides the output length. Like a real engine it ends an answer that
-// would not fit its whole cache.
-func (e *Engine) plan(id string, r *startRequest) *generation {
+// newGeneration returns a generation with its output length and finish reason.
+// Like a real engine, it cuts an output that would not fit into the whole cache.
+func (e *Engine) newGeneration(id string, r *startRequest) *generation {
 	config := e.options.Model
 	limit := r.MaxTokens
 	if limit == 0 {
 		limit = DefaultMaxTokens
 	}
-	fits := config.BlocksTotal*config.BlockTokens - PromptTokens(r.Prompt)
-	limit = min(limit, max(1, fits))
+	available := config.BlocksTotal*config.BlockTokens - PromptTokens(r.Prompt)
+	limit = min(limit, max(1, available))
 	g := &generation{id: id, status: port.GenerationQueued, finishReason: "stop"}
 	g.total = outputTokens(r.Prompt, e.options.Seed)
 	if g.total > limit {
@@ -255,8 +262,8 @@
 	return g
 }
 
-// cancel ends a generation, or bars an id that was never seen, and returns
-// the status before.
+// cancel ends a generation and returns its previous status. An unknown id is
+// barred: a later start with it is refused.
 func (e *Engine) cancel(now time.Time, id string) progress {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -265,7 +272,7 @@
 		e.stats.Barred++
 		e.generations[id] = &generation{id: id, status: port.GenerationCancelled, ended: now}
 		e.ended = append(e.ended, id)
-		e.forget(now)
+		e.evictEnded(now)
 		return progress{status: port.GenerationUnknown}
 	}
 	before := g.cancel(now)
@@ -277,7 +284,7 @@
 	return progress{status: before, tokens: g.progress().tokens}
 }
 
-func (e *Engine) find(id string) *generation {
+func (e *Engine) lookup(id string) *generation {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.generations[id]
--- a/internal/standin/engine/errors.go
+++ b/internal/standin/engine/errors.go
@@ -2,5 +2,5 @@
 
 import "github.com/ansel1/merry/v2"
 
-// errKnown refuses a generation id that is barred or was used before.
-var errKnown = merry.Sentinel("engine: the generation id is known or barred")
+// errUsedID is returned for a generation id that is barred or already in use.
+var errUsedID = merry.Sentinel("engine: the generation id is barred or already in use")
--- a/internal/standin/engine/faults.go
+++ b/internal/standin/engine/faults.go
@@ -7,25 +7,28 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/standin/switches"
 )
 
-// Faults are switched by PUT /standin/faults. Those of frames hit only the
-// connection that started a generation, so that resuming it can help.
+// Faults are set by PUT /standin/faults. Faults of single frames and of the end
+// of a stream apply only to the connection that started the generation, so that
+// resuming the generation gets all frames.
 type Faults struct {
-	// Stall holds back the frames of all connections; the engine works on.
+	// Stall holds back the frames of all connections, while the engine
+	// continues to generate tokens.
 	Stall bool `json:"stall"`
-	// CutAfterTokens breaks the connection after so many tokens; 0 never.
+	// CutAfterTokens aborts the connection after this many tokens; 0 never
+	// does.
 	CutAfterTokens int `json:"cut_after_tokens"`
-	// DropFrame leaves out the frame with this index; 0 none.
+	// DropFrame omits the frame with this index; 0 omits none.
 	DropFrame int `json:"drop_frame"`
-	// DuplicateFrame sends the frame with this index twice; 0 none.
+	// DuplicateFrame sends the frame with this index twice; 0 duplicates none.
 	DuplicateFrame int `json:"duplicate_frame"`
-	// CrossGeneration mixes frames of a foreign generation in.
+	// CrossGeneration injects frames of another generation.
 	CrossGeneration bool `json:"cross_generation"`
-	// Refuse answers each start with 503.
+	// Refuse rejects each start with status 503.
 	Refuse  bool `json:"refuse"`
 	Leaving bool `json:"leaving"`
-	// SlowFactor stretches the steps; 0 is 1.
+	// SlowFactor multiplies the duration of each step; 0 means 1.
 	SlowFactor float64 `json:"slow_factor"`
-	// EarlyClose ends the stream in order, but without its final frame.
+	// EarlyClose closes the stream cleanly, but without its final frame.
 	EarlyClose      bool  `json:"early_close"`
 	ReportLagMillis int64 `json:"report_lag_ms"`
 }
@@ -35,7 +38,8 @@
 	NoticeMillis int64 `json:"notice_ms"`
 }
 
-// serveReclaim makes the engine leave at once and end after the notice.
+// serveReclaim sets the Leaving fault at once and calls Options.Reclaimed when
+// the notice period has passed.
 func (e *Engine) serveReclaim(w http.ResponseWriter, r *http.Request) {
 	var body ReclaimRequest
 	if !switches.ReadJSON(w, r, &body) {
--- a/internal/standin/engine/generation.go
+++ b/internal/standin/engine/generation.go
@@ -7,11 +7,12 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// generation is one run. Its tokens are a function of its id, so that only
-// their count is kept.
+// generation is one model run. Its tokens are a function of its id, so only
+// their number is stored.
 type generation struct {
 	id string
-	// total is the output length and finishReason how it will end.
+	// total is the output length in tokens; finishReason is the reason that
+	// the final frame gives.
 	total        int
 	finishReason string
 
@@ -22,11 +23,11 @@
 	ended   time.Time
 }
 
-// progress is a generation at one moment.
+// progress is a snapshot of a generation's progress.
 type progress struct {
 	status port.GenerationStatus
 	tokens int
-	// changed is closed when there is more.
+	// changed is closed at the next change of the generation.
 	changed <-chan struct{}
 }
 
@@ -39,15 +40,16 @@
 	return progress{status: g.status, tokens: g.tokens, changed: g.changed}
 }
 
-// ending returns the status and when it ended, zero while it goes on.
-func (g *generation) ending() (port.GenerationStatus, time.Time) {
+// statusAndEnd returns the status and the end time, which is zero until the
+// generation has ended.
+func (g *generation) statusAndEnd() (port.GenerationStatus, time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.status, g.ended
 }
 
-// yielded adds the token with the index.
-func (g *generation) yielded(now time.Time, index int, final bool) {
+// addToken records the token with this index. After a cancel it has no effect.
+func (g *generation) addToken(now time.Time, index int, final bool) {
 	g.update(func() {
 		if g.status == port.GenerationCancelled {
 			return
@@ -61,7 +63,8 @@
 	})
 }
 
-// cancel returns the status before.
+// cancel cancels the generation unless it has finished, and returns the
+// previous status.
 func (g *generation) cancel(now time.Time) port.GenerationStatus {
 	var before port.GenerationStatus
 	g.update(func() {
@@ -84,7 +87,8 @@
 	}
 }
 
-// frame is the token with the index, or the final frame past the last one.
+// frame returns the frame of the token with this index, or the final frame if
+// the index is past the last token.
 func (g *generation) frame(index int) port.Frame {
 	if index < g.total {
 		return port.Frame{Generation: g.id, Index: index, Text: TokenText(g.id, index)}
--- a/internal/standin/engine/http.go
+++ b/internal/standin/engine/http.go
@@ -17,7 +17,7 @@
 // maxIDBytes bounds a generation id.
 const maxIDBytes = 128
 
-// StatusReply is the answer of GET and DELETE /v1/generations/{generation}.
+// StatusReply is the response to GET and DELETE /v1/generations/{generation}.
 type StatusReply struct {
 	Status port.GenerationStatus `json:"status"`
 	Tokens int                   `json:"tokens"`
@@ -37,7 +37,7 @@
 	e.mux.HandleFunc("GET /v1/cache-events", e.serveCacheEvents)
 	e.mux.HandleFunc("POST /v1/orders", e.serveOrder)
 	e.mux.HandleFunc("GET /v1/state", e.serveState)
-	e.mux.HandleFunc("GET /standin/orders", e.serveTakenOrders)
+	e.mux.HandleFunc("GET /standin/orders", e.serveAppliedOrders)
 	e.mux.HandleFunc("POST /standin/reclaim", e.serveReclaim)
 	e.faults.Register(e.mux, func() any { return e.Stats() })
 }
@@ -69,14 +69,14 @@
 	}
 	g, err := e.start(time.Now(), id, &body)
 	switch {
-	case errors.Is(err, errKnown), errors.Is(err, enginemodel.ErrDuplicate):
+	case errors.Is(err, errUsedID), errors.Is(err, enginemodel.ErrDuplicate):
 		switches.Refuse(w, http.StatusConflict, "generation_known", "")
 	case errors.Is(err, enginemodel.ErrTooLarge), errors.Is(err, enginemodel.ErrInvalid):
 		switches.Refuse(w, http.StatusBadRequest, "too_large", err.Error())
 	case err != nil:
 		e.refuseStart(w, "full")
 	default:
-		e.crash(body.Prompt)
+		e.scheduleCrash(body.Prompt)
 		e.stream(w, r, g, 0, true)
 	}
 }
@@ -94,7 +94,7 @@
 		switches.Refuse(w, http.StatusBadRequest, "bad_query", "from must be a token index")
 		return
 	}
-	g := e.find(r.PathValue("generation"))
+	g := e.lookup(r.PathValue("generation"))
 	if g == nil || g.progress().status == port.GenerationCancelled {
 		switches.Refuse(w, http.StatusNotFound, "no_generation", "")
 		return
@@ -107,9 +107,9 @@
 
 func (e *Engine) serveStatus(w http.ResponseWriter, r *http.Request) {
 	reply := StatusReply{Status: port.GenerationUnknown}
-	if g := e.find(r.PathValue("generation")); g != nil {
-		now := g.progress()
-		reply = StatusReply{Status: now.status, Tokens: now.tokens}
+	if g := e.lookup(r.PathValue("generation")); g != nil {
+		current := g.progress()
+		reply = StatusReply{Status: current.status, Tokens: current.tokens}
 	}
 	switches.WriteJSON(w, http.StatusOK, reply)
 }
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -11,52 +11,52 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/standin/switches"
 )
 
-// defaultRole is the role of a runner that got no order to change it.
+// defaultRole is the role of a runner until an order changes it.
 const defaultRole = "serve"
 
-// maxTaken bounds the orders that are kept to be shown.
-const maxTaken = 1000
+// maxApplied bounds the orders that GET /standin/orders can return.
+const maxApplied = 1000
 
-// TakenOrders is the answer to GET /standin/orders: the newest orders that
-// the runner obeyed, the oldest first.
+// TakenOrders is the response to GET /standin/orders: the newest orders that
+// the runner has applied, oldest first.
 type TakenOrders struct {
 	Orders []port.Order `json:"orders"`
 }
 
-// orderBook holds what orders have made of the runner.
-type orderBook struct {
+// orderState is the part of the runner's state that orders change.
+type orderState struct {
 	options Options
 
-	mu      sync.Mutex
-	role    string
-	ready   []port.ModelVersion
-	loading []port.ModelVersion
-	fence   uint64
-	orders  int
-	stale   int
-	// taken are the newest orders that were obeyed, in their order.
-	taken []port.Order
+	mu           sync.Mutex
+	role         string
+	ready        []port.ModelVersion
+	loading      []port.ModelVersion
+	fence        uint64
+	appliedCount int
+	staleCount   int
+	// applied are the newest orders that were not refused, oldest first.
+	applied []port.Order
 }
 
-func (b *orderBook) init(o Options) {
+func (b *orderState) init(o Options) {
 	b.options = o
 	b.role = defaultRole
 	b.ready = slices.Clone(o.Models)
 }
 
-func (b *orderBook) counts() (orders, stale int) {
+func (b *orderState) counts() (orders, stale int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.orders, b.stale
+	return b.appliedCount, b.staleCount
 }
 
-func (b *orderBook) isReady(model string) bool {
+func (b *orderState) isReady(model string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return find(b.ready, model) >= 0
+	return indexOfModel(b.ready, model) >= 0
 }
 
-func (b *orderBook) readyModels() []string {
+func (b *orderState) readyModels() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	names := make([]string, 0, len(b.ready))
@@ -66,12 +66,12 @@
 	return names
 }
 
-func find(models []port.ModelVersion, model string) int {
+func indexOfModel(models []port.ModelVersion, model string) int {
 	return slices.IndexFunc(models, func(m port.ModelVersion) bool { return m.Model == model })
 }
 
-// snapshot is the runner's state as it is now.
-func (b *orderBook) snapshot(state port.EndpointState) port.RunnerState {
+// snapshot returns the runner's current state.
+func (b *orderState) snapshot(state port.EndpointState) port.RunnerState {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return port.RunnerState{
@@ -82,20 +82,21 @@
 	}
 }
 
-// take checks the fencing number and obeys the order; false means stale.
-func (b *orderBook) take(o *port.Order) bool {
+// apply checks the order's fencing number and carries the order out. It returns
+// false if the order is stale.
+func (b *orderState) apply(o *port.Order) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.options.FencesOrders && o.Fence < b.fence {
-		b.stale++
+		b.staleCount++
 		return false
 	}
 	b.fence = max(b.fence, o.Fence)
-	b.orders++
-	if len(b.taken) == maxTaken {
-		b.taken = b.taken[1:]
+	b.appliedCount++
+	if len(b.applied) == maxApplied {
+		b.applied = b.applied[1:]
 	}
-	b.taken = append(b.taken, *o)
+	b.applied = append(b.applied, *o)
 	switch o.Kind {
 	case port.OrderLoadModel:
 		b.load(port.ModelVersion{Model: o.Model, Version: o.Version})
@@ -109,12 +110,13 @@
 	return true
 }
 
-// load begins to load a version, unless it is ready or under way.
-func (b *orderBook) load(m port.ModelVersion) {
-	if at := find(b.ready, m.Model); at >= 0 && b.ready[at].Version == m.Version {
+// load starts to load a version of a model, unless this version is ready or
+// being loaded. If another version is being loaded, its result is discarded.
+func (b *orderState) load(m port.ModelVersion) {
+	if at := indexOfModel(b.ready, m.Model); at >= 0 && b.ready[at].Version == m.Version {
 		return
 	}
-	if at := find(b.loading, m.Model); at >= 0 {
+	if at := indexOfModel(b.loading, m.Model); at >= 0 {
 		if b.loading[at].Version == m.Version {
 			return
 		}
@@ -128,29 +130,30 @@
 	go b.fetch(m)
 }
 
-func (b *orderBook) makeReady(m port.ModelVersion) {
-	if at := find(b.ready, m.Model); at >= 0 {
+func (b *orderState) makeReady(m port.ModelVersion) {
+	if at := indexOfModel(b.ready, m.Model); at >= 0 {
 		b.ready[at] = m
 		return
 	}
 	b.ready = append(b.ready, m)
 }
 
-func (b *orderBook) addAdapter(model, adapter string) {
-	at := find(b.ready, model)
+func (b *orderState) addAdapter(model, adapter string) {
+	at := indexOfModel(b.ready, model)
 	if at < 0 || slices.Contains(b.ready[at].Adapters, adapter) {
 		return
 	}
 	b.ready[at].Adapters = append(slices.Clone(b.ready[at].Adapters), adapter)
 }
 
-// fetch reads the weights; a load that failed is neither loading nor ready
-// afterwards, so that whoever ordered it sees that it must be repeated.
-func (b *orderBook) fetch(m port.ModelVersion) {
+// fetch reads the weights and makes the model ready. After a failed read the
+// model is neither loading nor ready, so that the sender of the order can see
+// that it must be repeated.
+func (b *orderState) fetch(m port.ModelVersion) {
 	loaded := b.readWeights(m)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	at := find(b.loading, m.Model)
+	at := indexOfModel(b.loading, m.Model)
 	if at < 0 || b.loading[at].Version != m.Version {
 		return
 	}
@@ -160,7 +163,7 @@
 	}
 }
 
-func (b *orderBook) readWeights(m port.ModelVersion) bool {
+func (b *orderState) readWeights(m port.ModelVersion) bool {
 	address := b.options.WeightsURL + "/v1/weights/" + url.PathEscape(m.Model) + "/" + url.PathEscape(m.Version)
 	res, err := http.Get(address)
 	if err != nil {
@@ -181,18 +184,18 @@
 		switches.Refuse(w, http.StatusBadRequest, "bad_order", "unknown kind")
 		return
 	}
-	if !e.orders.take(&o) {
+	if !e.orders.apply(&o) {
 		switches.Refuse(w, http.StatusConflict, "stale_fence", "")
 		return
 	}
 	switches.WriteJSON(w, http.StatusOK, e.orders.snapshot(e.state()))
 }
 
-func (e *Engine) serveTakenOrders(w http.ResponseWriter, _ *http.Request) {
+func (e *Engine) serveAppliedOrders(w http.ResponseWriter, _ *http.Request) {
 	e.orders.mu.Lock()
-	taken := append([]port.Order{}, e.orders.taken...)
+	applied := append([]port.Order{}, e.orders.applied...)
 	e.orders.mu.Unlock()
-	switches.WriteJSON(w, http.StatusOK, TakenOrders{Orders: taken})
+	switches.WriteJSON(w, http.StatusOK, TakenOrders{Orders: applied})
 }
 
 func (e *Engine) serveState(w http.ResponseWriter, _ *http.Request) {
--- a/internal/standin/engine/prompt.go
+++ b/internal/standin/engine/prompt.go
@@ -11,20 +11,23 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// BytesPerToken is how the stand-in counts a prompt's tokens.
+// BytesPerToken is the number of prompt bytes that count as one token.
 const BytesPerToken = 4
 
-// The lognormal that output lengths are drawn from where the prompt doesn't
-// set one: half are below the median, one in a hundred above 16 times it.
+// Parameters of the lognormal distribution of output lengths, used if the
+// prompt doesn't set the length. Half of the lengths are below the median, one
+// in a hundred is above 16 times the median.
 const (
 	medianTokens = 80
 	sigmaTokens  = 1.2
 )
 
-// lengthDirective in a prompt sets the output length, as in [[tokens=120]].
+// lengthDirective matches the part of a prompt that sets the output length, for
+// example [[tokens=120]].
 var lengthDirective = regexp.MustCompile(`\[\[tokens=(\d{1,6})\]\]`)
 
-// LengthDirective returns the text that makes a prompt's answer n tokens long.
+// LengthDirective returns the prompt text that sets the output length to n
+// tokens.
 func LengthDirective(n int) string { return fmt.Sprintf("[[tokens=%d]]", n) }
 
 // PromptTokens counts the tokens of a prompt.
@@ -32,7 +35,8 @@
 	return max(1, (len(prompt)+BytesPerToken-1)/BytesPerToken)
 }
 
-// PrefixHashes hashes the prompt up to the end of each of its full blocks.
+// PrefixHashes returns one hash per full block of the prompt. Each covers the
+// prompt from its start to the end of the block.
 func PrefixHashes(prompt string, blockTokens int) []uint64 {
 	blockBytes := blockTokens * BytesPerToken
 	digest := xxhash.New()
@@ -46,43 +50,46 @@
 	return hashes
 }
 
-// outputTokens is the length of the answer: as the prompt says, else drawn
-// from seed and prompt, so that it repeats.
+// outputTokens returns the output length that the prompt sets, or else a random
+// length. The random length depends only on the seed and the prompt, so it is
+// reproducible.
 func outputTokens(prompt string, seed uint64) int {
-	if found := lengthDirective.FindStringSubmatch(prompt); found != nil {
-		n, err := strconv.Atoi(found[1])
+	if match := lengthDirective.FindStringSubmatch(prompt); match != nil {
+		n, err := strconv.Atoi(match[1])
 		if err == nil {
 			return max(1, n)
 		}
 	}
-	draw := rand.New(rand.NewPCG(seed, xxhash.Sum64String(prompt)))
-	return max(1, int(medianTokens*math.Exp(sigmaTokens*draw.NormFloat64())))
+	rng := rand.New(rand.NewPCG(seed, xxhash.Sum64String(prompt)))
+	return max(1, int(medianTokens*math.Exp(sigmaTokens*rng.NormFloat64())))
 }
 
-// TokenText is the token with the index in a generation. It names both, so
-// that a caller can tell a lost, doubled or foreign token.
+// TokenText returns the token with this index. It contains a hash of the
+// generation id and the index, so that a caller can detect a missing,
+// duplicated or foreign token.
 func TokenText(generation string, index int) string {
 	return fmt.Sprintf("%08x.%d ", uint32(xxhash.Sum64String(generation)), index)
 }
 
-// CheckText reads tokens put together as TokenText made them, and returns how
-// many there are, or what is wrong with them.
+// CheckText checks a concatenation of tokens made by TokenText and returns
+// their number. At the first token that is malformed, out of sequence or of
+// another generation, it returns an error and the number of tokens before it.
 func CheckText(text string) (int, error) {
-	run := ""
+	first := ""
 	fields := strings.Fields(text)
 	for want, field := range fields {
 		generation, index, found := strings.Cut(field, ".")
 		if !found {
-			return want, fmt.Errorf("token %d: %q is no token", want, field)
+			return want, fmt.Errorf("token %d: %q is not of the form GENERATION.INDEX", want, field)
 		}
-		if run == "" {
-			run = generation
+		if first == "" {
+			first = generation
 		}
-		if generation != run {
-			return want, fmt.Errorf("token %d: generation %s after %s", want, generation, run)
+		if generation != first {
+			return want, fmt.Errorf("token %d: generation hash is %s, want %s", want, generation, first)
 		}
 		if index != strconv.Itoa(want) {
-			return want, fmt.Errorf("token %d: got token %s", want, index)
+			return want, fmt.Errorf("token %d: index is %s", want, index)
 		}
 	}
 	return len(fields), nil
--- a/internal/standin/engine/sampler.go
+++ b/internal/standin/engine/sampler.go
@@ -9,38 +9,40 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/standin/enginemodel"
 )
 
-// sampleInterval is how often load and cache events are sampled.
+// sampleInterval is the time between two samples of load and cache events.
 const sampleInterval = 20 * time.Millisecond
 
-// moment is what the engine could have reported at one time.
-type moment struct {
+// sample is the load report and the newest cache event at one time.
+type sample struct {
 	taken    time.Time
 	report   port.LoadReport
 	cacheSeq uint64
 }
 
-// sampler holds recent moments, so that what is shown is late.
+// sampler stores recent samples, so that reports can be served with a delay.
 type sampler struct {
 	mu      sync.Mutex
-	moments []moment
+	samples []sample
 }
 
-// add keeps a moment, and those that are still to be shown after lag.
-func (s *sampler) add(m moment, lag time.Duration) {
+// add stores a sample and removes the samples that delayed no longer returns
+// with this lag.
+func (s *sampler) add(m sample, lag time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.moments = append(s.moments, m)
-	for len(s.moments) > 1 && m.taken.Sub(s.moments[1].taken) >= lag {
-		s.moments = s.moments[1:]
+	s.samples = append(s.samples, m)
+	for len(s.samples) > 1 && m.taken.Sub(s.samples[1].taken) >= lag {
+		s.samples = s.samples[1:]
 	}
 }
 
-// shown returns the newest moment that is as old as lag, or the oldest.
-func (s *sampler) shown(now time.Time, lag time.Duration) moment {
+// delayed returns the newest sample that is at least lag old, or the oldest
+// sample if there is none.
+func (s *sampler) delayed(now time.Time, lag time.Duration) sample {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	found := s.moments[0]
-	for _, m := range s.moments[1:] {
+	found := s.samples[0]
+	for _, m := range s.samples[1:] {
 		if now.Sub(m.taken) < lag {
 			break
 		}
@@ -71,7 +73,7 @@
 	report.Incarnation = e.options.Incarnation
 	report.TakenUnixMillis = now.UnixMilli()
 	report.Models = e.orders.readyModels()
-	e.sampler.add(moment{taken: now, report: report, cacheSeq: seq}, max(e.reportLag(), e.options.CacheEventLag))
+	e.sampler.add(sample{taken: now, report: report, cacheSeq: seq}, max(e.reportLag(), e.options.CacheEventLag))
 }
 
 func (e *Engine) reportLag() time.Duration {
@@ -81,10 +83,10 @@
 	return e.options.ReportLag
 }
 
-// load is the late report. That the engine leaves is never late: it is the
-// engine's own word.
+// load returns the delayed load report with the current state. The state isn't
+// delayed, because it is the engine itself that announces that it is leaving.
 func (e *Engine) load() port.LoadReport {
-	report := e.sampler.shown(time.Now(), e.reportLag()).report
+	report := e.sampler.delayed(time.Now(), e.reportLag()).report
 	report.State = e.state()
 	return report
 }
@@ -96,21 +98,23 @@
 	return port.EndpointLive
 }
 
-// cacheEvents are late and have gaps.
-func (e *Engine) cacheEvents(after uint64) (shown []enginemodel.CacheEvent, next uint64) {
-	newest := e.sampler.shown(time.Now(), e.options.CacheEventLag).cacheSeq
+// cacheEvents returns the events after a sequence number, delayed by
+// Options.CacheEventLag and with the gaps of Options.CacheEventGap, and the
+// sequence number from which to continue.
+func (e *Engine) cacheEvents(after uint64) (events []enginemodel.CacheEvent, next uint64) {
+	newestSeq := e.sampler.delayed(time.Now(), e.options.CacheEventLag).cacheSeq
 	e.mu.Lock()
-	events, _ := e.model.CacheEvents(after)
+	all, _ := e.model.CacheEvents(after)
 	e.mu.Unlock()
-	shown = []enginemodel.CacheEvent{}
-	for _, event := range events {
-		if event.Seq > newest {
+	events = []enginemodel.CacheEvent{}
+	for _, event := range all {
+		if event.Seq > newestSeq {
 			break
 		}
 		if gap := e.options.CacheEventGap; gap > 0 && event.Seq%gap == 0 {
 			continue
 		}
-		shown = append(shown, event)
+		events = append(events, event)
 	}
-	return shown, max(after, newest)
+	return events, max(after, newestSeq)
 }
--- a/internal/standin/engine/stream.go
+++ b/internal/standin/engine/stream.go
@@ -11,8 +11,9 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/standin/switches"
 )
 
-// crossEvery is how often a foreign frame is mixed in.
-const crossEvery = 3
+// foreignFrameInterval is the number of tokens between two injected frames of
+// another generation.
+const foreignFrameInterval = 3
 
 // connection sends one generation's frames to one client.
 type connection struct {
@@ -20,14 +21,14 @@
 	session    *sse.Session
 	request    *http.Request
 	generation *generation
-	// started tells the connection that started the generation.
-	started bool
+	// isStart is set on the connection whose request started the generation.
+	isStart bool
 	sent    int
 }
 
-// stream sends frames from an index on. When the client goes, the generation
-// goes on.
-func (e *Engine) stream(w http.ResponseWriter, r *http.Request, g *generation, from int, started bool) {
+// stream sends the generation's frames to the client, beginning with index
+// from. If the client disconnects, the generation continues.
+func (e *Engine) stream(w http.ResponseWriter, r *http.Request, g *generation, from int, isStart bool) {
 	session, err := sse.Upgrade(w, r)
 	if err != nil {
 		switches.Refuse(w, http.StatusInternalServerError, "no_stream", err.Error())
@@ -36,37 +37,38 @@
 	if session.Flush() != nil {
 		return
 	}
-	c := &connection{engine: e, session: session, request: r, generation: g, started: started}
+	c := &connection{engine: e, session: session, request: r, generation: g, isStart: isStart}
 	c.run(from)
 }
 
 func (c *connection) run(next int) {
 	for {
-		now := c.generation.progress()
-		for next < now.tokens {
-			if !c.token(next) {
+		current := c.generation.progress()
+		for next < current.tokens {
+			if !c.sendToken(next) {
 				return
 			}
 			next++
 		}
-		switch now.status {
+		switch current.status {
 		case port.GenerationCancelled:
 			return
 		case port.GenerationFinished:
-			c.final()
+			c.sendFinal()
 			return
 		}
 		select {
-		case <-now.changed:
+		case <-current.changed:
 		case <-c.request.Context().Done():
 			return
 		}
 	}
 }
 
-// token sends one token with its faults, and reports whether to go on.
-func (c *connection) token(index int) bool {
-	if !c.unstalled() {
+// sendToken sends the frame of one token and applies the faults to it. It
+// returns false if the stream has ended.
+func (c *connection) sendToken(index int) bool {
+	if !c.waitWhileStalled() {
 		return false
 	}
 	faults := c.frameFaults()
@@ -74,7 +76,7 @@
 	if index == 0 {
 		c.addLoad(&frame)
 	}
-	if faults.CrossGeneration && index%crossEvery == 1 {
+	if faults.CrossGeneration && index%foreignFrameInterval == 1 {
 		foreign := frame
 		foreign.Generation = "crossed-" + frame.Generation
 		foreign.Text = TokenText(foreign.Generation, index)
@@ -102,8 +104,8 @@
 	return true
 }
 
-func (c *connection) final() {
-	if !c.unstalled() || c.frameFaults().EarlyClose {
+func (c *connection) sendFinal() {
+	if !c.waitWhileStalled() || c.frameFaults().EarlyClose {
 		return
 	}
 	frame := c.generation.frame(c.generation.total)
@@ -111,17 +113,18 @@
 	c.send(&frame)
 }
 
-// frameFaults are the faults that hit this connection.
+// frameFaults returns the frame faults of this connection. A connection that
+// resumes a generation has none.
 func (c *connection) frameFaults() Faults {
-	if !c.started {
+	if !c.isStart {
 		return Faults{}
 	}
 	return c.engine.faults.Get()
 }
 
-// unstalled waits while the link stalls, and reports whether the client is
-// still there.
-func (c *connection) unstalled() bool {
+// waitWhileStalled blocks while Faults.Stall is set. It returns false if the
+// client disconnects in the meantime.
+func (c *connection) waitWhileStalled() bool {
 	for {
 		changed := c.engine.faults.Changed()
 		if !c.engine.faults.Get().Stall {
@@ -143,7 +146,7 @@
 func (c *connection) send(frame *port.Frame) bool {
 	raw, err := json.Marshal(frame)
 	if err != nil {
-		// A frame holds plain values only.
+		// Marshalling can't fail, as a frame holds only plain values.
 		panic(err)
 	}
 	message := &sse.Message{ID: sse.ID(frame.Generation + ":" + strconv.Itoa(frame.Index))}
