--- a/internal/standin/enginemodel/cache.go
+++ b/internal/standin/enginemodel/cache.go
@@ -2,10 +2,10 @@
 
 import "container/list"
 
-// CacheOp is a change of the prefix cache.
+// CacheOp is the kind of a change of the prefix cache.
 type CacheOp string
 
-// The changes of the prefix cache.
+// The kinds of changes of the prefix cache.
 const (
 	CacheAdd  CacheOp = "add"
 	CacheDrop CacheOp = "drop"
@@ -22,36 +22,39 @@
 type prefixBlock struct {
 	hash uint64
 	refs int
-	// idle is its place among the evictable blocks while refs is zero.
+	// idle is the block's element in the list of evictable blocks while refs
+	// is zero.
 	idle *list.Element
 }
 
-// blockCache counts blocks: free, held by jobs, or idle prefixes that any
-// allocation may evict, the least recently used first.
+// blockCache accounts for the blocks of the cache. A block is free, used by
+// jobs, or an idle prefix block. Any allocation may evict idle prefix blocks,
+// the least recently used first.
 type blockCache struct {
-	total    int
-	free     int
-	prefixes map[uint64]*prefixBlock
-	idle     *list.List
-	events   []CacheEvent
-	limit    int
-	seq      uint64
+	total     int
+	free      int
+	prefixes  map[uint64]*prefixBlock
+	idle      *list.List
+	events    []CacheEvent
+	maxEvents int
+	seq       uint64
 }
 
 func newBlockCache(total, eventLimit int) blockCache {
 	return blockCache{
-		total:    total,
-		free:     total,
-		prefixes: make(map[uint64]*prefixBlock),
-		idle:     list.New(),
-		limit:    eventLimit,
+		total:     total,
+		free:      total,
+		prefixes:  make(map[uint64]*prefixBlock),
+		idle:      list.New(),
+		maxEvents: eventLimit,
 	}
 }
 
 func (c *blockCache) used() int { return c.total - c.free - c.idle.Len() }
 
-// take allocates n blocks, evicting idle prefixes, or nothing at all.
-func (c *blockCache) take(n int) bool {
+// allocate takes n free blocks, evicting idle prefix blocks if needed. If free
+// and idle blocks together are fewer than n, it takes none and returns false.
+func (c *blockCache) allocate(n int) bool {
 	if c.free+c.idle.Len() < n {
 		return false
 	}
@@ -67,10 +70,11 @@
 	block := c.idle.Remove(oldest).(*prefixBlock)
 	delete(c.prefixes, block.hash)
 	c.free++
-	c.note(CacheDrop, block.hash)
+	c.recordEvent(CacheDrop, block.hash)
 }
 
-// acquirePrefix shares the longest cached run of the job's leading blocks.
+// acquirePrefix adds the longest cached prefix of the job, of at most this many
+// blocks, to its shared blocks and returns their number.
 func (c *blockCache) acquirePrefix(j *job, blocks int) int {
 	for _, hash := range j.PrefixHashes[:blocks] {
 		block, cached := c.prefixes[hash]
@@ -98,11 +102,12 @@
 		c.prefixes[hash] = block
 		j.shared = append(j.shared, block)
 		j.private--
-		c.note(CacheAdd, hash)
+		c.recordEvent(CacheAdd, hash)
 	}
 }
 
-// release frees the job's blocks; prefixes without users become evictable.
+// release frees the job's blocks. Prefix blocks that no other job uses become
+// evictable.
 func (c *blockCache) release(j *job) {
 	c.free += j.private
 	j.private = 0
@@ -115,9 +120,9 @@
 	j.shared = nil
 }
 
-func (c *blockCache) note(op CacheOp, hash uint64) {
+func (c *blockCache) recordEvent(op CacheOp, hash uint64) {
 	c.seq++
-	if len(c.events) >= c.limit {
+	if len(c.events) >= c.maxEvents {
 		c.events = append(c.events[:0], c.events[len(c.events)/2+1:]...)
 	}
 	c.events = append(c.events, CacheEvent{Seq: c.seq, Op: op, Hash: hash})
--- a/internal/standin/enginemodel/doc.go
+++ b/internal/standin/enginemodel/doc.go
@@ -1,6 +1,6 @@
-// Package enginemodel is a pure model of one inference engine: continuous
-// batching, prompt prefill, and a bounded cache that fills while decoding.
-// It owns no clock, socket or goroutine, so the stand-in engine and the
-// policy bench step the very same model. An Engine isn't safe for concurrent
-// use; its owner locks it.
+// Package enginemodel is a model of one inference engine: continuous batching,
+// prompt prefill, and a bounded cache that fills while decoding. It uses no
+// clock, socket or goroutine, so that the stand-in engine and the policy bench
+// can run the same model. An Engine isn't safe for concurrent use; the caller
+// must lock it.
 package enginemodel
--- a/internal/standin/enginemodel/engine.go
+++ b/internal/standin/enginemodel/engine.go
@@ -8,45 +8,48 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// Errors of Submit. After any of them nothing of the job is kept.
+// Errors of Submit. A job that is refused with one of them is not stored.
 var (
 	ErrFull      = merry.Sentinel("engine model: the queue is full")
 	ErrTooLarge  = merry.Sentinel("engine model: prompt and output exceed the whole cache")
-	ErrDuplicate = merry.Sentinel("engine model: the job is already held")
+	ErrDuplicate = merry.Sentinel("engine model: a job with this id is already waiting or running")
 	ErrInvalid   = merry.Sentinel("engine model: a job needs an id, a prompt and an output")
 )
 
-// tokenTimeSmoothing is the weight of the newest step in Load's TokenMillis.
+// tokenTimeSmoothing is the weight of the newest step in the moving average
+// that Load reports as TokenMillis.
 const tokenTimeSmoothing = 0.1
 
-// Config sizes an engine. Zero fields take the value of DefaultConfig, but
-// for SlowFactor (1) and those whose comment says otherwise.
+// Config holds the sizes and times of an engine. Zero fields take the value of
+// DefaultConfig unless their comment says otherwise.
 type Config struct {
 	// BlocksTotal is the size of the cache in blocks of BlockTokens tokens.
 	BlocksTotal int
 	BlockTokens int
-	// MaxBatch bounds the jobs that run at once.
+	// MaxBatch is the maximum number of jobs that run at once.
 	MaxBatch int
-	// MaxWaiting bounds the engine's queue; zero is no bound.
+	// MaxWaiting bounds the engine's queue; zero means no bound.
 	MaxWaiting int
 	// PrefillTokens bounds the prompt tokens computed in one step.
 	PrefillTokens int
-	// WholePrompts forbids splitting a prompt over steps: a step takes
-	// prompts up to PrefillTokens, but at least one.
+	// WholePrompts forbids splitting a prompt over several steps: a step
+	// computes whole prompts of at most PrefillTokens together, but always at
+	// least one prompt.
 	WholePrompts bool
-	// StepBase is the time of a step; each decoding job adds StepPerJob, each
-	// prompt token computed in the step PrefillPerToken. All jobs wait for it.
+	// StepBase is the base duration of a step. Each decoding job adds
+	// StepPerJob, and each prompt token computed in the step adds
+	// PrefillPerToken. All running jobs wait for the end of the step.
 	StepBase        time.Duration
 	StepPerJob      time.Duration
 	PrefillPerToken time.Duration
-	// SlowFactor multiplies the time of each step.
+	// SlowFactor multiplies the duration of each step; the default is 1.
 	SlowFactor float64
 	// CacheEventLimit bounds the cache events kept for CacheEvents.
 	CacheEventLimit int
 }
 
-// DefaultConfig is a small engine: some 32,000 tokens of cache, 12 ms a step
-// when nearly idle, 0.1 ms per prompt token.
+// DefaultConfig returns the configuration of a small engine: about 32,000
+// tokens of cache, 12 ms per step when nearly idle, 0.1 ms per prompt token.
 func DefaultConfig() Config {
 	return Config{
 		BlocksTotal:     2000,
@@ -81,38 +84,41 @@
 	}
 }
 
-// Job is one generation asked of the engine.
+// Job is one generation to run.
 type Job struct {
 	ID           string
 	PromptTokens int
-	// OutputTokens is the true length, which nobody outside knows ahead.
+	// OutputTokens is the actual output length, which isn't known outside the
+	// engine before the job has finished.
 	OutputTokens int
-	// Priority: larger is admitted first and preempted last.
+	// Priority orders jobs: those with a larger value are admitted first and
+	// preempted last.
 	Priority int
-	// PrefixHashes name the full leading blocks of the prompt, in order.
+	// PrefixHashes identify the full leading blocks of the prompt, in order.
 	PrefixHashes []uint64
 }
 
-// TokenEvent is one token, or the last one, of a job.
+// TokenEvent is one generated token of a job.
 type TokenEvent struct {
 	JobID string
-	// Index counts the job's tokens from 0, each exactly once, in order:
-	// recomputation after a preemption repeats none.
+	// Index numbers the job's tokens from 0. Each index occurs exactly once and
+	// in order: recomputation after a preemption repeats none.
 	Index int
 	Final bool
 }
 
-// JobState tells where a job is.
+// JobState is the state of a job in the engine.
 type JobState int
 
-// The states of a job. A finished or cancelled job is unknown again.
+// The states of a job. A finished or cancelled job is unknown, as it is removed.
 const (
 	JobUnknown JobState = iota
 	JobWaiting
 	JobRunning
 )
 
-// Engine is the model. Step it whenever the previous step has ended.
+// Engine is the engine model. Call Step whenever the duration of the previous
+// step has passed.
 type Engine struct {
 	config  Config
 	cache   blockCache
@@ -126,7 +132,7 @@
 	tokenMillis float64
 }
 
-// New makes an empty engine.
+// New returns an engine without jobs.
 func New(c Config) *Engine {
 	c = c.withDefaults()
 	return &Engine{
@@ -136,17 +142,18 @@
 	}
 }
 
-// Config returns the configuration in force, defaults filled in.
+// Config returns the current configuration, with defaults applied.
 func (e *Engine) Config() Config { return e.config }
 
-// SetSlowFactor stretches the steps from the next one on; 1 is normal.
+// SetSlowFactor sets the factor that multiplies the duration of each step from
+// the next one on; 1 is normal speed. It ignores values that aren't positive.
 func (e *Engine) SetSlowFactor(f float64) {
 	if f > 0 {
 		e.config.SlowFactor = f
 	}
 }
 
-// Submit queues a job. It may run from the next step on.
+// Submit queues a job. The job may run from the next step on.
 func (e *Engine) Submit(now time.Time, j Job) error {
 	if j.ID == "" || j.PromptTokens < 1 || j.OutputTokens < 1 {
 		return merry.Wrap(ErrInvalid)
@@ -161,13 +168,13 @@
 		return merry.Wrap(ErrFull)
 	}
 	e.submitted++
-	added := &job{Job: j, order: e.submitted, submitted: now}
+	added := &job{Job: j, sequence: e.submitted, submitted: now}
 	e.jobs[j.ID] = added
 	e.enqueue(added)
 	return nil
 }
 
-// Cancel forgets a job, frees its blocks and returns the state it had.
+// Cancel removes a job, frees its blocks and returns its previous state.
 func (e *Engine) Cancel(id string) JobState {
 	j, held := e.jobs[id]
 	if !held {
@@ -183,27 +190,28 @@
 	return JobWaiting
 }
 
-// State returns a job's state and the tokens it has yielded.
+// State returns a job's state and the number of tokens generated so far.
 func (e *Engine) State(id string) (JobState, int) {
 	j, held := e.jobs[id]
 	switch {
 	case !held:
 		return JobUnknown, 0
 	case j.running:
-		return JobRunning, j.yielded
+		return JobRunning, j.generated
 	default:
-		return JobWaiting, j.yielded
+		return JobWaiting, j.generated
 	}
 }
 
-// Idle reports whether a step would have nothing to do.
+// Idle reports whether no job is running or waiting.
 func (e *Engine) Idle() bool { return len(e.running) == 0 && len(e.waiting) == 0 }
 
-// Preemptions counts since New.
+// Preemptions returns the number of preemptions since New.
 func (e *Engine) Preemptions() uint64 { return e.preemptions }
 
-// Load is a report of this very moment: its owner adds identity, state and
-// lag. Blocks that only hold cached prefixes count as free.
+// Load returns a report of the current load. The caller adds identity, state
+// and delay. Blocks that hold only cached prefixes that no job uses count as
+// free.
 func (e *Engine) Load() port.LoadReport {
 	return port.LoadReport{
 		BlocksTotal:         e.config.BlocksTotal,
@@ -211,25 +219,26 @@
 		BlockTokens:         e.config.BlockTokens,
 		Running:             len(e.running),
 		Waiting:             len(e.waiting),
-		WaitingPromptTokens: e.promptTokensAhead(),
+		WaitingPromptTokens: e.pendingPrefillTokens(),
 		Preemptions:         e.preemptions,
 		TokenMillis:         e.tokenMillis,
 	}
 }
 
 // CacheEvents returns the events after a sequence number and the newest
-// number. Events that fell out of the bounded history are a gap.
+// sequence number. Events that are no longer in the bounded history are
+// missing, which leaves a gap in the sequence numbers.
 func (e *Engine) CacheEvents(after uint64) (events []CacheEvent, next uint64) {
 	return e.cache.eventsAfter(after)
 }
 
-func (e *Engine) promptTokensAhead() int {
+func (e *Engine) pendingPrefillTokens() int {
 	tokens := 0
 	for _, j := range e.waiting {
-		tokens += j.context()
+		tokens += j.contextTokens()
 	}
 	for _, j := range e.running {
-		tokens += j.context() - j.computed
+		tokens += j.contextTokens() - j.computed
 	}
 	return tokens
 }
--- a/internal/standin/enginemodel/engine_test.go
+++ b/internal/standin/enginemodel/engine_test.go
@@ -52,9 +52,10 @@
 	}
 }
 
-// The caller sees one long gap: another caller's prompt is computed in the
-// same step as its next token, and a step ends for all at once.
-func TestPrefillStretchesTheStepForAll(t *testing.T) {
+// A prompt that is computed in the same step as another job's next token delays
+// that token, as a step ends for all jobs at once. The other job's caller sees
+// one long gap.
+func TestPrefillDelaysAllJobsOfTheStep(t *testing.T) {
 	for name, whole := range map[string]bool{"chunked": false, "whole": true} {
 		t.Run(name, func(t *testing.T) {
 			c := smallConfig()
@@ -62,21 +63,21 @@
 			e := New(c)
 			mustSubmit(t, e, Job{ID: "short", PromptTokens: 2, OutputTokens: 50})
 			e.Step(start)
-			alone, _ := e.Step(start)
+			before, _ := e.Step(start)
 			mustSubmit(t, e, Job{ID: "long", PromptTokens: 40, OutputTokens: 2})
-			stretched, _ := e.Step(start)
+			during, _ := e.Step(start)
 			tokens := c.PrefillTokens
 			if whole {
 				tokens = 40
 			}
-			if got, want := stretched-alone, time.Duration(tokens)*c.PrefillPerToken; got != want {
-				t.Fatalf("stretched by %v, want %v", got, want)
+			if got, want := during-before, time.Duration(tokens)*c.PrefillPerToken; got != want {
+				t.Fatalf("the prompt added %v to the step, want %v", got, want)
 			}
 		})
 	}
 }
 
-func TestStepGrowsWithTheBatchAndSlowFactor(t *testing.T) {
+func TestStepTimeGrowsWithBatchAndSlowFactor(t *testing.T) {
 	e := New(smallConfig())
 	mustSubmit(t, e, Job{ID: "a", PromptTokens: 2, OutputTokens: 50})
 	e.Step(start)
@@ -85,7 +86,7 @@
 	e.Step(start)
 	two, _ := e.Step(start)
 	if two-one != e.Config().StepPerJob {
-		t.Fatalf("two %v, one %v", two, one)
+		t.Fatalf("step of two jobs takes %v, of one %v: the difference is not StepPerJob", two, one)
 	}
 	e.SetSlowFactor(3)
 	if slow, _ := e.Step(start); slow != 3*two {
@@ -93,9 +94,9 @@
 	}
 }
 
-// The caller of the younger job sees a stall: the cache fills while both
-// decode, the younger loses its blocks, waits, and computes its context
-// again. No token is lost or repeated.
+// If the cache fills while several jobs decode, the youngest job of the lowest
+// priority is preempted: it loses its blocks, waits, and its context is computed
+// again. Its caller sees a stall, but no token is lost or repeated.
 func TestPreemptsYoungestOfLowestPriority(t *testing.T) {
 	c := smallConfig()
 	c.BlocksTotal = 10
@@ -123,14 +124,14 @@
 		}
 	}
 	if preemptedFirst != "young" {
-		t.Fatalf("first preempted %q, want young", preemptedFirst)
+		t.Fatalf("first preempted job is %q, want young", preemptedFirst)
 	}
 	if seen["high"] != 12 || seen["old"] != 20 || seen["young"] != 20 {
-		t.Fatalf("tokens %v", seen)
+		t.Fatalf("numbers of tokens %v, want 12, 20 and 20", seen)
 	}
 }
 
-func TestPrefixCacheSavesPrefillAndTellsEvents(t *testing.T) {
+func TestPrefixCacheSavesPrefillAndRecordsEvents(t *testing.T) {
 	e := New(smallConfig())
 	hashes := []uint64{11, 12, 13}
 	mustSubmit(t, e, Job{ID: "a", PromptTokens: 13, OutputTokens: 1, PrefixHashes: hashes})
@@ -138,18 +139,18 @@
 	mustSubmit(t, e, Job{ID: "b", PromptTokens: 13, OutputTokens: 1, PrefixHashes: hashes})
 	second, _ := e.Step(start)
 	if saved := first - second; saved != 12*e.Config().PrefillPerToken {
-		t.Fatalf("saved %v", saved)
+		t.Fatalf("the cached prefix saved %v, want the prefill of 12 tokens", saved)
 	}
 	events, next := e.CacheEvents(0)
 	if len(events) != 3 || next != 3 || events[0].Op != CacheAdd || events[2].Hash != 13 {
-		t.Fatalf("events %v next %d", events, next)
+		t.Fatalf("events after the first prompt: %v, next %d", events, next)
 	}
-	// A job that needs the whole cache evicts the idle prefixes.
+	// A job that needs the whole cache evicts the idle prefix blocks.
 	mustSubmit(t, e, Job{ID: "c", PromptTokens: 158, OutputTokens: 1})
 	e.Step(start)
 	events, _ = e.CacheEvents(next)
 	if len(events) != 3 || events[0].Op != CacheDrop {
-		t.Fatalf("events %v", events)
+		t.Fatalf("events after the eviction: %v", events)
 	}
 }
 
@@ -167,32 +168,32 @@
 	}
 }
 
-// Whatever is submitted and cancelled, no step holds more blocks or jobs than
-// configured, every job yields each token once in order, and an idle engine
-// holds no block.
+// For any sequence of submits, cancels and steps, no step uses more blocks or
+// jobs than configured, every job that isn't cancelled generates each of its
+// tokens once and in order, and an idle engine uses no block.
 func TestEngineProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := smallConfig()
-		c.WholePrompts = rapid.Bool().Draw(t, "whole")
-		c.BlocksTotal = rapid.IntRange(12, 40).Draw(t, "blocks")
+		c.WholePrompts = rapid.Bool().Draw(t, "whole prompts")
+		c.BlocksTotal = rapid.IntRange(12, 40).Draw(t, "total blocks")
 		e := New(c)
 		want := map[string]int{}
 		seen := map[string]int{}
 		step := func() {
 			d, events := e.Step(start)
 			if load := e.Load(); load.BlocksUsed > c.BlocksTotal || load.BlocksUsed < 0 || load.Running > c.MaxBatch {
-				t.Fatalf("over the bounds: %+v", load)
+				t.Fatalf("blocks or running jobs exceed the configuration: %+v", load)
 			}
 			if d == 0 && !e.Idle() {
-				t.Fatal("no progress with jobs held")
+				t.Fatal("a step did nothing although jobs are waiting or running")
 			}
 			for _, event := range events {
 				if event.Index != seen[event.JobID] {
-					t.Fatalf("%s: token %d, seen %d", event.JobID, event.Index, seen[event.JobID])
+					t.Fatalf("%s: token %d after %d tokens", event.JobID, event.Index, seen[event.JobID])
 				}
 				seen[event.JobID]++
 				if event.Final != (seen[event.JobID] == want[event.JobID]) {
-					t.Fatalf("%s: final %v at %d of %d", event.JobID, event.Final, seen[event.JobID], want[event.JobID])
+					t.Fatalf("%s: final is %v at token %d of %d", event.JobID, event.Final, seen[event.JobID], want[event.JobID])
 				}
 			}
 		}
@@ -202,10 +203,10 @@
 				n++
 				j := Job{
 					ID:           fmt.Sprint(n),
-					PromptTokens: rapid.IntRange(1, 30).Draw(t, "prompt"),
-					OutputTokens: rapid.IntRange(1, 40).Draw(t, "output"),
+					PromptTokens: rapid.IntRange(1, 30).Draw(t, "prompt tokens"),
+					OutputTokens: rapid.IntRange(1, 40).Draw(t, "output tokens"),
 					Priority:     rapid.IntRange(0, 2).Draw(t, "priority"),
-					PrefixHashes: rapid.SliceOfN(rapid.Uint64Range(1, 4), 0, 6).Draw(t, "hashes"),
+					PrefixHashes: rapid.SliceOfN(rapid.Uint64Range(1, 4), 0, 6).Draw(t, "prefix hashes"),
 				}
 				err := e.Submit(start, j)
 				if err == nil {
@@ -231,7 +232,7 @@
 			}
 		}
 		if used := e.Load().BlocksUsed; used != 0 {
-			t.Fatalf("idle with %d blocks in use", used)
+			t.Fatalf("idle engine uses %d blocks", used)
 		}
 	})
 }
--- a/internal/standin/enginemodel/step.go
+++ b/internal/standin/enginemodel/step.go
@@ -5,36 +5,39 @@
 	"time"
 )
 
-// job is one held generation.
+// job is a waiting or running Job with its progress.
 type job struct {
 	Job
-	order     uint64
+	sequence  uint64
 	submitted time.Time
 	running   bool
-	yielded   int
-	// computed counts the tokens of the context whose cache is filled.
+	generated int
+	// computed is the number of context tokens that are in the cache.
 	computed int
-	// shared are cached prefix blocks in use, private the other blocks.
+	// shared are the cached prefix blocks that the job uses, private is the
+	// number of its other blocks.
 	shared  []*prefixBlock
 	private int
 }
 
-// context is the tokens that must be in the cache before the next one.
-func (j *job) context() int { return j.PromptTokens + j.yielded }
+// contextTokens returns the number of tokens that must be in the cache before
+// the next token can be generated.
+func (j *job) contextTokens() int { return j.PromptTokens + j.generated }
 
-func (j *job) decoding() bool { return j.computed >= j.context() }
+func (j *job) decoding() bool { return j.computed >= j.contextTokens() }
 
-// before orders the queue: priority first, then age.
+// before reports whether j comes before other in the queue: jobs with a larger
+// priority come first, then those submitted earlier.
 func (j *job) before(other *job) bool {
 	if j.Priority != other.Priority {
 		return j.Priority > other.Priority
 	}
-	return j.order < other.order
+	return j.sequence < other.sequence
 }
 
-// Step runs one batch that starts now. The events are due when the returned
-// duration is over and are valid until the next call. A zero duration means
-// that there was nothing to do.
+// Step runs one batch. The events become due when the returned duration has
+// passed; the slice is valid until the next call. A zero duration means that
+// there was nothing to do.
 func (e *Engine) Step(_ time.Time) (time.Duration, []TokenEvent) {
 	e.events = e.events[:0]
 	e.admit()
@@ -44,16 +47,17 @@
 	}
 	decoding := e.countDecoding()
 	prefilled := e.prefill()
-	e.yieldTokens()
+	e.emitTokens()
 	d := e.config.StepBase +
 		time.Duration(decoding)*e.config.StepPerJob +
 		time.Duration(prefilled)*e.config.PrefillPerToken
 	d = time.Duration(float64(d) * e.config.SlowFactor)
-	e.noteStep(d)
+	e.updateTokenTime(d)
 	return d, e.events
 }
 
-// admit starts waiting jobs in order while the batch and the cache allow.
+// admit starts waiting jobs in queue order while the batch and the cache have
+// room.
 func (e *Engine) admit() {
 	for len(e.waiting) > 0 && len(e.running) < e.config.MaxBatch {
 		j := e.waiting[0]
@@ -65,31 +69,34 @@
 	}
 }
 
-// start takes the blocks of the whole context and the next token, or none.
+// start allocates the blocks for the job's context and its next token. If the
+// cache has too few, it allocates none and returns false.
 func (e *Engine) start(j *job) bool {
 	hits := e.cache.acquirePrefix(j, e.fullPromptBlocks(j))
-	need := e.blocksFor(j.context()+1) - hits
-	if !e.cache.take(need) {
+	need := e.blocksFor(j.contextTokens()+1) - hits
+	if !e.cache.allocate(need) {
 		e.cache.release(j)
 		return false
 	}
 	j.private = need
 	j.running = true
-	// The last token of the context is always computed: it yields the next.
-	j.computed = min(hits*e.config.BlockTokens, j.context()-1)
+	// The last token of the context is always computed, even if it is cached,
+	// as its computation generates the next token.
+	j.computed = min(hits*e.config.BlockTokens, j.contextTokens()-1)
 	return true
 }
 
-// growDecoding gives each decoding job room for its next token, preempting
-// the lowest priority, then the youngest, where the cache is full.
+// growDecoding allocates a block for each decoding job whose next token needs
+// one. If the cache is full, it preempts the job with the lowest priority and,
+// among those, the one submitted last.
 func (e *Engine) growDecoding() {
 	for i := 0; i < len(e.running); i++ {
 		j := e.running[i]
-		need := e.blocksFor(j.context()+1) - len(j.shared) - j.private
+		need := e.blocksFor(j.contextTokens()+1) - len(j.shared) - j.private
 		if !j.decoding() || need <= 0 {
 			continue
 		}
-		for !e.cache.take(need) {
+		for !e.cache.allocate(need) {
 			victim := e.victim()
 			at := slices.Index(e.running, victim)
 			e.preempt(victim)
@@ -115,7 +122,8 @@
 	return worst
 }
 
-// preempt frees a job's blocks; its context is computed again later.
+// preempt frees a job's blocks and queues the job. Its context must be computed
+// again.
 func (e *Engine) preempt(j *job) {
 	e.preemptions++
 	e.cache.release(j)
@@ -135,44 +143,46 @@
 	return n
 }
 
-// prefill computes prompts, oldest first, and returns the tokens computed.
+// prefill computes the missing context of running jobs, in the order of their
+// admission, and returns the number of tokens computed.
 func (e *Engine) prefill() int {
-	done := 0
+	prefilled := 0
 	for _, j := range e.running {
-		left := j.context() - j.computed
-		if left <= 0 {
+		remaining := j.contextTokens() - j.computed
+		if remaining <= 0 {
 			continue
 		}
-		room := e.config.PrefillTokens - done
-		if e.config.WholePrompts && (left <= room || done == 0) {
-			room = left
+		budget := e.config.PrefillTokens - prefilled
+		if e.config.WholePrompts && (remaining <= budget || prefilled == 0) {
+			budget = remaining
 		}
-		if room <= 0 || (e.config.WholePrompts && room < left) {
+		if budget <= 0 || (e.config.WholePrompts && budget < remaining) {
 			break
 		}
-		n := min(left, room)
+		n := min(remaining, budget)
 		j.computed += n
-		done += n
+		prefilled += n
 		if j.decoding() {
 			e.cache.publishPrefix(j, e.fullPromptBlocks(j))
 		}
 	}
-	return done
+	return prefilled
 }
 
-// yieldTokens gives one token to each job whose context is computed. The
-// token itself enters the cache in the next step.
-func (e *Engine) yieldTokens() {
+// emitTokens generates one token for each job whose context is computed, and
+// removes the jobs that this finishes. The token itself enters the cache in the
+// next step.
+func (e *Engine) emitTokens() {
 	kept := e.running[:0]
 	for _, j := range e.running {
 		if !j.decoding() {
 			kept = append(kept, j)
 			continue
 		}
-		final := j.yielded+1 == j.OutputTokens
-		e.events = append(e.events, TokenEvent{JobID: j.ID, Index: j.yielded, Final: final})
-		j.yielded++
-		j.computed = j.context()
+		final := j.generated+1 == j.OutputTokens
+		e.events = append(e.events, TokenEvent{JobID: j.ID, Index: j.generated, Final: final})
+		j.generated++
+		j.computed = j.contextTokens()
 		if final {
 			e.cache.release(j)
 			delete(e.jobs, j.ID)
@@ -184,7 +194,7 @@
 	e.running = kept
 }
 
-func (e *Engine) noteStep(d time.Duration) {
+func (e *Engine) updateTokenTime(d time.Duration) {
 	millis := float64(d) / float64(time.Millisecond)
 	if e.tokenMillis == 0 {
 		e.tokenMillis = millis
@@ -203,7 +213,8 @@
 	e.waiting = slices.Insert(e.waiting, at, j)
 }
 
-// fullPromptBlocks bounds the hashes to blocks that the prompt fills.
+// fullPromptBlocks returns the number of prefix hashes, limited to the number
+// of blocks that the prompt fills.
 func (e *Engine) fullPromptBlocks(j *job) int {
 	return min(len(j.PrefixHashes), j.PromptTokens/e.config.BlockTokens)
 }
