--- a/internal/standin/platform/hosts.go
+++ b/internal/standin/platform/hosts.go
@@ -7,43 +7,43 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// HostList is the list of hosts as it crosses the wire.
+// HostList is the list of hosts in requests and responses.
 type HostList struct {
 	Endpoints []port.Endpoint `json:"endpoints"`
 }
 
-type datedHosts struct {
+type timestampedList struct {
 	list  HostList
-	since time.Time
+	setAt time.Time
 }
 
-// hosts shows each list a fixed time after it was set.
+// hosts makes each host list visible a fixed time (lag) after it was set.
 type hosts struct {
 	mu    sync.Mutex
 	lag   time.Duration
-	lists []datedHosts
+	lists []timestampedList
 }
 
 func (h *hosts) set(now time.Time, list HostList) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.drop(now)
-	h.lists = append(h.lists, datedHosts{list: list, since: now})
+	h.dropReplaced(now)
+	h.lists = append(h.lists, timestampedList{list: list, setAt: now})
 }
 
-func (h *hosts) shown(now time.Time) HostList {
+func (h *hosts) visible(now time.Time) HostList {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.drop(now)
-	if len(h.lists) == 0 || now.Sub(h.lists[0].since) < h.lag {
+	h.dropReplaced(now)
+	if len(h.lists) == 0 || now.Sub(h.lists[0].setAt) < h.lag {
 		return HostList{Endpoints: []port.Endpoint{}}
 	}
 	return h.lists[0].list
 }
 
-// drop forgets the lists that a newer visible one has replaced.
-func (h *hosts) drop(now time.Time) {
-	for len(h.lists) > 1 && now.Sub(h.lists[1].since) >= h.lag {
+// dropReplaced removes the lists that a newer visible list has replaced.
+func (h *hosts) dropReplaced(now time.Time) {
+	for len(h.lists) > 1 && now.Sub(h.lists[1].setAt) >= h.lag {
 		h.lists = h.lists[1:]
 	}
 }
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -28,17 +28,17 @@
 	MaxWatchWait = time.Minute
 )
 
-// Options of the stand-in. Rates are calls a second.
+// Options configures the stand-in. Rates are in calls per second.
 type Options struct {
 	WritesPerSecond float64
 	ReadsPerSecond  float64
-	// HostLag is the age at which a host list is shown.
+	// HostLag is the time between setting a host list and serving it.
 	HostLag time.Duration
-	// History is how many revisions back a watch may begin.
+	// History is how many revisions back a watch may start.
 	History uint64
 }
 
-// DefaultOptions are the sizes of the brief.
+// DefaultOptions returns the default rates, host lag and history.
 func DefaultOptions() Options {
 	return Options{
 		WritesPerSecond: DefaultWritesPerSecond, ReadsPerSecond: DefaultReadsPerSecond,
@@ -46,16 +46,17 @@
 	}
 }
 
-// Faults are switched by PUT /standin/faults.
+// Faults are set by PUT /standin/faults.
 type Faults struct {
-	// Down refuses every call with 503 and ends the waiting watches.
+	// Down refuses every call with status 503 and ends the waiting watches.
 	Down       bool  `json:"down"`
 	SlowMillis int64 `json:"slow_ms"`
-	// LoseReplies is how many of the next writes take effect without a reply.
+	// LoseReplies is the number of next writes that take effect but whose
+	// connection is closed without a response.
 	LoseReplies int `json:"lose_replies"`
 }
 
-// Stats count calls since the start; WaitingWatches is a gauge.
+// Stats are counters of calls since the start; WaitingWatches is a gauge.
 type Stats struct {
 	Reads          int64 `json:"reads"`
 	Writes         int64 `json:"writes"`
@@ -69,7 +70,7 @@
 	reads, writes, conflicts, throttled, watches, waitingWatches atomic.Int64
 }
 
-// listing is the answer to a list and to a watch.
+// listing is the response to a list and to a watch.
 type listing struct {
 	Objects  []port.Object `json:"objects"`
 	Revision uint64        `json:"revision"`
@@ -77,14 +78,14 @@
 
 // Platform serves the object API.
 type Platform struct {
-	store   *store
-	hosts   hosts
-	faults  switches.Switch[Faults]
-	reads   *rate.Limiter
-	writes  *rate.Limiter
-	count   counters
-	history uint64
-	mux     *http.ServeMux
+	store    *store
+	hosts    hosts
+	faults   switches.Switch[Faults]
+	reads    *rate.Limiter
+	writes   *rate.Limiter
+	counters counters
+	history  uint64
+	mux      *http.ServeMux
 }
 
 // New returns a platform without objects.
@@ -102,16 +103,16 @@
 }
 
 func (p *Platform) routes() {
-	p.mux.HandleFunc("GET /v1/objects/{kind}/{name}", p.reading(p.getObject))
-	p.mux.HandleFunc("GET /v1/objects/{kind}", p.reading(p.listObjects))
-	p.mux.HandleFunc("GET /v1/watch/{kind}", p.reading(p.watchKind))
-	p.mux.HandleFunc("GET /v1/hosts", p.reading(p.listHosts))
-	p.mux.HandleFunc("PUT /v1/objects/{kind}/{name}", p.guard(p.writes, &p.count.writes, p.putObject))
+	p.mux.HandleFunc("GET /v1/objects/{kind}/{name}", p.guardRead(p.getObject))
+	p.mux.HandleFunc("GET /v1/objects/{kind}", p.guardRead(p.listObjects))
+	p.mux.HandleFunc("GET /v1/watch/{kind}", p.guardRead(p.watchKind))
+	p.mux.HandleFunc("GET /v1/hosts", p.guardRead(p.listHosts))
+	p.mux.HandleFunc("PUT /v1/objects/{kind}/{name}", p.guard(p.writes, &p.counters.writes, p.putObject))
 	p.mux.HandleFunc("PUT /standin/hosts", p.setHosts)
 	p.faults.Register(p.mux, func() any { return p.Stats() })
 }
 
-// ServeHTTP serves the API and the switches.
+// ServeHTTP serves the object API and the API that sets the faults.
 func (p *Platform) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	p.mux.ServeHTTP(w, r)
 }
@@ -119,14 +120,14 @@
 // Stats returns the counters.
 func (p *Platform) Stats() Stats {
 	return Stats{
-		Reads: p.count.reads.Load(), Writes: p.count.writes.Load(),
-		Conflicts: p.count.conflicts.Load(), Throttled: p.count.throttled.Load(),
-		Watches: p.count.watches.Load(), WaitingWatches: p.count.waitingWatches.Load(),
+		Reads: p.counters.reads.Load(), Writes: p.counters.writes.Load(),
+		Conflicts: p.counters.conflicts.Load(), Throttled: p.counters.throttled.Load(),
+		Watches: p.counters.watches.Load(), WaitingWatches: p.counters.waitingWatches.Load(),
 	}
 }
 
-func (p *Platform) reading(next http.HandlerFunc) http.HandlerFunc {
-	return p.guard(p.reads, &p.count.reads, next)
+func (p *Platform) guardRead(next http.HandlerFunc) http.HandlerFunc {
+	return p.guard(p.reads, &p.counters.reads, next)
 }
 
 // guard applies the faults and the rate limit, and counts the call.
@@ -139,7 +140,7 @@
 			return
 		}
 		if !limit.Allow() {
-			p.count.throttled.Add(1)
+			p.counters.throttled.Add(1)
 			w.Header().Set("Retry-After", "1")
 			switches.Refuse(w, http.StatusTooManyRequests, "throttled", "")
 			return
@@ -151,7 +152,7 @@
 	}
 }
 
-// pause waits and reports whether the client is still there.
+// pause waits for d. It returns false if the client disconnects before.
 func pause(r *http.Request, d time.Duration) bool {
 	if d <= 0 {
 		return true
@@ -176,12 +177,12 @@
 }
 
 func (p *Platform) listObjects(w http.ResponseWriter, r *http.Request) {
-	objects, revision, _ := p.store.after(r.PathValue("kind"), 0)
+	objects, revision, _ := p.store.changedAfter(r.PathValue("kind"), 0)
 	switches.WriteJSON(w, http.StatusOK, listing{Objects: objects, Revision: revision})
 }
 
 func (p *Platform) listHosts(w http.ResponseWriter, _ *http.Request) {
-	switches.WriteJSON(w, http.StatusOK, p.hosts.shown(time.Now()))
+	switches.WriteJSON(w, http.StatusOK, p.hosts.visible(time.Now()))
 }
 
 func (p *Platform) setHosts(w http.ResponseWriter, r *http.Request) {
@@ -194,28 +195,29 @@
 }
 
 func (p *Platform) putObject(w http.ResponseWriter, r *http.Request) {
-	expect, ok := condition(w, r)
+	expect, ok := expectedVersion(w, r)
 	if !ok {
 		return
 	}
-	value, ok := body(w, r)
+	value, ok := readBody(w, r)
 	if !ok {
 		return
 	}
 	o, ok := p.store.put(r.PathValue("kind"), r.PathValue("name"), expect, value)
-	if p.losesReply(ok) {
+	if p.consumeLostReply(ok) {
 		panic(http.ErrAbortHandler)
 	}
 	if !ok {
-		p.count.conflicts.Add(1)
+		p.counters.conflicts.Add(1)
 		switches.WriteJSON(w, http.StatusPreconditionFailed, o)
 		return
 	}
 	switches.WriteJSON(w, http.StatusOK, o)
 }
 
-// losesReply uses up one lost reply where the write took effect.
-func (p *Platform) losesReply(written bool) bool {
+// consumeLostReply reports whether the response must be lost, and decrements
+// Faults.LoseReplies if so. Only writes that took effect lose their response.
+func (p *Platform) consumeLostReply(written bool) bool {
 	if !written || p.faults.Get().LoseReplies == 0 {
 		return false
 	}
@@ -229,8 +231,10 @@
 	return lost
 }
 
-// condition reads the version that the write expects.
-func condition(w http.ResponseWriter, r *http.Request) (uint64, bool) {
+// expectedVersion returns the stored version that the write's condition
+// requires; zero means that the object must not exist. If the headers are
+// invalid, it has sent the error response and returns false.
+func expectedVersion(w http.ResponseWriter, r *http.Request) (uint64, bool) {
 	if r.Header.Get("If-None-Match") == "*" {
 		return 0, true
 	}
@@ -247,7 +251,7 @@
 	return version, true
 }
 
-func body(w http.ResponseWriter, r *http.Request) (json.RawMessage, bool) {
+func readBody(w http.ResponseWriter, r *http.Request) (json.RawMessage, bool) {
 	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MaxValueBytes))
 	var tooLarge *http.MaxBytesError
 	switch {
--- a/internal/standin/platform/store.go
+++ b/internal/standin/platform/store.go
@@ -1,6 +1,6 @@
-// Package platform is a small stand-in for the platform's service: objects
-// with versions, conditional updates and watches, a lagging list of hosts, a
-// rate limit, and faults that are switched over HTTP.
+// Package platform is a small stand-in for the platform's service. It has
+// versioned objects with conditional updates and watches, a delayed list of
+// hosts, a rate limit, and faults that are set over HTTP.
 package platform
 
 import (
@@ -14,7 +14,8 @@
 
 type objectKey struct{ kind, name string }
 
-// store holds the objects. One lock is enough: the rate limit keeps it idle.
+// store holds the objects. One lock is enough, as the rate limit keeps the load
+// on it low.
 type store struct {
 	mu       sync.Mutex
 	objects  map[objectKey]port.Object
@@ -29,7 +30,7 @@
 	}
 }
 
-// get returns the object and whether it is there.
+// get returns the object and whether it exists.
 func (s *store) get(kind, name string) (port.Object, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -37,8 +38,8 @@
 	return o, ok
 }
 
-// put writes where the stored version is expect, zero for absent. Where it
-// isn't, the current object comes back with false.
+// put writes the object if its stored version is expect; zero means that it
+// doesn't exist. Otherwise put returns the current object and false.
 func (s *store) put(kind, name string, expect uint64, value json.RawMessage) (port.Object, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -57,9 +58,10 @@
 	return next, true
 }
 
-// after returns the kind's objects that are newer than revision, oldest
-// first, the store's revision, and a channel closed at the kind's next change.
-func (s *store) after(kind string, revision uint64) ([]port.Object, uint64, <-chan struct{}) {
+// changedAfter returns the kind's objects that changed after the revision,
+// oldest change first, the store's current revision, and a channel that is
+// closed at the kind's next change.
+func (s *store) changedAfter(kind string, revision uint64) ([]port.Object, uint64, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	found := []port.Object{}
--- a/internal/standin/platform/watch.go
+++ b/internal/standin/platform/watch.go
@@ -9,25 +9,25 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/standin/switches"
 )
 
-// watchKind answers once the kind has changes past the revision, or with none
-// when the wait is over.
+// watchKind responds as soon as objects of the kind have changed after the
+// revision, or with an empty list when the wait time has passed.
 func (p *Platform) watchKind(w http.ResponseWriter, r *http.Request) {
-	p.count.watches.Add(1)
+	p.counters.watches.Add(1)
 	after, wait, ok := watchQuery(w, r)
 	if !ok {
 		return
 	}
-	p.count.waitingWatches.Add(1)
-	defer p.count.waitingWatches.Add(-1)
+	p.counters.waitingWatches.Add(1)
+	defer p.counters.waitingWatches.Add(-1)
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
-		switched := p.faults.Changed()
+		faultsChanged := p.faults.Changed()
 		if p.faults.Get().Down {
 			switches.Refuse(w, http.StatusServiceUnavailable, "down", "")
 			return
 		}
-		objects, revision, changed := p.store.after(r.PathValue("kind"), after)
+		objects, revision, changed := p.store.changedAfter(r.PathValue("kind"), after)
 		if after > revision || revision-after > p.history {
 			switches.Refuse(w, http.StatusGone, "revision_too_old", "list again")
 			return
@@ -38,7 +38,7 @@
 		}
 		select {
 		case <-changed:
-		case <-switched:
+		case <-faultsChanged:
 		case <-r.Context().Done():
 			return
 		case <-timer.C:
