--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -1,5 +1,6 @@
-// Package service is a small stand-in for a plain service. It counts the runs
-// of each idempotency key, which makes it the oracle of at-most-once tests.
+// Package service is a small stand-in for an ordinary HTTP service. It counts
+// the runs per idempotency key, against which tests of at-most-once execution
+// check their results.
 package service
 
 import (
@@ -19,24 +20,27 @@
 	DefaultReportLag   = 500 * time.Millisecond
 )
 
-// Options of the stand-in.
+// Options configures the stand-in.
 type Options struct {
 	ID          string
 	Incarnation uint64
-	// Concurrency is how many calls run at once; the others wait.
+	// Concurrency is the maximum number of calls that run at once; the others
+	// wait.
 	Concurrency int
-	// ReportLag is the age of the load report.
+	// ReportLag is the age at which the load report is renewed.
 	ReportLag time.Duration
 }
 
-// Faults are switched by PUT /standin/faults.
+// Faults are set by PUT /standin/faults.
 type Faults struct {
-	// Refuse answers every call with 503 and doesn't run it.
+	// Refuse rejects every call with status 503 and doesn't run it.
 	Refuse     bool  `json:"refuse"`
 	SlowMillis int64 `json:"slow_ms"`
-	// CloseBeforeReply is how many of the next calls run without a reply.
+	// CloseBeforeReply is the number of next calls that run but whose
+	// connection is closed without a response.
 	CloseBeforeReply int `json:"close_before_reply"`
-	// CloseBeforeRun is how many of the next calls are cut before they run.
+	// CloseBeforeRun is the number of next calls whose connection is closed
+	// before they run.
 	CloseBeforeRun int `json:"close_before_run"`
 }
 
@@ -48,19 +52,20 @@
 	Waiting int `json:"waiting"`
 }
 
-// Reply is the answer to a call.
+// Reply is the response to a call.
 type Reply struct {
 	Service   string `json:"service"`
 	Method    string `json:"method"`
 	Path      string `json:"path"`
 	RequestID string `json:"request_id"`
-	// Key is the call's idempotency key and Run how often it has now run.
+	// Key is the call's idempotency key. Run is the number of runs with this
+	// key, including this one.
 	Key       string `json:"idempotency_key"`
 	Run       int    `json:"run"`
 	BodyBytes int    `json:"body_bytes"`
 }
 
-// Service answers any call.
+// Service is an HTTP handler that responds to any call.
 type Service struct {
 	options Options
 	slots   chan struct{}
@@ -73,7 +78,7 @@
 	report port.LoadReport
 }
 
-// New returns a service that has run nothing.
+// New returns a service without any runs.
 func New(o Options) *Service {
 	s := &Service{
 		options: o,
@@ -88,7 +93,7 @@
 	return s
 }
 
-// ServeHTTP serves calls and switches.
+// ServeHTTP serves calls and the API that sets the faults.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mux.ServeHTTP(w, r)
 }
@@ -111,7 +116,8 @@
 	switches.WriteJSON(w, http.StatusOK, s.load(time.Now()))
 }
 
-// load returns a report that is renewed only when it has the lag's age.
+// load returns the load report, which is renewed only when it is at least
+// Options.ReportLag old.
 func (s *Service) load(now time.Time) port.LoadReport {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -128,12 +134,12 @@
 
 func (s *Service) serveCall(w http.ResponseWriter, r *http.Request) {
 	faults := s.faults.Get()
-	s.add(func(st *Stats) { st.Calls++ })
+	s.updateStats(func(st *Stats) { st.Calls++ })
 	if faults.Refuse {
 		switches.Refuse(w, http.StatusServiceUnavailable, "refused", "")
 		return
 	}
-	if s.useUp(func(f *Faults) *int { return &f.CloseBeforeRun }) {
+	if s.consumeFault(func(f *Faults) *int { return &f.CloseBeforeRun }) {
 		panic(http.ErrAbortHandler)
 	}
 	body, err := io.ReadAll(r.Body)
@@ -142,20 +148,20 @@
 		return
 	}
 	reply := s.run(r, len(body), time.Duration(faults.SlowMillis)*time.Millisecond)
-	if s.useUp(func(f *Faults) *int { return &f.CloseBeforeReply }) {
+	if s.consumeFault(func(f *Faults) *int { return &f.CloseBeforeReply }) {
 		panic(http.ErrAbortHandler)
 	}
 	switches.WriteJSON(w, http.StatusOK, reply)
 }
 
-// run counts the call and takes its time. Like a real service it goes on when
-// the client has gone.
+// run waits for a free slot, counts the run and sleeps for the duration slow.
+// Like a real service, it continues if the client disconnects.
 func (s *Service) run(r *http.Request, bodyBytes int, slow time.Duration) Reply {
-	s.add(func(st *Stats) { st.Waiting++ })
+	s.updateStats(func(st *Stats) { st.Waiting++ })
 	s.slots <- struct{}{}
 	defer func() { <-s.slots }()
-	s.add(func(st *Stats) { st.Waiting--; st.Running++; st.Runs++ })
-	defer s.add(func(st *Stats) { st.Running-- })
+	s.updateStats(func(st *Stats) { st.Waiting--; st.Running++; st.Runs++ })
+	defer s.updateStats(func(st *Stats) { st.Running-- })
 	key := r.Header.Get("Idempotency-Key")
 	reply := Reply{
 		Service: s.options.ID, Method: r.Method, Path: r.URL.Path,
@@ -175,14 +181,15 @@
 	return s.runs[key]
 }
 
-func (s *Service) add(change func(*Stats)) {
+func (s *Service) updateStats(change func(*Stats)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change(&s.stats)
 }
 
-// useUp takes one from a fault that counts down, where any is left.
-func (s *Service) useUp(field func(*Faults) *int) bool {
+// consumeFault decrements a fault that counts calls, unless it is zero, and
+// reports whether it did.
+func (s *Service) consumeFault(field func(*Faults) *int) bool {
 	faults := s.faults.Get()
 	if *field(&faults) == 0 {
 		return false
--- a/internal/standin/service/service_test.go
+++ b/internal/standin/service/service_test.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// client opens a connection for each call: on a kept-alive one net/http sends
-// a request that carries an Idempotency-Key again by itself, and the cut call
-// would run after all.
+// client opens a new connection for each call. If a reused connection closes,
+// net/http by itself retries a request that has an Idempotency-Key, so a call
+// that was cut off before its run would run after all.
 var client = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 
 func post(t *testing.T, url, key string) (*http.Response, error) {
@@ -55,7 +55,7 @@
 			t.Fatal(err)
 		}
 		if reply.Key != key || reply.BodyBytes != 3 || reply.RequestID != "r-1" || reply.Path != "/ledger/entries" {
-			t.Fatalf("reply %+v", reply)
+			t.Fatalf("unexpected reply %+v", reply)
 		}
 	}
 	if got := runs(t, server.URL); got["k1"] != 2 || got["k2"] != 1 {
@@ -63,8 +63,8 @@
 	}
 }
 
-// The caller of the first call sees a closed connection though it ran; of the
-// second, the same though it did not run. Only the count tells them apart.
+// For the caller, a connection that closes before the reply looks the same as
+// one that closes before the run. Only the number of runs differs.
 func TestCloseBeforeReplyAndBeforeRun(t *testing.T) {
 	s := New(Options{ID: "depot-1", Concurrency: 2})
 	server := httptest.NewServer(s)
@@ -79,7 +79,7 @@
 	} {
 		s.faults.Set(c.faults)
 		if res, err := post(t, server.URL, c.key); err == nil {
-			t.Fatalf("%s: answered with %d", c.key, res.StatusCode)
+			t.Fatalf("%s: got status %d, want a closed connection", c.key, res.StatusCode)
 		}
 		if got := runs(t, server.URL)[c.key]; got != c.runs {
 			t.Fatalf("%s: %d runs, want %d", c.key, got, c.runs)
@@ -87,14 +87,14 @@
 	}
 }
 
-func TestRefuseDoesNotRun(t *testing.T) {
+func TestRefusedCallDoesNotRun(t *testing.T) {
 	s := New(Options{ID: "depot-1", Concurrency: 2})
 	server := httptest.NewServer(s)
 	defer server.Close()
 	s.faults.Set(Faults{Refuse: true})
 	res, err := post(t, server.URL, "k")
 	if err != nil || res.StatusCode != http.StatusServiceUnavailable {
-		t.Fatalf("%v %v", res, err)
+		t.Fatalf("refused call: response %v, error %v, want status 503", res, err)
 	}
 	res.Body.Close()
 	if got := runs(t, server.URL); len(got) != 0 {
@@ -102,15 +102,15 @@
 	}
 }
 
-func TestLoadReportLags(t *testing.T) {
+func TestLoadReportIsDelayed(t *testing.T) {
 	s := New(Options{ID: "depot-1", ReportLag: time.Second})
 	start := time.UnixMilli(1_000_000)
 	s.load(start)
-	s.add(func(st *Stats) { st.Running = 7 })
+	s.updateStats(func(st *Stats) { st.Running = 7 })
 	if got := s.load(start.Add(999 * time.Millisecond)); got.Running != 0 {
-		t.Fatalf("the report is fresh: %+v", got)
+		t.Fatalf("the report was renewed before it was as old as its lag: %+v", got)
 	}
 	if got := s.load(start.Add(time.Second)); got.Running != 7 {
-		t.Fatalf("the report is older than its lag: %+v", got)
+		t.Fatalf("the report was not renewed when it was as old as its lag: %+v", got)
 	}
 }
