--- a/internal/standin/switches/switches.go
+++ b/internal/standin/switches/switches.go
@@ -1,5 +1,5 @@
-// Package switches holds a stand-in's faults and serves them over HTTP, so
-// that any test or person can provoke them.
+// Package switches stores the faults of a stand-in and serves an HTTP API that
+// reads and sets them, for tests and for people.
 package switches
 
 import (
@@ -16,14 +16,14 @@
 	StatsPath  = "/standin/stats"
 )
 
-// Switch holds the faults of one stand-in. The zero value has none.
+// Switch stores the faults of one stand-in. The zero value has no faults.
 type Switch[T any] struct {
 	mu      sync.Mutex
 	faults  T
 	changed chan struct{}
 }
 
-// Get returns the faults in force.
+// Get returns the current faults.
 func (s *Switch[T]) Get() T {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -35,7 +35,7 @@
 	s.Update(func(f *T) { *f = faults })
 }
 
-// Update changes the faults under the lock, for faults that count down.
+// Update changes the faults under the lock, as faults that count down need.
 func (s *Switch[T]) Update(change func(*T)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -46,7 +46,7 @@
 	}
 }
 
-// Changed is closed at the next change.
+// Changed returns a channel that is closed at the next change of the faults.
 func (s *Switch[T]) Changed() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -56,7 +56,8 @@
 	return s.changed
 }
 
-// Register serves the faults, and stats as what the function returns.
+// Register adds handlers to mux: FaultsPath reads and sets the faults, and
+// StatsPath returns the result of stats.
 func (s *Switch[T]) Register(mux *http.ServeMux, stats func() any) {
 	mux.HandleFunc("GET "+FaultsPath, func(w http.ResponseWriter, _ *http.Request) {
 		WriteJSON(w, http.StatusOK, s.Get())
@@ -74,8 +75,8 @@
 	})
 }
 
-// ReadJSON decodes a body and refuses unknown fields. Where it returns false
-// the problem has been written.
+// ReadJSON decodes the request body into out and refuses unknown fields. If it
+// returns false, it has sent the problem as the response.
 func ReadJSON(w http.ResponseWriter, r *http.Request, out any) bool {
 	decoder := json.NewDecoder(r.Body)
 	decoder.DisallowUnknownFields()
@@ -86,20 +87,21 @@
 	return true
 }
 
-// WriteJSON sends v with the status.
+// WriteJSON sends v as a JSON response with the status.
 func WriteJSON(w http.ResponseWriter, status int, v any) {
 	raw, err := json.Marshal(v)
 	if err != nil {
-		// Only plain messages are passed here.
+		// Marshalling can't fail, as callers pass only plain values.
 		panic(err)
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// The client may be gone; there is nobody left to tell.
+	// A write error means that the client has disconnected, so that no error
+	// response could reach it.
 	_, _ = w.Write(raw)
 }
 
-// Refuse sends a problem that says that nothing was run.
+// Refuse sends a problem response with the outcome that nothing was run.
 func Refuse(w http.ResponseWriter, status int, reason, detail string) {
 	problem.Write(w, &problem.Problem{
 		Status: status, Title: http.StatusText(status), Reason: reason,
