--- a/internal/standin/weights/weights.go
+++ b/internal/standin/weights/weights.go
@@ -1,5 +1,5 @@
-// Package weights is a small stand-in for the weight store: it serves the
-// bytes of a model version at a rate that all readers share.
+// Package weights is a small stand-in for the weight store. It serves the bytes
+// of a model version at a rate limit that all readers share.
 package weights
 
 import (
@@ -21,21 +21,21 @@
 
 const chunkBytes = 64 << 10
 
-// Options of the stand-in.
+// Options configures the stand-in.
 type Options struct {
-	// BytesPerSecond is shared by all readers.
+	// BytesPerSecond is the rate limit that all readers share.
 	BytesPerSecond int
 	// ModelBytes is the size of every model version.
 	ModelBytes int
 }
 
-// Faults are switched by PUT /standin/faults.
+// Faults are set by PUT /standin/faults.
 type Faults struct {
 	Down       bool  `json:"down"`
 	SlowMillis int64 `json:"slow_ms"`
 }
 
-// Stats count since the start; Reading is a gauge.
+// Stats are counters since the start; Reading is a gauge.
 type Stats struct {
 	Reads   int64 `json:"reads"`
 	Bytes   int64 `json:"bytes"`
@@ -64,7 +64,7 @@
 	return s
 }
 
-// ServeHTTP serves weights and switches.
+// ServeHTTP serves weights and the API that sets the faults.
 func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mux.ServeHTTP(w, r)
 }
@@ -95,7 +95,7 @@
 	s.send(w, r)
 }
 
-// send writes zeros, as no reader looks at them.
+// send writes zeros, as no reader checks the contents.
 func (s *Store) send(w http.ResponseWriter, r *http.Request) {
 	var chunk [chunkBytes]byte
 	for left := s.options.ModelBytes; left > 0; {
@@ -103,8 +103,9 @@
 		if err := s.limit.WaitN(r.Context(), n); err != nil {
 			return
 		}
-		// Counted before the write: a reader that has all bytes and asks for
-		// the statistics must find its own read in them.
+		// The bytes are counted before the write, so that a reader that has
+		// received all of them and then requests the statistics finds its own
+		// read in them.
 		s.bytes.Add(int64(n))
 		if _, err := w.Write(chunk[:n]); err != nil {
 			return
--- a/internal/standin/weights/weights_test.go
+++ b/internal/standin/weights/weights_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-func TestReadersShareTheRate(t *testing.T) {
+func TestReadersShareRateLimit(t *testing.T) {
 	s := New(Options{BytesPerSecond: 4 << 20, ModelBytes: 256 << 10})
 	server := httptest.NewServer(s)
 	defer server.Close()
@@ -28,19 +28,20 @@
 	}
 	for range 4 {
 		if n := <-done; n != 256<<10 {
-			t.Fatalf("read %d bytes", n)
+			t.Fatalf("read %d bytes, want the whole model", n)
 		}
 	}
-	// One megabyte at four a second, less the first chunk, which is free.
+	// One megabyte at four megabytes per second takes 250 ms, less the time of
+	// the first chunk, which the burst of the rate limit sends at once.
 	if got := time.Since(start); got < 200*time.Millisecond {
-		t.Fatalf("four readers took %v", got)
+		t.Fatalf("four readers took %v, too short for the shared rate limit", got)
 	}
 	if got := s.Stats(); got.Reads != 4 || got.Bytes != 1<<20 {
 		t.Fatalf("stats %+v", got)
 	}
 }
 
-func TestDown(t *testing.T) {
+func TestDownRefusesReads(t *testing.T) {
 	s := New(Options{BytesPerSecond: 1 << 20, ModelBytes: 1})
 	s.faults.Set(Faults{Down: true})
 	w := httptest.NewRecorder()
