--- a/internal/testkit/procs/api.go
+++ b/internal/testkit/procs/api.go
@@ -14,25 +14,26 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/standin/switches"
 )
 
-// callTimeout bounds the calls of this file.
+// callTimeout bounds each HTTP call made by Call.
 const callTimeout = 10 * time.Second
 
-// Reply is an HTTP answer that was read to its end.
+// Reply is an HTTP response with its whole body.
 type Reply struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// Decode reads a JSON body.
+// Decode unmarshals the JSON body into out.
 func (r *Reply) Decode(out any) error {
 	if err := json.Unmarshal(r.Body, out); err != nil {
-		return fmt.Errorf("%w in %.200s", err, r.Body)
+		return fmt.Errorf("decode response body: %w in %.200s", err, r.Body)
 	}
 	return nil
 }
 
-// Call sends a request with a JSON body, nil for none.
+// Call sends a request and reads the whole response. A body other than nil is
+// sent as JSON.
 func Call(ctx context.Context, method, url string, header http.Header, body any) (*Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -63,7 +64,8 @@
 	return &Reply{Status: res.StatusCode, Header: res.Header, Body: raw}, nil
 }
 
-// Admin calls the operators' API of a daemon.
+// Admin calls a daemon's admin API. A match of "*" makes the request conditional
+// on the resource not existing; any other text is the required entity tag.
 func Admin(ctx context.Context, d *Daemon, method, path, match string, body any) (*Reply, error) {
 	header := http.Header{"Authorization": {"Bearer " + AdminToken}}
 	switch match {
@@ -76,17 +78,18 @@
 	return Call(ctx, method, d.AdminURL()+path, header, body)
 }
 
-// SetFaults switches a stand-in's faults.
+// SetFaults replaces the injected faults of a stand-in.
 func SetFaults(ctx context.Context, d *Daemon, faults any) error {
 	return SetFaultsAt(ctx, d.URL(), faults)
 }
 
-// SetFaultsAt switches the faults of the stand-in at a URL.
+// SetFaultsAt replaces the injected faults of the stand-in at a base URL.
 func SetFaultsAt(ctx context.Context, url string, faults any) error {
 	return put(ctx, url+switches.FaultsPath, faults)
 }
 
-// PutAt has a stand-in do what a path names.
+// PutAt sends a PUT with an empty JSON object, which triggers the stand-in's
+// action at that URL.
 func PutAt(ctx context.Context, url string) error { return put(ctx, url, struct{}{}) }
 
 // ReadStats reads a stand-in's counters.
@@ -94,7 +97,7 @@
 	return ReadStatsAt(ctx, d.URL(), out)
 }
 
-// ReadStatsAt reads the counters of the stand-in at a URL.
+// ReadStatsAt reads the counters of the stand-in at a base URL.
 func ReadStatsAt(ctx context.Context, url string, out any) error {
 	reply, err := Call(ctx, http.MethodGet, url+switches.StatsPath, nil, nil)
 	if err != nil {
@@ -103,12 +106,12 @@
 	return reply.Decode(out)
 }
 
-// PublishHosts gives the platform the list of endpoints as they run.
+// PublishHosts sets the platform's host list to the endpoints of this system.
 func (s *System) PublishHosts(ctx context.Context) error {
 	return s.SetHosts(ctx, s.Endpoints())
 }
 
-// SetHosts gives the platform a list of endpoints.
+// SetHosts replaces the platform's host list.
 func (s *System) SetHosts(ctx context.Context, list []port.Endpoint) error {
 	return put(ctx, s.Platform.URL()+"/standin/hosts", platform.HostList{Endpoints: list})
 }
@@ -119,7 +122,7 @@
 		return err
 	}
 	if reply.Status != http.StatusOK {
-		return fmt.Errorf("PUT %s: %d %s", url, reply.Status, reply.Body)
+		return fmt.Errorf("PUT %s: unexpected status %d: %s", url, reply.Status, reply.Body)
 	}
 	return nil
 }
--- a/internal/testkit/procs/build.go
+++ b/internal/testkit/procs/build.go
@@ -12,13 +12,13 @@
 // module is the import path of the module's root.
 const module = "github.com/dragonflyrail/dragonflyrail"
 
-// binDir is where Main built the binaries.
+// binDir is the directory in which Main built the binaries.
 var binDir string
 
 // Main builds the binaries once, runs the package's tests and removes the
 // binaries. Call it from TestMain. The binaries are built without the race
-// detector: these tests are about processes, and the packages' own tests run
-// with it.
+// detector, since these tests check the behaviour of processes and each
+// package's own tests run with the race detector.
 func Main(m *testing.M) {
 	dir, err := os.MkdirTemp("", "dragonflyrail-bin-")
 	if err != nil {
@@ -58,8 +58,8 @@
 	return strings.TrimSpace(string(out)), nil
 }
 
-// BinDir is where Main built the binaries.
+// BinDir returns the directory in which Main built the binaries.
 func BinDir() string { return binDir }
 
-// Binary is the path of a binary that Main built.
+// Binary returns the path of a binary that Main built.
 func Binary(name string) string { return filepath.Join(binDir, name) }
--- a/internal/testkit/procs/ctl.go
+++ b/internal/testkit/procs/ctl.go
@@ -12,11 +12,12 @@
 
 const (
 	binCtl = "dragonflyctl"
-	// ctlConfigFile lies beside the logs, also for a person to use.
+	// ctlConfigFile is in the same directory as the logs, so that it can also be
+	// used by hand.
 	ctlConfigFile = "dragonflyctl.json"
 )
 
-// ctlConfig is the operators' tool's file.
+// ctlConfig is the configuration file of dragonflyctl.
 type ctlConfig struct {
 	Keepers    []string `json:"keepers"`
 	Routers    []string `json:"routers"`
@@ -24,7 +25,8 @@
 	AdminToken string   `json:"admin_token"`
 }
 
-// writeCtlConfig writes the file that tells dragonflyctl where the system is.
+// writeCtlConfig writes dragonflyctl's configuration with the addresses of all
+// daemons.
 func (s *System) writeCtlConfig(context.Context) error {
 	config := ctlConfig{AdminToken: AdminToken}
 	for _, k := range s.Keepers {
@@ -41,7 +43,8 @@
 	return os.WriteFile(filepath.Join(s.Layout.Dir, ctlConfigFile), append(raw, '\n'), 0o600)
 }
 
-// Ctl runs dragonflyctl and returns what it printed.
+// Ctl runs dragonflyctl with the input on its standard input and returns its
+// standard output.
 func (s *System) Ctl(ctx context.Context, input []byte, args ...string) ([]byte, error) {
 	args = append([]string{"--config", filepath.Join(s.Layout.Dir, ctlConfigFile), "--actor", "procs"}, args...)
 	cmd := exec.CommandContext(ctx, filepath.Join(s.Layout.BinDir, binCtl), args...)
@@ -54,7 +57,7 @@
 	return out.Bytes(), nil
 }
 
-// WriteRecords brings the records into force with dragonflyctl.
+// WriteRecords applies the records with dragonflyctl.
 func (s *System) WriteRecords(ctx context.Context, records []Document) error {
 	var all bytes.Buffer
 	for _, d := range records {
@@ -65,7 +68,7 @@
 	return s.apply(ctx, all.Bytes())
 }
 
-// WriteRecordFiles brings the record of each file into force.
+// WriteRecordFiles applies the record of each file with dragonflyctl.
 func (s *System) WriteRecordFiles(ctx context.Context, files []string) error {
 	var all bytes.Buffer
 	for _, file := range files {
@@ -83,13 +86,13 @@
 	return err
 }
 
-// explanation is what dragonflyctl why prints as JSON, and the admin API's
-// answer.
+// explanation is the response of the admin API's explain endpoint, which
+// dragonflyctl why also prints as JSON.
 type explanation struct {
 	Decisions []Decision `json:"decisions"`
 }
 
-// Why asks for the reason of decisions with dragonflyctl.
+// Why returns the decisions about a subject, as printed by dragonflyctl why.
 func (s *System) Why(ctx context.Context, subject, id string) ([]Decision, error) {
 	raw, err := s.Ctl(ctx, nil, "--output", "json", "why", subject, id)
 	if err != nil {
@@ -97,7 +100,7 @@
 	}
 	var e explanation
 	if err := json.Unmarshal(raw, &e); err != nil {
-		return nil, fmt.Errorf("%w in %.300s", err, raw)
+		return nil, fmt.Errorf("decode output of dragonflyctl why: %w in %.300s", err, raw)
 	}
 	return e.Decisions, nil
 }
--- a/internal/testkit/procs/daemons.go
+++ b/internal/testkit/procs/daemons.go
@@ -12,7 +12,7 @@
 func (s *System) startKeepers(ctx context.Context) error {
 	var peers []string
 	for i := range s.Layout.Keepers {
-		d, err := s.addresses(fmt.Sprintf("keeper-%d", i+1), s.domain(i), false)
+		d, err := s.newDaemon(fmt.Sprintf("keeper-%d", i+1), s.domain(i), false)
 		if err != nil {
 			return err
 		}
@@ -29,7 +29,7 @@
 
 func (s *System) startRouters(ctx context.Context) error {
 	for i := range s.Layout.Routers {
-		d, err := s.addresses(fmt.Sprintf("router-%d", i+1), s.domain(i), true)
+		d, err := s.newDaemon(fmt.Sprintf("router-%d", i+1), s.domain(i), true)
 		if err != nil {
 			return err
 		}
@@ -43,9 +43,9 @@
 	return nil
 }
 
-// AddRouter starts one more router.
+// AddRouter starts an additional router.
 func (s *System) AddRouter(ctx context.Context, id, domain string) (*Daemon, error) {
-	d, err := s.addresses(id, domain, true)
+	d, err := s.newDaemon(id, domain, true)
 	if err != nil {
 		return nil, err
 	}
@@ -71,7 +71,7 @@
 	return peers
 }
 
-func (s *System) addresses(id, domain string, router bool) (*Daemon, error) {
+func (s *System) newDaemon(id, domain string, router bool) (*Daemon, error) {
 	d := &Daemon{ID: id, FailureDomain: domain}
 	fields := []*string{&d.Admin, &d.Peers}
 	if router {
@@ -108,8 +108,8 @@
 	return s.launch(ctx, d, binary, []string{"--settings", path})
 }
 
-// Restart starts a daemon or stand-in that has ended again, at the same
-// addresses and, for an endpoint, as its next incarnation.
+// Restart restarts a daemon or stand-in that has exited. It keeps its addresses;
+// an endpoint gets its next incarnation number.
 func (s *System) Restart(ctx context.Context, d *Daemon) error {
 	if d.Running() {
 		return errors.New(d.ID + " is still running")
--- a/internal/testkit/procs/demo.go
+++ b/internal/testkit/procs/demo.go
@@ -7,7 +7,7 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// The model, its version and the organisation of the demo and of tests.
+// Names used by the demo and by tests.
 const (
 	DemoModel        = "reconcile-13b"
 	DemoVersion      = "1"
@@ -16,7 +16,7 @@
 	DemoService      = "depot"
 )
 
-// DemoLayout is a whole system at its smallest.
+// DemoLayout returns the layout of a small complete system.
 func DemoLayout(binDir, dir string) Layout {
 	return Layout{
 		BinDir: binDir, Dir: dir, Domains: []string{"kolkata-hall", "howrah-hall"},
@@ -27,11 +27,11 @@
 	}
 }
 
-// OrganisationKey is the bearer key of an organisation of the demo and of the
+// OrganisationKey returns the bearer key of an organisation in the demo and the
 // examples.
 func OrganisationKey(organisation string) string { return organisation + "-demo-key" }
 
-// Document is an operator record as written.
+// Document is an operator record in the format that dragonflyctl applies.
 type Document struct {
 	SchemaVersion int    `json:"schema_version"`
 	Kind          string `json:"kind"`
@@ -39,7 +39,7 @@
 	Spec          any    `json:"spec"`
 }
 
-// RoutingSpec is schema 1 of a routing configuration.
+// RoutingSpec is the spec of a routing configuration, schema version 1.
 type RoutingSpec struct {
 	Model      string         `json:"model"`
 	Weights    RoutingWeights `json:"weights"`
@@ -53,7 +53,7 @@
 	Gap      float64 `json:"gap"`
 }
 
-// OrganisationSpec is schema 1 of an organisation priority.
+// OrganisationSpec is the spec of an organisation priority, schema version 1.
 type OrganisationSpec struct {
 	Organisation string   `json:"organisation"`
 	Priority     int      `json:"priority"`
@@ -61,14 +61,14 @@
 	KeySHA256    []string `json:"key_sha256"`
 }
 
-// DeploymentSpec is schema 1 of a model deployment.
+// DeploymentSpec is the spec of a model deployment, schema version 1.
 type DeploymentSpec struct {
 	Model    string `json:"model"`
 	Version  string `json:"version"`
 	Replicas int    `json:"replicas"`
 }
 
-// DemoRecords are one record of each kind.
+// DemoRecords returns one record of each kind.
 func DemoRecords() []Document {
 	return []Document{
 		{SchemaVersion: 1, Kind: port.ObjectRoutingConfiguration, Name: DemoModel, Spec: RoutingSpec{
--- a/internal/testkit/procs/example.go
+++ b/internal/testkit/procs/example.go
@@ -12,8 +12,8 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/adapter/settings"
 )
 
-// Example is the file system.json of an example: the stand-ins around the
-// daemons whose settings files lie beside it.
+// Example is the content of an example's system.json. It describes the
+// stand-ins; the daemons' settings files are in the same directory.
 type Example struct {
 	Domains       []string `json:"domains" validate:"min=1,dive,required"`
 	Platform      string   `json:"platform" validate:"required,hostname_port"`
@@ -26,7 +26,7 @@
 	ServicePool   string   `json:"service_pool" validate:"required"`
 }
 
-// ExampleLayout reads the example in dir.
+// ExampleLayout returns the layout of the example in dir.
 func ExampleLayout(dir string) (Layout, error) {
 	var e Example
 	if err := settings.Load(filepath.Join(dir, "system.json"), &e); err != nil {
@@ -40,7 +40,7 @@
 	}, nil
 }
 
-// Records lists the record files of an example, sorted.
+// Records returns the sorted paths of an example's record files.
 func Records(dir string) ([]string, error) {
 	return filepath.Glob(filepath.Join(dir, "records", "*.json"))
 }
--- a/internal/testkit/procs/ports.go
+++ b/internal/testkit/procs/ports.go
@@ -7,16 +7,16 @@
 	"sync"
 )
 
-// Ports come from blocks below the ephemeral range, so that no outgoing
-// connection takes the port of a daemon that is restarting.
+// The ports are below the ephemeral range, so that no outgoing connection can
+// use the port of a daemon while it restarts.
 const (
 	firstPort  = 18_000
 	lastPort   = 32_000
 	blockPorts = 200
 )
 
-// Ports allots loopback ports from blocks that one process holds: the listener
-// on a block's first port keeps other processes away from it.
+// Ports allocates loopback ports from blocks that this process has reserved. A
+// listener on a block's first port keeps other processes from reserving it.
 type Ports struct {
 	mu     sync.Mutex
 	guards []net.Listener
@@ -24,19 +24,20 @@
 	end    int
 }
 
-// NewPorts takes a free block.
+// NewPorts returns an allocator with one reserved block.
 func NewPorts() (*Ports, error) {
 	p := &Ports{}
-	return p, p.take()
+	return p, p.reserveBlock()
 }
 
-// take takes one more free block. Needs p.mu.
-func (p *Ports) take() error {
+// reserveBlock reserves a further block. The caller must hold p.mu, unless p is
+// not yet shared.
+func (p *Ports) reserveBlock() error {
 	blocks := (lastPort - firstPort) / blockPorts
 	for i := range blocks {
 		block := (os.Getpid() + i) % blocks
 		base := firstPort + block*blockPorts
-		guard, err := net.Listen("tcp", loopback(base))
+		guard, err := net.Listen("tcp", loopbackAddress(base))
 		if err == nil {
 			p.guards = append(p.guards, guard)
 			p.next, p.end = base+1, base+blockPorts
@@ -46,29 +47,29 @@
 	return fmt.Errorf("no free block of ports between %d and %d", firstPort, lastPort)
 }
 
-// Next returns an address with a port that nothing listens on.
+// Next returns a loopback address on which nothing listens.
 func (p *Ports) Next() (string, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for {
 		if p.next == p.end {
-			if err := p.take(); err != nil {
+			if err := p.reserveBlock(); err != nil {
 				return "", err
 			}
 		}
-		address := loopback(p.next)
+		address := loopbackAddress(p.next)
 		p.next++
-		if !listens(address) {
+		if !isListening(address) {
 			return address, nil
 		}
 	}
 }
 
-// listens asks by connecting. Listening on the port to see whether it is free
-// would keep it busy for a moment after the close: a process that another test
-// starts just then holds a copy of the listener until it executes, and the
-// daemon that the port was meant for finds it in use.
-func listens(address string) bool {
+// isListening reports whether a connection to the address succeeds. Listening on
+// the port instead could leave it in use for a moment after the close: a process
+// forked in the meantime holds a copy of the listener until its exec, and the
+// daemon that gets the port would fail with "address already in use".
+func isListening(address string) bool {
 	c, err := net.Dial("tcp", address)
 	if err != nil {
 		return false
@@ -77,7 +78,7 @@
 	return true
 }
 
-// Close gives the blocks back.
+// Close releases the blocks.
 func (p *Ports) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -86,4 +87,4 @@
 	}
 }
 
-func loopback(port int) string { return fmt.Sprintf("127.0.0.1:%d", port) }
+func loopbackAddress(port int) string { return fmt.Sprintf("127.0.0.1:%d", port) }
--- a/internal/testkit/procs/ports_test.go
+++ b/internal/testkit/procs/ports_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// Many tests start processes at once while others ask for ports. A port that
-// was given must be free at once, whatever forks in the meantime: else a
-// daemon ends with "address already in use".
+// Guards against allocating a port that is still in use because a concurrently
+// forked process holds a copy of a listener on it. A daemon given such a port
+// ends with "address already in use".
 func TestPortsAreFreeWhileProcessesStart(t *testing.T) {
 	stop := make(chan struct{})
 	var forks sync.WaitGroup
@@ -25,7 +25,7 @@
 			}
 		})
 	}
-	taken := 0
+	inUse := 0
 	for range 20 {
 		ports, err := NewPorts()
 		if err != nil {
@@ -38,7 +38,7 @@
 			}
 			l, err := net.Listen("tcp", address)
 			if err != nil {
-				taken++
+				inUse++
 				continue
 			}
 			l.Close()
@@ -47,7 +47,7 @@
 	}
 	close(stop)
 	forks.Wait()
-	if taken > 0 {
-		t.Fatalf("%d of 2000 ports were in use", taken)
+	if inUse > 0 {
+		t.Fatalf("%d of 2000 allocated ports were in use", inUse)
 	}
 }
--- a/internal/testkit/procs/process.go
+++ b/internal/testkit/procs/process.go
@@ -18,26 +18,27 @@
 
 const pollInterval = 5 * time.Millisecond
 
-// Spec says how to start a process.
+// Spec describes a process to start.
 type Spec struct {
-	// Name is unique among a system's processes and names its log file.
+	// Name is unique among a system's processes and is the base name of the log
+	// file.
 	Name   string
 	Binary string
 	Args   []string
-	// Dir holds the log file.
+	// Dir is the directory of the log file.
 	Dir string
-	// Detached keeps the process running when its starter ends.
+	// Detached keeps the process running when its parent ends.
 	Detached bool
-	// Output takes the standard output in place of the log file.
+	// Output, if not nil, receives the standard output in place of the log file.
 	Output *os.File
 }
 
-// Process is one started process.
+// Process is a process started by Start.
 type Process struct {
 	Spec    Spec
 	cmd     *exec.Cmd
 	logPath string
-	// logStart is where this run's lines begin in the log file.
+	// logStart is the size of the log file before the process was started.
 	logStart int64
 	exited   chan struct{}
 
@@ -45,7 +46,7 @@
 	waitErr error
 }
 
-// Start starts a process; WaitReady tells when it serves.
+// Start starts a process without waiting until it serves; see WaitReady.
 func Start(spec Spec) (*Process, error) {
 	p := &Process{
 		Spec:    spec,
@@ -69,7 +70,7 @@
 	if spec.Detached {
 		p.cmd.SysProcAttr = &syscall.SysProcAttr{Setsid: true}
 	} else {
-		// Where the starter is killed, its children must not stay behind.
+		// The kernel kills the process when its parent dies, even by SIGKILL.
 		p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	}
 	if err := p.cmd.Start(); err != nil {
@@ -90,7 +91,7 @@
 // PID is the process id.
 func (p *Process) PID() int { return p.cmd.Process.Pid }
 
-// Exited is closed when the process has ended.
+// Exited returns a channel that is closed when the process has ended.
 func (p *Process) Exited() <-chan struct{} { return p.exited }
 
 // Running reports whether the process has not ended.
@@ -103,20 +104,21 @@
 	}
 }
 
-// ExitCode is valid once the process has ended; -1 after a signal.
+// ExitCode returns the exit code, or -1 if a signal ended the process. Call it
+// only after the process has ended.
 func (p *Process) ExitCode() int { return p.cmd.ProcessState.ExitCode() }
 
-// logLine is what the harness reads of a log line.
+// logLine holds the fields of a log line that the harness reads.
 type logLine struct {
 	Event string `json:"event"`
 }
 
-// WaitReady waits for the log line that says that the process serves.
+// WaitReady waits until the process has logged the event "ready".
 func (p *Process) WaitReady(ctx context.Context) error {
 	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
 	for {
-		if p.logged("ready") {
+		if p.hasLogged("ready") {
 			return nil
 		}
 		select {
@@ -124,12 +126,12 @@
 		case <-p.exited:
 			return fmt.Errorf("%s ended before it was ready:\n%s", p.Spec.Name, p.Log())
 		case <-ctx.Done():
-			return fmt.Errorf("%s was not ready in time:\n%s", p.Spec.Name, p.Log())
+			return fmt.Errorf("%s was not ready before the deadline:\n%s", p.Spec.Name, p.Log())
 		}
 	}
 }
 
-func (p *Process) logged(event string) bool {
+func (p *Process) hasLogged(event string) bool {
 	lines := bufio.NewScanner(bytes.NewReader(p.Log()))
 	lines.Buffer(nil, 1<<20)
 	for lines.Scan() {
@@ -141,7 +143,7 @@
 	return false
 }
 
-// Log returns what this run has written so far.
+// Log returns what this process has written to the log file so far.
 func (p *Process) Log() []byte {
 	raw, err := os.ReadFile(p.logPath)
 	if err != nil || int64(len(raw)) < p.logStart {
@@ -150,7 +152,7 @@
 	return raw[p.logStart:]
 }
 
-// Signal sends a signal to the process, by its id.
+// Signal sends a signal to the process, or returns os.ErrProcessDone.
 func (p *Process) Signal(s os.Signal) error {
 	if !p.Running() {
 		return os.ErrProcessDone
@@ -158,17 +160,18 @@
 	return p.cmd.Process.Signal(s)
 }
 
-// Kill ends the process at once and waits until it is gone.
+// Kill sends SIGKILL and waits until the process has ended.
 func (p *Process) Kill() {
-	// It may have ended by itself meanwhile.
+	// The signal fails if the process has already ended.
 	_ = p.Signal(syscall.SIGKILL)
 	<-p.exited
 }
 
-// Terminate asks the process to stop.
+// Terminate sends SIGTERM.
 func (p *Process) Terminate() error { return p.Signal(syscall.SIGTERM) }
 
-// Freeze suspends the process, as a long pause of its host would.
+// Freeze suspends the process and waits until the kernel has stopped it. This
+// simulates a long pause of its host.
 func (p *Process) Freeze() error {
 	if err := p.Signal(syscall.SIGSTOP); err != nil {
 		return err
@@ -176,29 +179,30 @@
 	return p.waitStopped()
 }
 
-// Bounds of the wait for a signal to take effect.
+// Poll interval and timeout of the wait for a suspended process to stop.
 const (
-	stopPoll   = time.Millisecond
-	stopWithin = 10 * time.Second
+	freezePoll    = time.Millisecond
+	freezeTimeout = 10 * time.Second
 )
 
-// waitStopped waits until the kernel has stopped the process: on a busy machine
-// it still answers for a moment after the signal was sent.
+// waitStopped waits until the kernel has stopped all threads of the process. On
+// a busy machine they can keep running for a moment after the signal was sent.
 func (p *Process) waitStopped() error {
-	for began := time.Now(); time.Since(began) < stopWithin; time.Sleep(stopPoll) {
+	for began := time.Now(); time.Since(began) < freezeTimeout; time.Sleep(freezePoll) {
 		threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", p.PID()))
 		if err != nil {
 			return err
 		}
-		if !slices.ContainsFunc(threads, running) {
+		if !slices.ContainsFunc(threads, threadRunning) {
 			return nil
 		}
 	}
-	return fmt.Errorf("%s is not stopped", p.Spec.Name)
+	return fmt.Errorf("%s still ran after a stop signal", p.Spec.Name)
 }
 
-// running reports whether a thread is not stopped. One that has ended is.
-func running(statPath string) bool {
+// threadRunning reports whether a thread is not stopped. A thread that has ended
+// counts as stopped.
+func threadRunning(statPath string) bool {
 	raw, err := os.ReadFile(statPath)
 	if err != nil {
 		return false
@@ -211,14 +215,14 @@
 // Thaw resumes a frozen process.
 func (p *Process) Thaw() error { return p.Signal(syscall.SIGCONT) }
 
-// Stop asks the process to stop and kills it after the patience.
-func (p *Process) Stop(patience time.Duration) {
+// Stop sends SIGTERM, and SIGKILL if the process has not ended by the timeout.
+func (p *Process) Stop(timeout time.Duration) {
 	if p.Terminate() != nil {
 		return
 	}
 	select {
 	case <-p.exited:
-	case <-time.After(patience):
+	case <-time.After(timeout):
 		p.Kill()
 	}
 }
--- a/internal/testkit/procs/procs_test.go
+++ b/internal/testkit/procs/procs_test.go
@@ -11,8 +11,8 @@
 
 func TestMain(m *testing.M) { Main(m) }
 
-// standins starts the stand-ins alone.
-func standins(t *testing.T) *System {
+// startStandins starts a system without keepers and routers.
+func startStandins(t *testing.T) *System {
 	t.Helper()
 	l := DemoLayout(binDir, t.TempDir())
 	l.Keepers, l.Routers = 0, 0
@@ -26,24 +26,24 @@
 	return s
 }
 
-func TestStandinsServeTheirHostList(t *testing.T) {
-	s := standins(t)
+func TestStandinsServeHostList(t *testing.T) {
+	s := startStandins(t)
 	var list platform.HostList
-	Until(t, "the host list is shown", func() bool {
+	Until(t, "the platform serves a host list of 4 endpoints", func() bool {
 		reply, err := Call(context.Background(), http.MethodGet, s.Platform.URL()+"/v1/hosts", nil, nil)
 		return err == nil && reply.Decode(&list) == nil && len(list.Endpoints) == 4
 	})
 	if e := list.Endpoints[0]; e.Kind != port.KindRunner || e.Incarnation != 1 || !e.FencesOrders || e.Address != s.Engines[0].Address {
-		t.Fatalf("%+v", e)
+		t.Fatalf("unexpected first endpoint: %+v", e)
 	}
 }
 
-func TestKillAndRestartAreANewIncarnation(t *testing.T) {
-	s := standins(t)
+func TestRestartAfterKillIncrementsIncarnation(t *testing.T) {
+	s := startStandins(t)
 	e := s.Engines[0]
 	e.Kill()
 	if e.Running() || e.ExitCode() != -1 {
-		t.Fatal("the killed process still runs")
+		t.Fatal("the killed process still runs or did not end by a signal")
 	}
 	if err := s.Restart(context.Background(), e); err != nil {
 		t.Fatal(err)
@@ -54,12 +54,12 @@
 	}
 	var state port.RunnerState
 	if err := reply.Decode(&state); err != nil || state.Incarnation != 2 {
-		t.Fatalf("%+v %v", state, err)
+		t.Fatalf("want incarnation 2 after the restart, got %+v, error %v", state, err)
 	}
 }
 
 func TestFreezeAndThaw(t *testing.T) {
-	s := standins(t)
+	s := startStandins(t)
 	if err := s.Platform.Freeze(); err != nil {
 		t.Fatal(err)
 	}
@@ -68,10 +68,11 @@
 		_, err := Call(context.Background(), http.MethodGet, s.Platform.URL()+"/v1/hosts", nil, nil)
 		answered <- err
 	}()
-	// The listener's backlog takes the connection, but nobody answers.
+	// The kernel accepts the connection into the listen backlog, but the suspended
+	// process does not respond.
 	select {
 	case err := <-answered:
-		t.Fatalf("a frozen process answered: %v", err)
+		t.Fatalf("the call to a suspended process returned: %v", err)
 	default:
 	}
 	if err := s.Platform.Thaw(); err != nil {
@@ -83,7 +84,7 @@
 }
 
 func TestStopEndsEveryProcess(t *testing.T) {
-	s := standins(t)
+	s := startStandins(t)
 	if err := s.Engines[1].Freeze(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testkit/procs/ask.go
+++ b/internal/testkit/procs/queries.go
@@ -16,10 +16,10 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/router"
 )
 
-// servingPoll is the pause between two tries of WaitServing.
+// servingPoll is the interval between readiness checks.
 const servingPoll = 50 * time.Millisecond
 
-// Caller returns a caller of the organisation that asks the routers in order.
+// Caller returns a client of the organisation that tries the routers in order.
 func (s *System) Caller(organisation string) *caller.Client {
 	var seeds []string
 	for _, r := range s.Routers {
@@ -28,16 +28,17 @@
 	return caller.New(OrganisationKey(organisation), organisation, seeds)
 }
 
-// waitKeepers waits until each keeper has read the platform's records. Its log
-// line says only that it listens: one that starts while the platform is down
-// listens as well, and refuses changes until it has the records.
+// waitKeepers waits until each keeper has read the platform's records. The
+// "ready" log line only means that the keeper listens: a keeper that starts
+// while the platform is down also listens, but refuses changes until it has read
+// the records.
 func (s *System) waitKeepers(ctx context.Context) error {
 	for _, k := range s.Keepers {
 		for !isReady(ctx, k) {
 			select {
 			case <-time.After(servingPoll):
 			case <-ctx.Done():
-				return fmt.Errorf("%s is not ready in time:\n%s", k.ID, tail(k.Log()))
+				return fmt.Errorf("%s was not ready before the deadline; end of its log:\n%s", k.ID, logTail(k.Log()))
 			}
 		}
 	}
@@ -49,29 +50,29 @@
 	return err == nil && reply.Status == http.StatusOK
 }
 
-// WaitServing waits until every router names every router, or as many as an
-// answer holds, and places a request of the caller.
+// WaitServing waits until every router serves a request of the caller and lists
+// all routers as entry addresses, up to router.MaxEntryAddresses.
 func (s *System) WaitServing(ctx context.Context, c *caller.Client) error {
 	for _, r := range s.Routers {
 		if err := s.waitRouter(ctx, c, r); err != nil {
-			return fmt.Errorf("%s: %w\n%s", r.ID, err, tail(r.Log()))
+			return fmt.Errorf("%s: %w\n%s", r.ID, err, logTail(r.Log()))
 		}
 	}
 	return nil
 }
 
 func (s *System) waitRouter(ctx context.Context, c *caller.Client, r *Daemon) error {
-	one := *c
-	one.Seeds = []string{r.Address}
+	single := *c
+	single.Seeds = []string{r.Address}
 	for {
-		err := s.tryRouter(ctx, &one, r)
+		err := s.tryRouter(ctx, &single, r)
 		if err == nil {
 			return nil
 		}
 		select {
 		case <-time.After(servingPoll):
 		case <-ctx.Done():
-			return fmt.Errorf("does not serve in time: %w", err)
+			return fmt.Errorf("did not serve before the deadline: %w", err)
 		}
 	}
 }
@@ -82,19 +83,19 @@
 		return err
 	}
 	if len(entry.Addresses) != min(len(s.Routers), router.MaxEntryAddresses) {
-		return fmt.Errorf("entry names %v", entry.Addresses)
+		return fmt.Errorf("entry response lists the wrong number of router addresses: %v", entry.Addresses)
 	}
 	answer, err := c.Stream(ctx, []string{r.Address}, caller.Completion{Model: s.Layout.Model, Prompt: "[[tokens=1]]"})
 	if err != nil {
 		return err
 	}
 	if answer.Problem != nil {
-		return fmt.Errorf("refused: %s %s", answer.Problem.Reason, answer.Problem.Detail)
+		return fmt.Errorf("request refused: %s: %s", answer.Problem.Reason, answer.Problem.Detail)
 	}
 	return nil
 }
 
-// ServiceRuns sums the runs per idempotency key over all services.
+// ServiceRuns returns how often the services ran each idempotency key.
 func (s *System) ServiceRuns(ctx context.Context) (map[string]int, error) {
 	sum := map[string]int{}
 	for _, d := range s.Services {
@@ -113,10 +114,11 @@
 	return sum, nil
 }
 
-// Decision is one explained decision.
+// Decision is one entry of a daemon's decision log.
 type Decision = port.DecisionRecord
 
-// Explain asks why, at the daemon that the request id names, or else at each.
+// Explain returns the decisions about a subject from the admin API. The id of a
+// request names the daemon to query; for other subjects all daemons are queried.
 func (s *System) Explain(ctx context.Context, subject, id string) ([]Decision, error) {
 	var found []Decision
 	for _, d := range append(append([]*Daemon{}, s.Routers...), s.Keepers...) {
@@ -139,7 +141,7 @@
 	return found, nil
 }
 
-// Decisions reads the decision lines of the daemon's log.
+// Decisions returns the decisions that the daemon has logged.
 func (d *Daemon) Decisions() []Decision {
 	var found []Decision
 	lines := bufio.NewScanner(bytes.NewReader(d.Log()))
@@ -157,8 +159,8 @@
 	return found
 }
 
-// tail is the end of a log.
-func tail(log []byte) []byte {
+// logTail returns at most the last 4000 bytes of a log.
+func logTail(log []byte) []byte {
 	const end = 4000
 	if len(log) > end {
 		return log[len(log)-end:]
--- a/internal/testkit/procs/settings.go
+++ b/internal/testkit/procs/settings.go
@@ -8,13 +8,13 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/adapter/httpserver"
 )
 
-// AdminToken is the operators' token of every system started here.
+// AdminToken is the admin API's bearer token of every daemon started here.
 const AdminToken = "loopback-operators"
 
 // resumeKey signs the resume tokens of all routers started here.
 const resumeKey = "loopback-resume-tokens"
 
-// Settings is a daemon's settings file as started here.
+// Settings is the settings file of a router or keeper.
 type Settings struct {
 	ID               string   `json:"id"`
 	Host             string   `json:"host"`
@@ -24,14 +24,14 @@
 	LogLevel         string   `json:"log_level"`
 	Keepers          []string `json:"keepers"`
 	DrainTimeout     string   `json:"drain_timeout"`
-	// Platform is for keepers only, the other fields for routers only.
+	// Platform is for keepers only, the fields after it for routers only.
 	Platform   string   `json:"platform,omitempty"`
 	ResumeKeys []string `json:"resume_keys,omitempty"`
 	// Routers are the peer addresses of the other routers.
 	Routers []string `json:"routers,omitempty"`
 }
 
-// Listen are a daemon's addresses; Callers is for routers only.
+// Listen holds a daemon's listen addresses. Callers is for routers only.
 type Listen struct {
 	Callers string `json:"callers,omitempty"`
 	Admin   string `json:"admin"`
--- a/internal/testkit/procs/system.go
+++ b/internal/testkit/procs/system.go
@@ -11,56 +11,59 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// The binaries.
+// Names of the binaries.
 const (
 	binRouter  = "dragonfly-router"
 	binKeeper  = "dragonfly-keeper"
 	binStandin = "dragonfly-standin"
 )
 
-// stopPatience is how long a stop waits before it kills.
-const stopPatience = 5 * time.Second
+// shutdownTimeout is the time between SIGTERM and SIGKILL when a system stops.
+const shutdownTimeout = 5 * time.Second
 
-// Layout says what a system consists of.
+// Layout describes the processes of a system.
 type Layout struct {
-	// BinDir holds the binaries, Dir gets settings and logs.
+	// BinDir contains the binaries; settings and logs are written to Dir.
 	BinDir, Dir string
 	Domains     []string
 	Runners     int
 	Services    int
 	Keepers     int
 	Routers     int
-	// Model is ready on every runner, with its version.
+	// Model and Version name the model that is ready on every runner at its start.
 	Model, Version string
-	// ModelPool and ServicePool name the pools.
+	// ModelPool and ServicePool are the names of the runners' and the services'
+	// pools.
 	ModelPool, ServicePool string
-	// FencedRunners is how many runners check fencing numbers.
+	// FencedRunners is the number of runners that check fencing numbers.
 	FencedRunners int
 	PlatformArgs  []string
 	EngineArgs    []string
 	DrainTimeout  time.Duration
 	Detached      bool
-	// SettingsDir holds the settings files of the daemons to start, in place
-	// of Keepers and Routers; PlatformAddress is the one that they name.
+	// SettingsDir contains the settings files of the daemons to start and
+	// replaces Keepers and Routers. PlatformAddress is the platform address in
+	// these files.
 	SettingsDir     string
 	PlatformAddress string
 }
 
-// Daemon is a router, a keeper or a stand-in and its addresses.
+// Daemon is a router, keeper or stand-in process with its addresses.
 type Daemon struct {
 	*Process
 	ID            string
 	FailureDomain string
-	// Address serves callers at routers, and the stand-ins' API.
+	// Address is where a router serves callers, or a stand-in its API. It is
+	// empty for keepers.
 	Address string
 	Admin   string
 	Peers   string
 }
 
-// URL is the daemon's base URL for callers.
+// URL returns the base URL of a router for callers, or of a stand-in's API.
 func (d *Daemon) URL() string { return "http://" + d.Address }
 
-// AdminURL is the daemon's base URL for operators.
+// AdminURL returns the base URL of the daemon's admin API.
 func (d *Daemon) AdminURL() string { return "http://" + d.Admin }
 
 // System is a running system with its stand-ins.
@@ -79,8 +82,8 @@
 	incarnations map[string]uint64
 }
 
-// Launch starts a whole system and waits until each process serves. After an
-// error nothing is left running.
+// Launch starts a system and waits until each process is ready. On an error it
+// stops all processes that it has started.
 func Launch(ctx context.Context, l Layout) (*System, error) {
 	ports, err := NewPorts()
 	if err != nil {
@@ -103,22 +106,22 @@
 	return s, nil
 }
 
-// Stop ends every process that the system started: routers, then keepers,
-// then what they talk to.
+// Stop ends all processes of the system: first the routers, then the keepers,
+// then the stand-ins that they connect to.
 func (s *System) Stop() {
 	for _, group := range s.stopOrder() {
 		var wait sync.WaitGroup
 		for _, d := range group {
-			// A frozen process can't obey a stop.
+			// A suspended process does not handle SIGTERM.
 			_ = d.Thaw()
-			wait.Go(func() { d.Stop(stopPatience) })
+			wait.Go(func() { d.Stop(shutdownTimeout) })
 		}
 		wait.Wait()
 	}
 	s.Ports.Close()
 }
 
-// Kill ends every process at once, for tests that have seen what they wanted.
+// Kill ends all processes with SIGKILL, for tests that need no orderly shutdown.
 func (s *System) Kill() {
 	for _, d := range s.All() {
 		d.Process.Kill()
@@ -141,7 +144,8 @@
 	return groups
 }
 
-// All are the processes started so far, replaced ones included.
+// All returns all daemons and stand-ins started so far, also those that have
+// ended.
 func (s *System) All() []*Daemon {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -150,7 +154,7 @@
 
 func (s *System) domain(i int) string { return s.Layout.Domains[i%len(s.Layout.Domains)] }
 
-// launch starts one process and waits until it serves.
+// launch starts one process and waits until it is ready.
 func (s *System) launch(ctx context.Context, d *Daemon, binary string, args []string) error {
 	p, err := Start(Spec{
 		Name: d.ID, Binary: filepath.Join(s.Layout.BinDir, binary), Args: args,
@@ -220,7 +224,7 @@
 	return s.standin(ctx, "engine", id, s.domain(i), append(args, s.Layout.EngineArgs...))
 }
 
-// incarnation counts the starts of an endpoint.
+// incarnation increments and returns an endpoint's incarnation number.
 func (s *System) incarnation(id string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -228,7 +232,7 @@
 	return fmt.Sprint(s.incarnations[id])
 }
 
-// Endpoints lists the endpoints as they run, for the platform's host list.
+// Endpoints returns the platform's host list for the current endpoints.
 func (s *System) Endpoints() []port.Endpoint {
 	var list []port.Endpoint
 	for i, d := range s.Engines {
--- a/internal/testkit/procs/testing.go
+++ b/internal/testkit/procs/testing.go
@@ -6,13 +6,14 @@
 	"time"
 )
 
-// Deadline is how long a test waits for what must come. It is generous: a
-// loaded machine must not change a verdict.
+// Deadline bounds each wait of a test. It is long so that a loaded machine does
+// not make a test fail.
 const Deadline = 60 * time.Second
 
-// StartDemo starts the demo's system, changed as asked, with its records
-// written and every router serving. The system is killed with the test; where
-// that failed, its logs' ends are printed.
+// StartDemo starts the demo system, with the layout modified by change if that
+// is not nil, applies the demo records and waits until every router serves. The
+// system is killed when the test ends; if the test failed, the end of each log is
+// printed.
 func StartDemo(tb testing.TB, change func(*Layout)) *System {
 	tb.Helper()
 	l := DemoLayout(binDir, tb.TempDir())
@@ -29,7 +30,7 @@
 		s.Kill()
 		if tb.Failed() {
 			for _, d := range s.All() {
-				tb.Logf("end of the log of %s:\n%s", d.ID, tail(d.Log()))
+				tb.Logf("end of the log of %s:\n%s", d.ID, logTail(d.Log()))
 			}
 		}
 	})
@@ -42,14 +43,14 @@
 	return s
 }
 
-// Until polls for a condition and fails the test where it doesn't come true
-// before the deadline.
+// Until polls a condition and fails the test if it is not true before the
+// deadline.
 func Until(tb testing.TB, what string, ok func() bool) {
 	tb.Helper()
 	deadline := time.Now().Add(Deadline)
 	for !ok() {
 		if time.Now().After(deadline) {
-			tb.Fatalf("not in time: %s", what)
+			tb.Fatalf("condition not met before the deadline: %s", what)
 		}
 		time.Sleep(pollInterval)
 	}
