--- a/internal/testkit/faultproxy/faultproxy.go
+++ b/internal/testkit/faultproxy/faultproxy.go
@@ -1,6 +1,6 @@
-// Package faultproxy stands on loopback between two processes and harms their
-// connections: it delays, resets, cuts them one way or lets them fall silent.
-// It knows nothing of what passes.
+// Package faultproxy implements a TCP proxy on loopback that injects faults into
+// connections: delays, resets, refusals, and data held in one or both directions.
+// It does not interpret the data.
 package faultproxy
 
 import (
@@ -11,23 +11,23 @@
 	"time"
 )
 
-// Harm is what a proxy does to its connections, old and new, until it is
-// changed. The zero value passes all on.
+// Harm is the set of faults that a proxy applies to open and new connections
+// until the next call of Set. The zero value forwards all data unchanged.
 type Harm struct {
 	// Refuse resets each new connection.
 	Refuse bool
-	// HoldForth and HoldBack keep what is sent towards the target, and what
-	// comes back from it, until the harm is over.
-	HoldForth bool
-	HoldBack  bool
-	// Delay holds each piece up for so long.
+	// HoldUpstream holds data sent to the target, and HoldDownstream data sent to
+	// the client, until the field is cleared.
+	HoldUpstream   bool
+	HoldDownstream bool
+	// Delay is the time by which each chunk is delayed.
 	Delay time.Duration
 }
 
-// chunk is the largest piece that is passed on at once, in bytes.
-const chunk = 32 << 10
+// maxChunk is the largest number of bytes forwarded at once.
+const maxChunk = 32 << 10
 
-// Proxy is one address in front of another.
+// Proxy forwards connections from its own address to a target address.
 type Proxy struct {
 	listener net.Listener
 	target   string
@@ -40,12 +40,13 @@
 
 // link is one connection through the proxy.
 type link struct {
-	near, far net.Conn
-	// silent holds it both ways for good.
-	silent bool
+	client, target net.Conn
+	// stalled holds the data of both directions until the connection is closed.
+	stalled bool
 }
 
-// New serves an address until it is closed.
+// New starts a proxy that listens on address and forwards to target. Close stops
+// it.
 func New(address, target string) (*Proxy, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -56,48 +57,50 @@
 	return p, nil
 }
 
-// Address is where the proxy listens.
+// Address returns the proxy's listen address.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// Set changes the harm.
+// Set replaces the faults applied to open and new connections.
 func (p *Proxy) Set(h Harm) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.harm = h
-	p.wake()
+	p.notifyChanged()
 }
 
-// Reset breaks every connection with a reset; new ones work.
+// Reset closes every open connection with a TCP reset. New connections are not
+// affected.
 func (p *Proxy) Reset() {
-	for _, l := range p.open() {
+	for _, l := range p.openLinks() {
 		l.reset()
 	}
 }
 
-// Silence lets every open connection hang for good, without a word to either
-// end; new ones work.
-func (p *Proxy) Silence() {
+// Stall permanently stops forwarding on every open connection, without closing
+// it. New connections are not affected.
+func (p *Proxy) Stall() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for l := range p.links {
-		l.silent = true
+		l.stalled = true
 	}
 }
 
-// Close ends the proxy and its connections.
+// Close closes the listener and resets all open connections.
 func (p *Proxy) Close() {
 	p.listener.Close()
 	p.Reset()
 	p.Set(Harm{})
 }
 
-// wake has the held connections look again. Needs p.mu.
-func (p *Proxy) wake() {
+// notifyChanged makes held connections check the faults again. The caller must
+// hold p.mu.
+func (p *Proxy) notifyChanged() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
 
-func (p *Proxy) open() []*link {
+func (p *Proxy) openLinks() []*link {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	links := make([]*link, 0, len(p.links))
@@ -109,49 +112,50 @@
 
 func (p *Proxy) accept() {
 	for {
-		near, err := p.listener.Accept()
+		client, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		go p.serve(near)
+		go p.serve(client)
 	}
 }
 
-func (p *Proxy) serve(near net.Conn) {
+func (p *Proxy) serve(client net.Conn) {
 	p.mu.Lock()
 	refuse := p.harm.Refuse
 	p.mu.Unlock()
 	if refuse {
-		reset(near)
+		reset(client)
 		return
 	}
-	far, err := net.Dial("tcp", p.target)
+	target, err := net.Dial("tcp", p.target)
 	if err != nil {
-		reset(near)
+		reset(client)
 		return
 	}
-	l := &link{near: near, far: far}
+	l := &link{client: client, target: target}
 	p.mu.Lock()
 	p.links[l] = true
 	p.mu.Unlock()
-	var both sync.WaitGroup
-	both.Go(func() { p.pump(l, near, far, true) })
-	both.Go(func() { p.pump(l, far, near, false) })
-	both.Wait()
-	near.Close()
-	far.Close()
+	var directions sync.WaitGroup
+	directions.Go(func() { p.forward(l, client, target, true) })
+	directions.Go(func() { p.forward(l, target, client, false) })
+	directions.Wait()
+	client.Close()
+	target.Close()
 	p.mu.Lock()
 	delete(p.links, l)
-	p.wake()
+	p.notifyChanged()
 	p.mu.Unlock()
 }
 
-// pump passes on one direction until its source ends.
-func (p *Proxy) pump(l *link, from, to net.Conn, forth bool) {
-	buffer := make([]byte, chunk)
+// forward copies the data of one direction until the source ends or the
+// connection is reset.
+func (p *Proxy) forward(l *link, from, to net.Conn, upstream bool) {
+	buffer := make([]byte, maxChunk)
 	for {
 		n, err := from.Read(buffer)
-		if !p.pass(l, forth) {
+		if !p.waitAllowed(l, upstream) {
 			return
 		}
 		if n > 0 {
@@ -161,63 +165,65 @@
 			}
 		}
 		if err != nil {
-			l.end(to, err)
+			l.propagateEnd(to, err)
 			return
 		}
 	}
 }
 
-// pass waits until a piece may pass, and returns false once the connection is
-// broken.
-func (p *Proxy) pass(l *link, forth bool) bool {
+// waitAllowed waits until a chunk may be forwarded. It returns false if the
+// connection has been reset or removed.
+func (p *Proxy) waitAllowed(l *link, upstream bool) bool {
 	for {
 		p.mu.Lock()
-		harm, changed, silent, open := p.harm, p.changed, l.silent, p.links[l]
+		harm, changed, stalled, open := p.harm, p.changed, l.stalled, p.links[l]
 		p.mu.Unlock()
 		if !open {
 			return false
 		}
-		held := silent || forth && harm.HoldForth || !forth && harm.HoldBack
+		held := stalled || upstream && harm.HoldUpstream || !upstream && harm.HoldDownstream
 		if !held {
 			time.Sleep(harm.Delay)
 			return true
 		}
 		select {
 		case <-changed:
-		case <-time.After(heldCheck):
-			// A reset of a held connection does not change the harm.
-			if l.broken() {
+		case <-time.After(resetPollInterval):
+			// A reset does not notify p.changed, so check for it here.
+			if l.isClosed() {
 				return false
 			}
 		}
 	}
 }
 
-// heldCheck is the time between looks at whether a held connection was reset.
-const heldCheck = 50 * time.Millisecond
+// resetPollInterval is the interval at which a held connection checks whether it
+// has been reset.
+const resetPollInterval = 50 * time.Millisecond
 
-// broken reports whether this proxy has reset the connection.
-func (l *link) broken() bool { return l.near.SetReadDeadline(time.Time{}) != nil }
+// isClosed reports whether this proxy has closed the connection.
+func (l *link) isClosed() bool { return l.client.SetReadDeadline(time.Time{}) != nil }
 
-// end passes the end of one direction on: as an end, or as a reset.
-func (l *link) end(to net.Conn, err error) {
-	if half, ok := to.(*net.TCPConn); ok && errors.Is(err, io.EOF) {
-		// The other end may be gone already.
-		_ = half.CloseWrite()
+// propagateEnd half-closes the other side after an EOF, and resets the connection
+// after any other error.
+func (l *link) propagateEnd(to net.Conn, err error) {
+	if tcp, ok := to.(*net.TCPConn); ok && errors.Is(err, io.EOF) {
+		// This fails if the other side is already closed.
+		_ = tcp.CloseWrite()
 		return
 	}
 	l.reset()
 }
 
 func (l *link) reset() {
-	reset(l.near)
-	reset(l.far)
+	reset(l.client)
+	reset(l.target)
 }
 
-// reset closes a connection so that its other end sees a reset.
+// reset closes a connection with a TCP reset.
 func reset(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
-		// A connection that is closed has nothing left to reset.
+		// This fails if the connection is already closed.
 		_ = tcp.SetLinger(0)
 	}
 	c.Close()
--- a/internal/testkit/faultproxy/faultproxy_test.go
+++ b/internal/testkit/faultproxy/faultproxy_test.go
@@ -12,11 +12,13 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/testkit/faultproxy"
 )
 
-// quiet is how long a held connection is watched for a word.
-const quiet = 100 * time.Millisecond
+// holdCheckTime is how long a test waits to see that a held connection delivers
+// no data. It is also the delay set in TestDelaysBothDirections.
+const holdCheckTime = 100 * time.Millisecond
 
-// echo answers each line with itself.
-func echo(t *testing.T) string {
+// startEchoServer starts a server that sends back all data and returns its
+// address.
+func startEchoServer(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -38,9 +40,9 @@
 	return l.Addr().String()
 }
 
-func start(t *testing.T) *faultproxy.Proxy {
+func startProxy(t *testing.T) *faultproxy.Proxy {
 	t.Helper()
-	p, err := faultproxy.New("127.0.0.1:0", echo(t))
+	p, err := faultproxy.New("127.0.0.1:0", startEchoServer(t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,101 +50,102 @@
 	return p
 }
 
-type talk struct {
+type testClient struct {
 	t *testing.T
 	net.Conn
 	in *bufio.Reader
 }
 
-func dial(t *testing.T, p *faultproxy.Proxy) *talk {
+func dial(t *testing.T, p *faultproxy.Proxy) *testClient {
 	t.Helper()
 	c, err := net.Dial("tcp", p.Address())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	return &talk{t, c, bufio.NewReader(c)}
+	return &testClient{t, c, bufio.NewReader(c)}
 }
 
-func (c *talk) say(word string) {
+func (c *testClient) sendLine(line string) {
 	c.t.Helper()
-	if _, err := io.WriteString(c, word+"\n"); err != nil {
+	if _, err := io.WriteString(c, line+"\n"); err != nil {
 		c.t.Fatal(err)
 	}
 }
 
-func (c *talk) hears(word string) {
+func (c *testClient) expectLine(line string) {
 	c.t.Helper()
-	if got, err := c.in.ReadString('\n'); err != nil || got != word+"\n" {
-		c.t.Fatalf("heard %q, %v; want %q", got, err, word)
+	if got, err := c.in.ReadString('\n'); err != nil || got != line+"\n" {
+		c.t.Fatalf("read %q, error %v; want line %q", got, err, line)
 	}
 }
 
-// hearsNothing fails the test where a word comes within the quiet time.
-func (c *talk) hearsNothing() {
+// expectNothing fails the test if data arrives, or the connection ends, within
+// holdCheckTime.
+func (c *testClient) expectNothing() {
 	c.t.Helper()
-	if err := c.SetReadDeadline(time.Now().Add(quiet)); err != nil {
+	if err := c.SetReadDeadline(time.Now().Add(holdCheckTime)); err != nil {
 		c.t.Fatal(err)
 	}
-	var late net.Error
-	if got, err := c.in.ReadString('\n'); !errors.As(err, &late) || !late.Timeout() {
-		c.t.Fatalf("heard %q, %v", got, err)
+	var timeout net.Error
+	if got, err := c.in.ReadString('\n'); !errors.As(err, &timeout) || !timeout.Timeout() {
+		c.t.Fatalf("read %q, error %v; want a read timeout", got, err)
 	}
 	if err := c.SetReadDeadline(time.Time{}); err != nil {
 		c.t.Fatal(err)
 	}
 }
 
-func TestPassesOnAndHoldsOneWay(t *testing.T) {
-	p := start(t)
+func TestForwardsAndHoldsOneDirection(t *testing.T) {
+	p := startProxy(t)
 	c := dial(t, p)
-	c.say("one")
-	c.hears("one")
-	for _, harm := range []faultproxy.Harm{{HoldForth: true}, {HoldBack: true}} {
+	c.sendLine("one")
+	c.expectLine("one")
+	for _, harm := range []faultproxy.Harm{{HoldUpstream: true}, {HoldDownstream: true}} {
 		p.Set(harm)
-		c.say("held")
-		c.hearsNothing()
+		c.sendLine("held")
+		c.expectNothing()
 		p.Set(faultproxy.Harm{})
-		c.hears("held")
+		c.expectLine("held")
 	}
 }
 
-func TestResetBreaksOpenConnectionsOnly(t *testing.T) {
-	p := start(t)
+func TestResetAffectsOpenConnectionsOnly(t *testing.T) {
+	p := startProxy(t)
 	c := dial(t, p)
-	c.say("one")
-	c.hears("one")
+	c.sendLine("one")
+	c.expectLine("one")
 	p.Reset()
 	if _, err := c.in.ReadString('\n'); !errors.Is(err, syscall.ECONNRESET) {
 		t.Fatalf("want a reset, got %v", err)
 	}
-	again := dial(t, p)
-	again.say("two")
-	again.hears("two")
+	other := dial(t, p)
+	other.sendLine("two")
+	other.expectLine("two")
 }
 
-func TestSilenceIsForGoodOnOpenConnectionsOnly(t *testing.T) {
-	p := start(t)
+func TestStallAffectsOpenConnectionsOnly(t *testing.T) {
+	p := startProxy(t)
 	c := dial(t, p)
-	c.say("one")
-	c.hears("one")
-	p.Silence()
-	c.say("two")
-	c.hearsNothing()
+	c.sendLine("one")
+	c.expectLine("one")
+	p.Stall()
+	c.sendLine("two")
+	c.expectNothing()
 	again := dial(t, p)
-	again.say("three")
-	again.hears("three")
+	again.sendLine("three")
+	again.expectLine("three")
 }
 
 func TestRefusesNewConnections(t *testing.T) {
-	p := start(t)
+	p := startProxy(t)
 	p.Set(faultproxy.Harm{Refuse: true})
-	wantReset(t, p)
+	expectReset(t, p)
 }
 
-// wantReset fails the test unless a new connection is reset: while it is made
-// or after.
-func wantReset(t *testing.T, p *faultproxy.Proxy) {
+// expectReset fails the test unless a new connection is reset while dialing or at
+// the first read.
+func expectReset(t *testing.T, p *faultproxy.Proxy) {
 	t.Helper()
 	c, err := net.Dial("tcp", p.Address())
 	if err == nil {
@@ -154,24 +157,25 @@
 	}
 }
 
-func TestDelays(t *testing.T) {
-	p := start(t)
-	p.Set(faultproxy.Harm{Delay: quiet})
+func TestDelaysBothDirections(t *testing.T) {
+	p := startProxy(t)
+	p.Set(faultproxy.Harm{Delay: holdCheckTime})
 	c := dial(t, p)
 	before := time.Now()
-	c.say("one")
-	c.hears("one")
-	if took := time.Since(before); took < 2*quiet {
-		t.Fatalf("took %v both ways", took)
+	c.sendLine("one")
+	c.expectLine("one")
+	if took := time.Since(before); took < 2*holdCheckTime {
+		t.Fatalf("round trip took %v, less than twice the delay", took)
 	}
 }
 
-// A target that is gone shows as a reset, not as a connection that hangs.
-func TestTargetIsGone(t *testing.T) {
+// Guards against a connection that hangs instead of being reset when the target
+// does not listen.
+func TestUnreachableTargetResetsClient(t *testing.T) {
 	p, err := faultproxy.New("127.0.0.1:0", "127.0.0.1:1")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer p.Close()
-	wantReset(t, p)
+	expectReset(t, p)
 }
