--- a/internal/testkit/fakes/claims.go
+++ b/internal/testkit/fakes/claims.go
@@ -8,20 +8,20 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// Claims keeps claims in memory, shared by the routers of a test.
+// Claims is an in-memory claim store shared by the routers of a test.
 type Claims struct {
 	mu sync.Mutex
-	// Held are the claims by key; Down refuses all; Settled are the outcomes
-	// in the order of their arrival.
+	// Held contains the claims by key hash. Down makes Claim fail as unavailable.
+	// Settled contains all settled states in the order of their arrival.
 	Held    map[[16]byte]port.ClaimState
 	Down    bool
 	Settled []port.ClaimState
 }
 
-// NewClaims returns a memory without claims.
+// NewClaims returns an empty claim store.
 func NewClaims() *Claims { return &Claims{Held: map[[16]byte]port.ClaimState{}} }
 
-// Claim grants a key that nobody holds.
+// Claim grants a key that has no claim, and otherwise returns the existing claim.
 func (c *Claims) Claim(_ context.Context, e port.ClaimEntry) (port.ClaimVerdict, port.ClaimState, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -37,7 +37,8 @@
 	return port.ClaimGranted, port.ClaimState{}, nil
 }
 
-// Settle keeps the outcome; not_run frees the key.
+// Settle stores the outcome of a claim. The outcome not_run deletes the claim, so
+// that the key can be claimed again.
 func (c *Claims) Settle(s port.ClaimState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/testkit/fakes/decisions.go
+++ b/internal/testkit/fakes/decisions.go
@@ -7,7 +7,7 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// Decisions remembers every decision.
+// Decisions is a port.DecisionSink that keeps every decision in memory.
 type Decisions struct {
 	mu  sync.Mutex
 	all []port.DecisionRecord
@@ -20,14 +20,14 @@
 	d.all = append(d.all, *r)
 }
 
-// All returns the decisions in their order.
+// All returns the decisions in the order in which they were recorded.
 func (d *Decisions) All() []port.DecisionRecord {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return slices.Clone(d.all)
 }
 
-// Verdicts returns the decisions' verdicts in their order.
+// Verdicts returns the verdict of each decision, in the same order as All.
 func (d *Decisions) Verdicts() []string {
 	var out []string
 	for _, r := range d.All() {
--- a/internal/testkit/fakes/engine.go
+++ b/internal/testkit/fakes/engine.go
@@ -1,5 +1,5 @@
-// Package fakes holds scripted stand-ins of ports for the tests of several
-// packages. They are plain memory: no clock, no goroutine, no socket.
+// Package fakes provides scripted in-memory implementations of ports, shared by
+// the tests of several packages. They use no clocks, goroutines or sockets.
 package fakes
 
 import (
@@ -10,16 +10,16 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// Connection is a scripted connection: it yields the frames, then ends, or
-// hangs until it is closed.
+// Connection is a scripted frame stream. It yields the frames of Script and then
+// ends or, if Hangs is set, blocks until the context is done.
 type Connection struct {
 	Script []port.Frame
 	Hangs  bool
-	// Closed is closed by Close, where set.
+	// Closed, if not nil, is closed by Close.
 	Closed chan struct{}
 }
 
-// Frames yields the script.
+// Frames yields the frames of Script.
 func (c *Connection) Frames(ctx context.Context) iter.Seq2[port.Frame, error] {
 	return func(yield func(port.Frame, error) bool) {
 		for _, f := range c.Script {
@@ -33,7 +33,7 @@
 	}
 }
 
-// Close notes that the connection is released.
+// Close closes the channel Closed.
 func (c *Connection) Close() error {
 	if c.Closed != nil {
 		close(c.Closed)
@@ -41,29 +41,31 @@
 	return nil
 }
 
-// Engine is a scripted engine behind every address. Start and Resume take the
-// next step of their script; a test scripts what each call meets.
+// Engine is a scripted engine that serves every address. Each call of Start or
+// Resume runs the next function of OnStart or OnResume.
 type Engine struct {
 	mu sync.Mutex
-	// OnStart and OnResume hold one step for each call.
+	// OnStart and OnResume hold one function for each call, in order.
 	OnStart  []func(s *port.GenerationStart) (port.FrameStream, error)
 	OnResume []func(generation string, from int) (port.FrameStream, error)
-	// OnCancel and OnStatus answer every call; nil loses it.
+	// OnCancel and OnStatus are run for every call. If nil, the call returns
+	// port.ErrEndpointLost.
 	OnCancel func(e port.Endpoint, generation string) (port.GenerationStatus, error)
 	OnStatus func(generation string) (port.GenerationStatus, error)
-	// Report answers Load, unless LoadFails.
+	// Report is returned by Load, unless LoadFails is set.
 	Report    port.LoadReport
 	LoadFails bool
-	// Gone: nothing listens at any address.
+	// Gone makes Look report that nothing listens at any address.
 	Gone bool
 
-	asked   int
-	starts  []port.GenerationStart
-	resumes []int
-	cancels []string
+	loadCalls int
+	starts    []port.GenerationStart
+	resumes   []int
+	cancels   []string
 }
 
-// Start takes the next step of OnStart.
+// Start runs the next function of OnStart, or returns port.ErrNotSent if none is
+// left.
 func (e *Engine) Start(_ context.Context, s *port.GenerationStart) (port.FrameStream, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -76,7 +78,8 @@
 	return f(s)
 }
 
-// Resume takes the next step of OnResume.
+// Resume runs the next function of OnResume, or returns port.ErrEndpointLost if
+// none is left.
 func (e *Engine) Resume(_ context.Context, _ port.Endpoint, generation string, from int) (port.FrameStream, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -89,7 +92,7 @@
 	return f(generation, from)
 }
 
-// Cancel answers as OnCancel does.
+// Cancel returns the result of OnCancel.
 func (e *Engine) Cancel(_ context.Context, ep port.Endpoint, generation string) (port.GenerationStatus, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -100,7 +103,7 @@
 	return e.OnCancel(ep, generation)
 }
 
-// Status answers as OnStatus does.
+// Status returns the result of OnStatus.
 func (e *Engine) Status(_ context.Context, _ port.Endpoint, generation string) (port.GenerationStatus, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -110,11 +113,12 @@
 	return e.OnStatus(generation)
 }
 
-// Load answers with Report.
+// Load returns Report with the endpoint's id and, unless Report sets one, its
+// incarnation.
 func (e *Engine) Load(_ context.Context, ep port.Endpoint) (port.LoadReport, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.asked++
+	e.loadCalls++
 	if e.LoadFails {
 		return port.LoadReport{}, port.ErrEndpointLost
 	}
@@ -126,7 +130,7 @@
 	return r, nil
 }
 
-// Look shows an engine that serves, unless Gone.
+// Look reports that the engine serves, unless Gone is set.
 func (e *Engine) Look(context.Context, port.Endpoint) port.Presence {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -136,22 +140,23 @@
 	return port.PresenceServing
 }
 
-// LoadsAsked counts the calls of Load.
+// LoadsAsked returns the number of calls of Load.
 func (e *Engine) LoadsAsked() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.asked
+	return e.loadCalls
 }
 
-// Seen returns what was asked of the engine so far.
+// Seen returns the calls so far: the arguments of Start, the indexes passed to
+// Resume and the generations passed to Cancel.
 func (e *Engine) Seen() (starts []port.GenerationStart, resumes []int, cancels []string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append(starts, e.starts...), append(resumes, e.resumes...), append(cancels, e.cancels...)
 }
 
-// Tokens are frames first to last of a generation, and its end where last is
-// the total.
+// Tokens returns the token frames of a generation from index first up to, but not
+// including, last. If last equals total, the final frame follows.
 func Tokens(generation string, first, last, total int) []port.Frame {
 	var out []port.Frame
 	for i := first; i < last; i++ {
@@ -163,17 +168,18 @@
 	return out
 }
 
-// Whole starts a generation that goes through.
+// Whole returns a step for OnStart that yields a complete generation.
 func Whole(total int) func(*port.GenerationStart) (port.FrameStream, error) {
 	return func(s *port.GenerationStart) (port.FrameStream, error) {
 		return &Connection{Script: Tokens(s.Generation, 0, total, total)}, nil
 	}
 }
 
-// Lost loses a dispatch.
+// Lost is a step for OnStart that returns port.ErrEndpointLost.
 func Lost(*port.GenerationStart) (port.FrameStream, error) { return nil, port.ErrEndpointLost }
 
-// Rest resumes a generation to its end.
+// Rest returns a step for OnResume that yields the remaining frames of a
+// generation.
 func Rest(total int) func(string, int) (port.FrameStream, error) {
 	return func(generation string, from int) (port.FrameStream, error) {
 		return &Connection{Script: Tokens(generation, from, total, total)}, nil
--- a/internal/testkit/fakes/fleet.go
+++ b/internal/testkit/fakes/fleet.go
@@ -9,31 +9,37 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// Runner obeys orders; loads stay under way until finish.
+// Runner is a fake runner that carries out orders. A model load stays in progress
+// until Fleet.Finish.
 type Runner struct {
 	Endpoint port.Endpoint
 	State    port.RunnerState
-	// Heard are the fencing numbers in the order of obeying.
+	// Heard contains the fencing number of each order, in the order in which they
+	// were applied.
 	Heard []uint64
-	// InPlace: a load of another version takes the old one away at once.
+	// InPlace makes a load of another version remove the old version when the load
+	// starts.
 	InPlace bool
 }
 
-// Fleet is all runners; it implements port.Orderer.
+// Fleet is a set of fake runners. It implements port.Orderer.
 type Fleet struct {
 	mu      sync.Mutex
 	Runners map[string]*Runner
-	// Fault decides on an order's fate; nil obeys.
+	// Fault, if not nil, is called before an order is applied. If it returns an
+	// error, the order fails with it and is not applied.
 	Fault func(e port.Endpoint, o port.Order) error
-	Sent  int
-	// Asked counts the reads of a runner's state.
+	// Sent counts the calls of Order, also those that failed.
+	Sent int
+	// Asked counts the calls of State.
 	Asked int
 }
 
 // NewFleet returns a fleet without runners.
 func NewFleet() *Fleet { return &Fleet{Runners: map[string]*Runner{}} }
 
-// Add adds a runner with version 1 of the models ready.
+// Add adds a live runner on which version 1 of each model is ready. The first
+// character of the id becomes its failure domain.
 func (f *Fleet) Add(id string, fences bool, models ...string) {
 	r := &Runner{Endpoint: port.Endpoint{
 		ID: id, Kind: port.KindRunner, State: port.EndpointLive, FailureDomain: id[:1], Incarnation: 1, FencesOrders: fences,
@@ -45,7 +51,8 @@
 	f.Runners[id] = r
 }
 
-// Endpoints lists the runners as the platform would.
+// Endpoints returns the runners, sorted by id, as the platform's host list shows
+// them.
 func (f *Fleet) Endpoints() []port.Endpoint {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -61,7 +68,7 @@
 	return out
 }
 
-// State reads the state of a runner.
+// State returns a copy of a runner's state.
 func (f *Fleet) State(_ context.Context, e port.Endpoint) (port.RunnerState, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -71,7 +78,7 @@
 	return s, nil
 }
 
-// Order counts the order and obeys it, unless Fault says otherwise.
+// Order counts the order and applies it, unless Fault returns an error.
 func (f *Fleet) Order(_ context.Context, e port.Endpoint, o port.Order) error {
 	f.mu.Lock()
 	fault := f.Fault
@@ -84,17 +91,18 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.obey(e.ID, o)
+	return f.applyOrder(e.ID, o)
 }
 
-// Deliver lets a late order reach its runner.
+// Deliver applies an order directly, without counting it or calling Fault. It
+// simulates an order that arrives late.
 func (f *Fleet) Deliver(id string, o port.Order) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.obey(id, o)
+	return f.applyOrder(id, o)
 }
 
-func (f *Fleet) obey(id string, o port.Order) error {
+func (f *Fleet) applyOrder(id string, o port.Order) error {
 	r := f.Runners[id]
 	if r.Endpoint.FencesOrders && o.Fence < r.State.LastFence {
 		return port.ErrStaleFence
@@ -104,35 +112,35 @@
 	switch o.Kind {
 	case port.OrderLoadModel:
 		if r.InPlace {
-			r.drop(o.Model)
+			r.removeModel(o.Model)
 		}
 		r.State.Loading = append(r.State.Loading, port.ModelVersion{Model: o.Model, Version: o.Version})
 	case port.OrderUnloadModel:
-		r.drop(o.Model)
+		r.removeModel(o.Model)
 	case port.OrderSetRole:
 		r.State.Role = o.Role
 	}
 	return nil
 }
 
-func (r *Runner) drop(model string) {
+func (r *Runner) removeModel(model string) {
 	r.State.Models = slices.DeleteFunc(r.State.Models, func(m port.ModelVersion) bool { return m.Model == model })
 }
 
-// Finish ends all loads.
+// Finish completes all model loads in progress.
 func (f *Fleet) Finish() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, r := range f.Runners {
 		for _, m := range r.State.Loading {
-			r.drop(m.Model)
+			r.removeModel(m.Model)
 			r.State.Models = append(r.State.Models, m)
 		}
 		r.State.Loading = nil
 	}
 }
 
-// Loading counts the loads under way.
+// Loading returns the number of model loads in progress.
 func (f *Fleet) Loading() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -143,20 +151,20 @@
 	return n
 }
 
-// Serving counts the runners that have a model ready, and version those that
-// have it in the version.
-func (f *Fleet) Serving(model, version string) (any, right int) {
+// Serving returns the number of runners on which the model is ready in any
+// version, and the number on which it is ready in the given version.
+func (f *Fleet) Serving(model, version string) (total, matching int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, r := range f.Runners {
 		for _, m := range r.State.Models {
 			if m.Model == model {
-				any++
+				total++
 				if m.Version == version {
-					right++
+					matching++
 				}
 			}
 		}
 	}
-	return any, right
+	return total, matching
 }
