--- a/internal/testkit/settingspage/settingspage.go
+++ b/internal/testkit/settingspage/settingspage.go
@@ -1,5 +1,5 @@
-// Package settingspage holds the operators' page of settings against the
-// settings structs, so that neither changes without the other.
+// Package settingspage compares the operators' settings page with the settings
+// structs, so that tests detect a change to only one of them.
 package settingspage
 
 import (
@@ -10,45 +10,48 @@
 	"time"
 )
 
-// Row is one setting as the page must show it.
+// Row is the entry of one setting in the page's table.
 type Row struct {
-	// Path is the setting's place in the file, as in listen.callers.
+	// Path is the setting's path in the settings file, for example
+	// listen.callers.
 	Path string
-	// Default is empty where the setting is required or empty by default.
+	// Default is empty if the setting is required or its default is the zero
+	// value.
 	Default string
 }
 
-// Rows lists the settings of a struct that holds the defaults.
-func Rows(defaults any) []Row { return rows(nil, "", reflect.ValueOf(defaults)) }
+// Rows returns the settings of a struct whose fields contain the defaults.
+func Rows(defaults any) []Row { return appendRows(nil, "", reflect.ValueOf(defaults)) }
 
-func rows(to []Row, prefix string, v reflect.Value) []Row {
+func appendRows(dst []Row, prefix string, v reflect.Value) []Row {
 	for i := range v.NumField() {
 		field := v.Type().Field(i)
 		name, _, _ := strings.Cut(field.Tag.Get("json"), ",")
 		switch {
 		case field.Anonymous:
-			to = rows(to, prefix, v.Field(i))
+			dst = appendRows(dst, prefix, v.Field(i))
 		case field.Type.Kind() == reflect.Struct:
-			to = rows(to, prefix+name+".", v.Field(i))
+			dst = appendRows(dst, prefix+name+".", v.Field(i))
 		default:
-			to = append(to, Row{Path: prefix + name, Default: text(v.Field(i))})
+			dst = append(dst, Row{Path: prefix + name, Default: formatDefault(v.Field(i))})
 		}
 	}
-	return to
+	return dst
 }
 
-func text(v reflect.Value) string {
+func formatDefault(v reflect.Value) string {
 	if v.IsZero() {
 		return ""
 	}
 	if d, ok := v.Interface().(time.Duration); ok {
-		return short(d)
+		return formatDuration(d)
 	}
 	return fmt.Sprint(v.Interface())
 }
 
-// short writes 1m0s as 1m, as people do in a settings file.
-func short(d time.Duration) string {
+// formatDuration formats a duration as it is written in settings files, for
+// example 1m instead of 1m0s.
+func formatDuration(d time.Duration) string {
 	s := d.String()
 	if strings.HasSuffix(s, "m0s") {
 		s = strings.TrimSuffix(s, "0s")
@@ -59,7 +62,8 @@
 	return s
 }
 
-// Missing returns the rows that the page lacks or shows with another default.
+// Missing returns the table rows that the page lacks or has with a different
+// default.
 func Missing(page string, want []Row) ([]string, error) {
 	raw, err := os.ReadFile(page)
 	if err != nil {
--- a/internal/testkit/settingspage/settingspage_test.go
+++ b/internal/testkit/settingspage/settingspage_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func TestMissing(t *testing.T) {
+func TestMissingReportsAbsentAndDifferentRows(t *testing.T) {
 	type nested struct {
 		A int `json:"a"`
 	}
