--- a/internal/testkit/memplatform/memplatform.go
+++ b/internal/testkit/memplatform/memplatform.go
@@ -1,5 +1,5 @@
-// Package memplatform is the platform's object store in memory, on which the
-// fakes of several packages' tests put their faults.
+// Package memplatform provides an in-memory implementation of the platform's
+// object store. The tests of several packages wrap it to inject faults.
 package memplatform
 
 import (
@@ -12,9 +12,8 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// Store keeps every value that was ever stored. Its methods answer at once
-// and never fail but as the contract of port.Platform says. It is safe for
-// concurrent use.
+// Store keeps every value ever stored. Its methods do not block and return only
+// the errors that port.Platform defines. It is safe for concurrent use.
 type Store struct {
 	Unwatched
 
@@ -28,14 +27,14 @@
 func New() *Store { return &Store{history: map[string][]port.Object{}} }
 
 func (s *Store) current(key string) (port.Object, bool) {
-	h := s.history[key]
-	if len(h) == 0 {
+	versions := s.history[key]
+	if len(versions) == 0 {
 		return port.Object{}, false
 	}
-	return h[len(h)-1], true
+	return versions[len(versions)-1], true
 }
 
-// Get returns the current object, or port.ErrNotFound.
+// Get returns the current object, or port.ErrNotFound if there is none.
 func (s *Store) Get(_ context.Context, kind, name string) (port.Object, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -59,7 +58,8 @@
 	return out, port.StoreRevision(s.version), nil
 }
 
-// Put stores a value under the condition, or returns the current object with
+// Put stores a value if the object's current version equals expect, where 0 means
+// that the object does not exist. Otherwise it returns the current object with
 // port.ErrConflict.
 func (s *Store) Put(_ context.Context, kind, name string, expect uint64, value json.RawMessage) (port.Object, error) {
 	s.mu.Lock()
@@ -75,30 +75,30 @@
 	return o, nil
 }
 
-// Writes counts the values stored.
+// Writes returns the number of successful calls of Put.
 func (s *Store) Writes() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.writes
 }
 
-// History returns every value that an object has had.
+// History returns all versions of an object, oldest first.
 func (s *Store) History(kind, name string) []port.Object {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.history[kind+"/"+name])
 }
 
-// Unwatched is the part of port.Platform that few tests need: no watch ever
-// answers and no list of hosts can be read.
+// Unwatched implements the methods of port.Platform that few tests need, Watch
+// and Hosts. Both always fail with port.ErrPlatformUnavailable.
 type Unwatched struct{}
 
-// Watch fails at once.
+// Watch returns port.ErrPlatformUnavailable.
 func (Unwatched) Watch(context.Context, string, port.StoreRevision, time.Duration) ([]port.Object, port.StoreRevision, error) {
 	return nil, 0, port.ErrPlatformUnavailable
 }
 
-// Hosts fails at once.
+// Hosts returns port.ErrPlatformUnavailable.
 func (Unwatched) Hosts(context.Context) ([]port.HostEntry, error) {
 	return nil, port.ErrPlatformUnavailable
 }
