--- a/internal/testkit/fixedseed/fixedseed.go
+++ b/internal/testkit/fixedseed/fixedseed.go
@@ -1,5 +1,6 @@
-// Package fixedseed makes rapid's runs repeat: import it for its effect in a
-// test file. Set DRAGONFLYRAIL_SEED to a number, or to "random", to explore.
+// Package fixedseed makes rapid's tests reproducible by setting a fixed seed.
+// Test files import it for this side effect. To run with another seed, set
+// DRAGONFLYRAIL_SEED to a number or to "random".
 package fixedseed
 
 import (
@@ -8,11 +9,11 @@
 	"os"
 	"strconv"
 
-	// The import registers the flags that init sets.
+	// Importing rapid registers the flags that init sets.
 	_ "pgregory.net/rapid"
 )
 
-// EnvSeed overrides the fixed seed.
+// EnvSeed is the environment variable that overrides the fixed seed.
 const EnvSeed = "DRAGONFLYRAIL_SEED"
 
 const defaultSeed = "20261202"
