--- a/internal/testkit/eventually/eventually.go
+++ b/internal/testkit/eventually/eventually.go
@@ -1,5 +1,5 @@
-// Package eventually waits in tests for what must come, with a deadline so
-// generous that a loaded machine does not change a verdict.
+// Package eventually polls for conditions in tests. Its deadline is long, so that
+// a loaded machine does not make a test fail.
 package eventually
 
 import "time"
@@ -10,20 +10,21 @@
 	maxPause   = 2 * time.Millisecond
 )
 
-// failer is what the testing library's and rapid's T have in common.
-type failer interface {
+// testingT is implemented by testing.T and rapid.T.
+type testingT interface {
 	Helper()
 	Fatalf(format string, args ...any)
 }
 
-// True fails the test where the condition does not come true in time. Pauses
-// grow, as stateful tests wait thousands of times for what is nearly there.
-func True(t failer, what string, holds func() bool) {
+// True polls until holds returns true, and fails the test if that does not happen
+// before the deadline. The pauses start short and grow, because stateful tests
+// wait thousands of times for conditions that are almost met.
+func True(t testingT, condition string, holds func() bool) {
 	t.Helper()
 	end := time.Now().Add(deadline)
 	for pause := firstPause; !holds(); pause = min(2*pause, maxPause) {
 		if time.Now().After(end) {
-			t.Fatalf("never came: %s", what)
+			t.Fatalf("condition not met before the deadline: %s", condition)
 		}
 		time.Sleep(pause)
 	}
