--- a/internal/testkit/procs/api.go
+++ b/internal/testkit/procs/api.go
@@ -88,9 +88,9 @@
 	return put(ctx, url+switches.FaultsPath, faults)
 }
 
-// PutAt sends a PUT with an empty JSON object, which triggers the stand-in's
+// Trigger sends a PUT with an empty JSON object, which triggers the stand-in's
 // action at that URL.
-func PutAt(ctx context.Context, url string) error { return put(ctx, url, struct{}{}) }
+func Trigger(ctx context.Context, url string) error { return put(ctx, url, struct{}{}) }
 
 // ReadStats reads a stand-in's counters.
 func ReadStats(ctx context.Context, d *Daemon, out any) error {
