--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -29,15 +29,15 @@
 	return &w
 }
 
-func TestPlanRepeatsAndFollowsTheMix(t *testing.T) {
+func TestPlanIsDeterministicAndFollowsWeights(t *testing.T) {
 	w := workload()
 	plan := w.Plan()
 	if !reflect.DeepEqual(plan, w.Plan()) {
-		t.Fatal("the same seed drew another plan")
+		t.Fatal("two plans with the same seed differ")
 	}
 	w.Seed++
 	if reflect.DeepEqual(plan, w.Plan()) {
-		t.Fatal("another seed drew the same plan")
+		t.Fatal("plans with different seeds are equal")
 	}
 	if n := len(plan); n < 400 || n > 600 {
 		t.Fatalf("%d arrivals, want about 500", n)
@@ -50,7 +50,7 @@
 		lookups += a.Class
 	}
 	if share := float64(lookups) / float64(len(plan)); share < 0.65 || share > 0.85 {
-		t.Fatalf("share of lookups %v", share)
+		t.Fatalf("share of lookups is %v, want about 0.75", share)
 	}
 }
 
@@ -65,23 +65,24 @@
 			out++
 		}
 	}
-	// A quarter of the time at five times the rate.
+	// Bursts take a quarter of the time and have five times the rate.
 	if ratio := 3 * float64(in) / float64(out); ratio < 3.5 || ratio > 6.5 {
-		t.Fatalf("rate in bursts is %.1f times the other", ratio)
+		t.Fatalf("rate in bursts is %.1f times the base rate, want about 5", ratio)
 	}
 }
 
-func TestPromptHasItsLengthAndDirective(t *testing.T) {
+func TestPromptLengthAndDirective(t *testing.T) {
 	a := Arrival{PromptTokens: 100, OutputTokens: 7}
 	class := &Class{Name: "report", SharedPrefix: 0.5}
 	one := a.prompt(class, 1, 4, engine.LengthDirective(7))
 	two := a.prompt(class, 2, 4, engine.LengthDirective(7))
 	if len(one) != 400 || one == two || one[:200] != two[:200] || !strings.Contains(one, "[[tokens=7]]") {
-		t.Fatalf("%d %q", len(one), one)
+		t.Fatalf("prompt of %d bytes: %q", len(one), one)
 	}
 }
 
-// fakeRouter answers every request with a whole answer but for each nth one.
+// fakeRouter starts a router that answers requests completely, except each
+// every-th request, which bad answers.
 func fakeRouter(t *testing.T, every int, bad http.HandlerFunc) string {
 	t.Helper()
 	mux := http.NewServeMux()
@@ -117,7 +118,7 @@
 
 func TestRunCountsOutcomes(t *testing.T) {
 	router := fakeRouter(t, 5, func(w http.ResponseWriter, _ *http.Request) {
-		// One token is missing, though the count claims it.
+		// The answer has no tokens, but token_count says 1.
 		fmt.Fprint(w, "id: t:0\ndata: {\"index\":0,\"finish_reason\":\"stop\",\"token_count\":1}\n\n")
 	})
 	w := workload()
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -12,17 +12,18 @@
 	"github.com/olekukonko/tablewriter"
 )
 
-// Times are kept in microseconds up to ten minutes, to three digits.
+// Histograms record microseconds from 1 µs to ten minutes with three
+// significant digits.
 const (
-	minMicros = 1
-	maxMicros = 600_000_000
-	digits    = 3
+	minMicros         = 1
+	maxMicros         = 600_000_000
+	significantDigits = 3
 )
 
-// totalName is the report's line over all classes.
-const totalName = "all"
+// allClasses names the report line that sums all classes.
+const allClasses = "all"
 
-// sample is one request as its caller saw it.
+// sample is the result of one request as observed by its caller.
 type sample struct {
 	outcome    Outcome
 	reason     string
@@ -32,7 +33,7 @@
 	resumes    int
 }
 
-// Quantiles of a time, in milliseconds.
+// Quantiles summarises a distribution of durations, in milliseconds.
 type Quantiles struct {
 	P50 float64 `json:"p50_ms"`
 	P95 float64 `json:"p95_ms"`
@@ -40,24 +41,27 @@
 	Max float64 `json:"max_ms"`
 }
 
-// ClassReport is what the callers of one class saw.
+// ClassReport holds the results of the requests of one class, as observed by
+// their callers.
 type ClassReport struct {
 	Name     string          `json:"class"`
 	Requests int             `json:"requests"`
 	Outcomes map[Outcome]int `json:"outcomes"`
-	// Reasons counts those of all outcomes but done.
+	// Reasons counts the reasons of requests with any outcome but done.
 	Reasons map[string]int `json:"reasons,omitempty"`
 	Tokens  int            `json:"tokens"`
 	Resumes int            `json:"resumes"`
-	// FirstToken is the whole time of a service call.
+	// FirstToken is the time to the first token, or the total time of a service
+	// call.
 	FirstToken Quantiles `json:"first_token"`
 	Gap        Quantiles `json:"gap"`
-	// StallMillis sums what gaps took past the threshold; Stalls counts them.
+	// StallMillis sums the time by which gaps exceeded the stall threshold;
+	// Stalls counts those gaps.
 	StallMillis float64 `json:"stall_ms"`
 	Stalls      int     `json:"stalls"`
 
-	first *hdrhistogram.Histogram
-	gaps  *hdrhistogram.Histogram
+	firstTokenHistogram *hdrhistogram.Histogram
+	gapHistogram        *hdrhistogram.Histogram
 }
 
 // Report is the result of a run.
@@ -76,19 +80,20 @@
 	for _, class := range w.Classes {
 		r.Classes = append(r.Classes, newClassReport(class.Name))
 	}
-	r.Classes = append(r.Classes, newClassReport(totalName))
+	r.Classes = append(r.Classes, newClassReport(allClasses))
 	return r
 }
 
 func newClassReport(name string) *ClassReport {
 	return &ClassReport{
 		Name: name, Outcomes: map[Outcome]int{}, Reasons: map[string]int{},
-		first: hdrhistogram.New(minMicros, maxMicros, digits),
-		gaps:  hdrhistogram.New(minMicros, maxMicros, digits),
+		firstTokenHistogram: hdrhistogram.New(minMicros, maxMicros, significantDigits),
+		gapHistogram:        hdrhistogram.New(minMicros, maxMicros, significantDigits),
 	}
 }
 
-// Class returns the line of a class, "all" for the sum.
+// Class returns the report of the named class, or of all classes for "all". It
+// returns nil for an unknown class.
 func (r *Report) Class(name string) *ClassReport {
 	at := slices.IndexFunc(r.Classes, func(c *ClassReport) bool { return c.Name == name })
 	if at < 0 {
@@ -97,9 +102,9 @@
 	return r.Classes[at]
 }
 
-// Sound reports whether no answer was cut or broken.
+// Sound reports whether no request has outcome cut or broken.
 func (r *Report) Sound() bool {
-	all := r.Class(totalName).Outcomes
+	all := r.Class(allClasses).Outcomes
 	return all[OutcomeCut] == 0 && all[OutcomeBroken] == 0
 }
 
@@ -107,7 +112,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Class(class).add(s, r.StallThreshold)
-	r.Class(totalName).add(s, r.StallThreshold)
+	r.Class(allClasses).add(s, r.StallThreshold)
 }
 
 func (c *ClassReport) add(s *sample, threshold time.Duration) {
@@ -119,10 +124,10 @@
 	c.Tokens += s.tokens
 	c.Resumes += s.resumes
 	if s.firstToken > 0 {
-		record(c.first, s.firstToken)
+		record(c.firstTokenHistogram, s.firstToken)
 	}
 	for _, gap := range s.gaps {
-		record(c.gaps, gap)
+		record(c.gapHistogram, gap)
 		if gap > threshold {
 			c.Stalls++
 			c.StallMillis += millis(gap - threshold)
@@ -131,17 +136,17 @@
 }
 
 func record(h *hdrhistogram.Histogram, d time.Duration) {
-	// The value is clamped to the range, so that recording can't fail.
+	// RecordValue only fails outside the range, so the value is clamped.
 	_ = h.RecordValue(min(maxMicros, max(minMicros, d.Microseconds())))
 }
 
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-func (r *Report) finish(took time.Duration) {
-	r.Seconds = took.Seconds()
+func (r *Report) finish(elapsed time.Duration) {
+	r.Seconds = elapsed.Seconds()
 	for _, c := range r.Classes {
-		c.FirstToken = quantiles(c.first)
-		c.Gap = quantiles(c.gaps)
+		c.FirstToken = quantiles(c.firstTokenHistogram)
+		c.Gap = quantiles(c.gapHistogram)
 	}
 }
 
@@ -150,7 +155,8 @@
 	return Quantiles{P50: at(50), P95: at(95), P99: at(99), Max: float64(h.Max()) / 1000}
 }
 
-// WriteTable writes the report for people.
+// WriteTable writes the report as a text table, followed by the count of each
+// reason.
 func (r *Report) WriteTable(w io.Writer) error {
 	fmt.Fprintf(w, "%s, seed %d, %.1f s\n", r.Workload, r.Seed, r.Seconds)
 	table := tablewriter.NewWriter(w)
@@ -165,7 +171,7 @@
 	if err := table.Render(); err != nil {
 		return err
 	}
-	reasons := r.Class(totalName).Reasons
+	reasons := r.Class(allClasses).Reasons
 	for _, reason := range slices.Sorted(maps.Keys(reasons)) {
 		fmt.Fprintf(w, "%d: %s\n", reasons[reason], reason)
 	}
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -16,27 +16,29 @@
 
 func itoa(n int) string { return strconv.Itoa(n) }
 
-// Outcome is how a request ended for its caller.
+// Outcome is the result of a request as observed by its caller.
 type Outcome string
 
-// The outcomes: those of a problem document, and what only a caller sees.
+// Outcomes that a caller observes, in addition to those in problem documents.
 const (
 	OutcomeDone Outcome = "done"
 	// OutcomeCut is a stream that ended early and could not be resumed.
 	OutcomeCut Outcome = "cut"
-	// OutcomeBroken is an answer with a lost, doubled or foreign token.
+	// OutcomeBroken is an answer with a missing or duplicate token, or a token
+	// of another answer.
 	OutcomeBroken Outcome = "broken"
-	// OutcomeUnreachable is a request that no router took.
+	// OutcomeUnreachable is a request that no router accepted.
 	OutcomeUnreachable Outcome = "unreachable"
 )
 
-// Options of a run.
+// Options configures a run.
 type Options struct {
-	// Routers are asked for entry addresses.
+	// Routers are the router addresses to query for entry addresses.
 	Routers []string
-	// CheckText checks the tokens that the engine stand-in makes.
+	// CheckText enables the check that answers contain exactly the tokens that
+	// the engine stand-in generates.
 	CheckText bool
-	// Drain bounds how long requests may go on after the last arrival.
+	// Drain is how long requests may continue after the end of the workload.
 	Drain time.Duration
 }
 
@@ -47,27 +49,28 @@
 	clients  []*caller.Client
 	entries  []*entryCache
 	report   *Report
-	// run names this run in idempotency keys.
-	run string
+	// runID makes the idempotency keys of this run unique.
+	runID string
 }
 
-// Run replays the workload in real time and returns what its callers saw.
+// Run replays the workload in real time and reports the results that its
+// callers observe.
 func Run(ctx context.Context, w *Workload, o Options) *Report {
-	r := &runner{workload: w, options: o, report: newReport(w), run: uuid.NewString()}
+	r := &runner{workload: w, options: o, report: newReport(w), runID: uuid.NewString()}
 	for _, organisation := range w.Organisations {
 		client := caller.New(organisation.Key, organisation.Name, o.Routers)
 		r.clients = append(r.clients, client)
 		r.entries = append(r.entries, &entryCache{client: client})
 	}
 	start := time.Now()
-	bounded, cancel := context.WithTimeout(ctx, w.Duration+o.Drain)
+	runCtx, cancel := context.WithTimeout(ctx, w.Duration+o.Drain)
 	defer cancel()
 	var wait sync.WaitGroup
 	for n, arrival := range w.Plan() {
-		if !sleepUntil(bounded, start.Add(arrival.At)) {
+		if !sleepUntil(runCtx, start.Add(arrival.At)) {
 			break
 		}
-		wait.Go(func() { r.one(bounded, n, &arrival) })
+		wait.Go(func() { r.execute(runCtx, n, &arrival) })
 	}
 	wait.Wait()
 	r.report.finish(time.Since(start))
@@ -85,24 +88,24 @@
 	}
 }
 
-func (r *runner) one(ctx context.Context, n int, a *Arrival) {
+func (r *runner) execute(ctx context.Context, n int, a *Arrival) {
 	class := &r.workload.Classes[a.Class]
 	addresses, err := r.entries[a.Organisation].get(ctx, class.Model)
 	if err != nil {
 		r.report.add(class.Name, &sample{outcome: OutcomeUnreachable, reason: err.Error()})
 		return
 	}
-	// Callers spread over the addresses that the entry names.
-	turn := n % len(addresses)
-	addresses = append(append([]string{}, addresses[turn:]...), addresses[:turn]...)
+	// Successive requests start at different addresses, to spread the load.
+	offset := n % len(addresses)
+	addresses = append(append([]string{}, addresses[offset:]...), addresses[:offset]...)
 	if class.Service != "" {
-		r.report.add(class.Name, r.service(ctx, n, a, class, addresses))
+		r.report.add(class.Name, r.callService(ctx, n, a, class, addresses))
 		return
 	}
-	r.report.add(class.Name, r.completion(ctx, n, a, class, addresses))
+	r.report.add(class.Name, r.streamCompletion(ctx, n, a, class, addresses))
 }
 
-func (r *runner) completion(ctx context.Context, n int, a *Arrival, class *Class, addresses []string) *sample {
+func (r *runner) streamCompletion(ctx context.Context, n int, a *Arrival, class *Class, addresses []string) *sample {
 	request := caller.Completion{
 		Model:  class.Model,
 		Prompt: a.prompt(class, n, engine.BytesPerToken, engine.LengthDirective(a.OutputTokens)),
@@ -112,7 +115,7 @@
 		firstToken: answer.FirstToken, gaps: answer.Gaps,
 		tokens: answer.Tokens, resumes: answer.Resumes,
 	}
-	s.outcome, s.reason = judge(answer, err)
+	s.outcome, s.reason = classify(answer, err)
 	if s.outcome == OutcomeDone && r.options.CheckText {
 		if got, err := engine.CheckText(answer.Text); err != nil || got != a.OutputTokens && answer.FinishReason == "stop" {
 			s.outcome = OutcomeBroken
@@ -122,7 +125,7 @@
 	return s
 }
 
-func judge(answer *caller.Answer, err error) (Outcome, string) {
+func classify(answer *caller.Answer, err error) (Outcome, string) {
 	switch {
 	case errors.Is(err, caller.ErrBroken):
 		return OutcomeBroken, err.Error()
@@ -137,13 +140,14 @@
 	}
 }
 
-func (r *runner) service(ctx context.Context, n int, a *Arrival, class *Class, addresses []string) *sample {
+func (r *runner) callService(ctx context.Context, n int, a *Arrival, class *Class, addresses []string) *sample {
 	call := &caller.ServiceCall{Service: class.Service, Path: class.Path, Method: http.MethodGet}
 	if class.NonIdempotent {
 		call.Method, call.NonIdempotent = http.MethodPost, true
 		call.Body = []byte(`{"n":` + itoa(n) + `}`)
-		// A run's keys are its own: an earlier run's would be refused.
-		call.Key = r.run + "-" + itoa(n)
+		// Keys are unique to the run, since a key used by an earlier run would
+		// be refused.
+		call.Key = r.runID + "-" + itoa(n)
 	}
 	start := time.Now()
 	reply, err := r.clients[a.Organisation].Service(ctx, addresses[0], call)
@@ -159,7 +163,8 @@
 	return s
 }
 
-// entryCache keeps an organisation's entry for as long as it is valid.
+// entryCache caches the entry addresses of an organisation for each model while
+// they are valid.
 type entryCache struct {
 	client *caller.Client
 
--- a/internal/load/workload.go
+++ b/internal/load/workload.go
@@ -1,5 +1,6 @@
 // Package load replays a workload against routers and reports what callers
-// see: stalls, gaps between tokens, first tokens, outcomes and completeness.
+// observe: stalls, gaps between tokens, time to first token, outcomes and
+// completeness.
 package load
 
 import (
@@ -9,7 +10,7 @@
 	"time"
 )
 
-// Workload is a workload file. Rates are arrivals a second.
+// Workload is the content of a workload file.
 type Workload struct {
 	Name              string         `json:"name" validate:"required"`
 	Seed              uint64         `json:"seed"`
@@ -18,48 +19,54 @@
 	Burst             Burst          `json:"burst"`
 	Organisations     []Organisation `json:"organisations" validate:"min=1,max=10000,dive"`
 	Classes           []Class        `json:"classes" validate:"min=1,max=100,dive"`
-	// StallThreshold: a longer gap between tokens is a stall.
+	// StallThreshold is the longest gap between tokens that does not count as a
+	// stall.
 	StallThreshold time.Duration `json:"stall_threshold" validate:"min=1ms"`
 }
 
-// Burst multiplies the rate for Length in every Period.
+// Burst multiplies the arrival rate by Factor during the first Length of every
+// Period.
 type Burst struct {
 	Factor float64       `json:"factor" validate:"omitempty,min=1,max=1000"`
 	Period time.Duration `json:"period" validate:"required_with=Factor"`
 	Length time.Duration `json:"length" validate:"ltefield=Period"`
 }
 
-// Organisation is a caller with its bearer key.
+// Organisation is a caller, its bearer key, and its relative share of the
+// arrivals.
 type Organisation struct {
 	Name   string  `json:"name" validate:"required"`
 	Key    string  `json:"key" validate:"required"`
 	Weight float64 `json:"weight" validate:"gt=0"`
 }
 
-// Class is a kind of request: of a model, or of a plain service.
+// Class is a kind of request, to a model or to a plain service.
 type Class struct {
 	Name   string  `json:"name" validate:"required"`
 	Weight float64 `json:"weight" validate:"gt=0"`
 	Model  string  `json:"model" validate:"required_without=Service"`
-	// PromptTokens is the mean length of a prompt.
+	// PromptTokens is the mean prompt length.
 	PromptTokens int `json:"prompt_tokens" validate:"min=0,max=100000"`
-	// OutputTokens is the median and OutputSigma the spread of a lognormal.
+	// OutputTokens is the median, and OutputSigma the sigma, of the lognormal
+	// distribution of output lengths.
 	OutputTokens int     `json:"output_tokens" validate:"min=0,max=100000"`
 	OutputSigma  float64 `json:"output_sigma" validate:"min=0,max=3"`
-	// SharedPrefix is the part of the prompt that all requests share.
+	// SharedPrefix is the fraction of the prompt that is the same in all
+	// requests of the class.
 	SharedPrefix float64 `json:"shared_prefix" validate:"min=0,max=1"`
 	Service      string  `json:"service"`
 	Path         string  `json:"path"`
-	// NonIdempotent calls carry a key and are never sent twice.
+	// NonIdempotent calls carry an idempotency key and are never sent twice.
 	NonIdempotent bool `json:"non_idempotent"`
 }
 
-// WorkloadDefaults are the values of fields that a file leaves out.
+// WorkloadDefaults returns the values of fields that a workload file omits.
 func WorkloadDefaults() Workload {
 	return Workload{Seed: 1, Duration: 10 * time.Second, StallThreshold: time.Second}
 }
 
-// Arrival is one planned request.
+// Arrival is one planned request. Organisation and Class are indices into the
+// workload.
 type Arrival struct {
 	At           time.Duration
 	Organisation int
@@ -68,12 +75,13 @@
 	OutputTokens int
 }
 
-// maxOutputTokens bounds a drawn length.
+// maxOutputTokens limits randomly drawn output lengths.
 const maxOutputTokens = 30_000
 
-// Plan draws the arrivals of a workload; the same seed draws the same plan.
+// Plan draws the arrivals of the workload at random. The same workload and seed
+// always give the same plan.
 func (w *Workload) Plan() []Arrival {
-	draw := rand.New(rand.NewPCG(w.Seed, 0))
+	rng := rand.New(rand.NewPCG(w.Seed, 0))
 	organisations := make([]float64, len(w.Organisations))
 	for i, o := range w.Organisations {
 		organisations[i] = o.Weight
@@ -84,20 +92,20 @@
 	}
 	var plan []Arrival
 	for at := time.Duration(0); ; {
-		at += time.Duration(draw.ExpFloat64() / w.rate(at) * float64(time.Second))
+		at += time.Duration(rng.ExpFloat64() / w.rate(at) * float64(time.Second))
 		if at >= w.Duration {
 			return plan
 		}
-		a := Arrival{At: at, Organisation: pick(draw, organisations), Class: pick(draw, classes)}
+		a := Arrival{At: at, Organisation: pickWeighted(rng, organisations), Class: pickWeighted(rng, classes)}
 		class := &w.Classes[a.Class]
-		a.PromptTokens = max(1, int(float64(class.PromptTokens)*(0.5+draw.Float64())))
-		spread := math.Exp(class.OutputSigma * draw.NormFloat64())
-		a.OutputTokens = min(maxOutputTokens, max(1, int(float64(class.OutputTokens)*spread)))
+		a.PromptTokens = max(1, int(float64(class.PromptTokens)*(0.5+rng.Float64())))
+		factor := math.Exp(class.OutputSigma * rng.NormFloat64())
+		a.OutputTokens = min(maxOutputTokens, max(1, int(float64(class.OutputTokens)*factor)))
 		plan = append(plan, a)
 	}
 }
 
-// rate is the arrival rate at a time.
+// rate returns the arrivals per second at the given time after the start.
 func (w *Workload) rate(at time.Duration) float64 {
 	if w.Burst.Factor > 1 && w.Burst.Period > 0 && at%w.Burst.Period < w.Burst.Length {
 		return w.ArrivalsPerSecond * w.Burst.Factor
@@ -105,12 +113,12 @@
 	return w.ArrivalsPerSecond
 }
 
-func pick(draw *rand.Rand, weights []float64) int {
+func pickWeighted(rng *rand.Rand, weights []float64) int {
 	sum := 0.0
 	for _, weight := range weights {
 		sum += weight
 	}
-	at := draw.Float64() * sum
+	at := rng.Float64() * sum
 	for i, weight := range weights {
 		at -= weight
 		if at < 0 {
@@ -120,16 +128,16 @@
 	return len(weights) - 1
 }
 
-// prompt makes a prompt of the arrival's length that asks the engine stand-in
-// for the arrival's output length; n makes it unlike all others.
+// prompt builds a prompt of the planned length that contains the directive for
+// the engine stand-in. n makes it unique, apart from the shared prefix.
 func (a *Arrival) prompt(class *Class, n int, bytesPerToken int, directive string) string {
 	length := a.PromptTokens * bytesPerToken
-	shared := int(float64(length) * class.SharedPrefix)
+	sharedLength := int(float64(length) * class.SharedPrefix)
 	var b strings.Builder
-	b.WriteString(filler(class.Name, shared))
+	b.WriteString(filler(class.Name, sharedLength))
 	b.WriteString(directive)
-	own := max(0, length-b.Len())
-	b.WriteString(filler(class.Name+"-"+itoa(n), own))
+	uniqueLength := max(0, length-b.Len())
+	b.WriteString(filler(class.Name+"-"+itoa(n), uniqueLength))
 	return b.String()
 }
 
