--- a/test/chaos_test.go
+++ b/test/chaos_test.go
@@ -23,7 +23,7 @@
 	chaosSteps = 60
 )
 
-// step is one drawn action; Target and N mean what the action makes of them.
+// step is one random action. The action determines the meaning of Target and N.
 type step struct {
 	Action string
 	Target int
@@ -31,7 +31,7 @@
 }
 
 func drawSteps(seed int) []step {
-	one := rapid.Custom(func(t *rapid.T) step {
+	stepGenerator := rapid.Custom(func(t *rapid.T) step {
 		return step{
 			Action: rapid.SampledFrom([]string{
 				"stream", "stream", "stream", "entry", "entry", "retry", "retry", "revise",
@@ -42,26 +42,28 @@
 			N:      rapid.IntRange(1, 60).Draw(t, "n"),
 		}
 	})
-	return rapid.SliceOfN(one, chaosSteps, chaosSteps).Example(seed)
+	return rapid.SliceOfN(stepGenerator, chaosSteps, chaosSteps).Example(seed)
 }
 
-// chaos is a run of drawn steps with what the oracle needs.
+// chaos holds a run of random steps and the data needed to check its results.
 type chaos struct {
 	t       *testing.T
 	s       *procs.System
 	streams []*stream
 	tokens  []int
-	// keys are those of entries, in the order of their first tries.
+	// keys holds the idempotency keys of the ledger calls, in the order of
+	// their first attempts.
 	keys    []string
-	entries map[string]<-chan answer
-	// floor is the version of the last accepted record.
-	floor uint64
+	entries map[string]<-chan callResult
+	// acceptedVersion is the highest version of an accepted record write.
+	acceptedVersion uint64
 }
 
-// Whatever is killed, frozen, cut or revised, in whatever order: no caller
-// sees a broken answer or an end that isn't one, no key runs twice or after
-// the only word on it was that it was not run, and no accepted record reverts.
-func TestDrawnFailuresAgainstTheOracle(t *testing.T) {
+// Runs random kills, pauses, faults and record writes in random order. No
+// caller may receive a broken answer or mistake a partial answer for a complete
+// one; no key may run twice, or run after its only final reply was not_run; no
+// accepted record write may be reverted.
+func TestRandomFaultsKeepGuarantees(t *testing.T) {
 	t.Parallel()
 	seed := chaosSeed
 	if text := os.Getenv(fixedseed.EnvSeed); text != "" {
@@ -70,17 +72,17 @@
 		}
 	}
 	t.Logf("seed %d", seed)
-	c := &chaos{t: t, entries: map[string]<-chan answer{}}
+	c := &chaos{t: t, entries: map[string]<-chan callResult{}}
 	c.s = procs.StartDemo(t, func(l *procs.Layout) { l.DrainTimeout = 2 * pause })
 	for i, st := range drawSteps(seed) {
 		t.Logf("%d: %s %d %d", i, st.Action, st.Target, st.N)
-		c.do(i, st)
+		c.apply(i, st)
 	}
-	c.mend()
-	c.judge()
+	c.clearFaults()
+	c.checkResults()
 }
 
-func (c *chaos) do(i int, st step) {
+func (c *chaos) apply(i int, st step) {
 	s := c.s
 	router := s.Routers[st.Target%len(s.Routers)]
 	e := s.Engines[st.Target%len(s.Engines)]
@@ -92,7 +94,7 @@
 	case "entry":
 		key := fmt.Sprint("entry-", i)
 		c.keys = append(c.keys, key)
-		c.entries[key] = callInBackground(c.t, s.Caller(procs.DemoOrganisation), router.Address, entry(key))
+		c.entries[key] = callInBackground(c.t, s.Caller(procs.DemoOrganisation), router.Address, ledgerCall(key))
 	case "retry":
 		c.retry(st)
 	case "revise":
@@ -103,15 +105,15 @@
 		c.restart(s.Keepers[st.Target%len(s.Keepers)])
 	case "kill engine":
 		c.restart(e)
-		if err := s.PublishHosts(bounded(c.t)); err != nil {
+		if err := s.PublishHosts(testContext(c.t)); err != nil {
 			c.t.Fatal(err)
 		}
 	case "freeze engine":
 		if err := e.Freeze(); err != nil {
 			c.t.Fatal(err)
 		}
-		procs.Until(c.t, "a request passes meanwhile", func() bool {
-			answer, _ := s.Caller(procs.DemoOrganisation).Stream(bounded(c.t), []string{router.Address},
+		procs.Until(c.t, "a request ends while an engine is frozen", func() bool {
+			answer, _ := s.Caller(procs.DemoOrganisation).Stream(testContext(c.t), []string{router.Address},
 				caller.Completion{Model: procs.DemoModel, Prompt: prompt("meanwhile", 1)})
 			return answer != nil
 		})
@@ -129,28 +131,29 @@
 	case "platform slow":
 		setFaults(c.t, s.Platform, platform.Faults{SlowMillis: int64(5 * st.N)})
 	case "mend":
-		c.mend()
+		c.clearFaults()
 	}
 }
 
-// retry repeats an entry at every router.
+// retry repeats a random earlier ledger call at every router.
 func (c *chaos) retry(st step) {
 	if len(c.keys) == 0 {
 		return
 	}
 	key := c.keys[st.N%len(c.keys)]
 	for _, router := range c.s.Routers {
-		again := callInBackground(c.t, c.s.Caller(procs.DemoOrganisation), router.Address, entry(key))
-		c.entries[key] = both(c.entries[key], again)
+		retried := callInBackground(c.t, c.s.Caller(procs.DemoOrganisation), router.Address, ledgerCall(key))
+		c.entries[key] = mergeResults(c.entries[key], retried)
 	}
 }
 
-// both yields an answer that says not_run only where both do.
-func both(first, second <-chan answer) <-chan answer {
-	merged := make(chan answer, 1)
+// mergeResults yields one of the two results, and a not_run result only if both
+// are not_run.
+func mergeResults(first, second <-chan callResult) <-chan callResult {
+	merged := make(chan callResult, 1)
 	go func() {
 		a, b := <-first, <-second
-		if saysNotRun(a.reply, a.err) {
+		if isNotRun(a.reply, a.err) {
 			a = b
 		}
 		merged <- a
@@ -160,25 +163,25 @@
 
 func (c *chaos) restart(d *procs.Daemon) {
 	d.Kill()
-	if err := c.s.Restart(bounded(c.t), d); err != nil {
+	if err := c.s.Restart(testContext(c.t), d); err != nil {
 		c.t.Fatal(err)
 	}
 }
 
-// revise tries to write a record; a refusal is allowed, as the platform may
-// be down, but an accepted one must stay.
+// revise tries to write a record. The write may be refused because the platform
+// may be down, but an accepted write must persist.
 func (c *chaos) revise(keeper *procs.Daemon, queue int) {
-	reply, err := procs.Admin(bounded(c.t), keeper, http.MethodGet, routingPath, "", nil)
+	reply, err := procs.Admin(testContext(c.t), keeper, http.MethodGet, routingPath, "", nil)
 	if err != nil || reply.Status != http.StatusOK {
 		return
 	}
-	reply, err = procs.Admin(bounded(c.t), keeper, http.MethodPut, routingPath, reply.Header.Get("ETag"), routingDocument(queue))
+	reply, err = procs.Admin(testContext(c.t), keeper, http.MethodPut, routingPath, reply.Header.Get("ETag"), routingDocument(queue))
 	if err == nil && reply.Status == http.StatusOK {
-		c.floor = max(c.floor, version(c.t, reply.Header.Get("ETag")))
+		c.acceptedVersion = max(c.acceptedVersion, version(c.t, reply.Header.Get("ETag")))
 	}
 }
 
-func (c *chaos) mend() {
+func (c *chaos) clearFaults() {
 	setFaults(c.t, c.s.Platform, platform.Faults{})
 	setFaults(c.t, c.s.Services[0], service.Faults{})
 	for _, e := range c.s.Engines {
@@ -186,39 +189,40 @@
 	}
 }
 
-func (c *chaos) judge() {
-	whole, refused, cut := 0, 0, 0
+func (c *chaos) checkResults() {
+	complete, refused, cut := 0, 0, 0
 	for i, st := range c.streams {
 		<-st.done
-		got, wrong := engine.CheckText(st.answer.Text)
+		got, textErr := engine.CheckText(st.answer.Text)
 		switch {
-		case errors.Is(st.err, caller.ErrBroken) || wrong != nil:
-			c.t.Errorf("stream %d: %v %v", i, st.err, wrong)
+		case errors.Is(st.err, caller.ErrBroken) || textErr != nil:
+			c.t.Errorf("stream %d: %v %v", i, st.err, textErr)
 		case st.err != nil:
-			// Its router died; the caller knows that it has no whole answer.
+			// The router of the stream was killed, and the caller detected that
+			// the answer is incomplete.
 			cut++
 		case st.answer.Problem != nil:
 			refused++
 			if st.answer.Problem.Outcome == "not_run" && got > 0 {
-				c.t.Errorf("stream %d: told not_run after %d tokens", i, got)
+				c.t.Errorf("stream %d: problem says not_run after %d tokens", i, got)
 			}
 		case got != c.tokens[i]:
-			c.t.Errorf("stream %d: %d tokens of %d pass for whole", i, got, c.tokens[i])
+			c.t.Errorf("stream %d: only %d of %d tokens, but the answer ended as complete", i, got, c.tokens[i])
 		default:
-			whole++
+			complete++
 		}
 	}
 	for key, pending := range c.entries {
 		a := <-pending
-		mustAgree(c.t, c.s, key, a.reply, a.err)
+		checkReplyMatchesRuns(c.t, c.s, key, a.reply, a.err)
 	}
-	c.t.Logf("%d streams: %d whole, %d refused or failed, %d cut; %d entries; version %d",
-		len(c.streams), whole, refused, cut, len(c.entries), c.floor)
-	if whole == 0 {
-		c.t.Error("not one stream was whole")
+	c.t.Logf("%d streams: %d complete, %d refused or failed, %d cut; %d ledger calls; accepted version %d",
+		len(c.streams), complete, refused, cut, len(c.entries), c.acceptedVersion)
+	if complete == 0 {
+		c.t.Error("no stream was complete")
 	}
 	for _, router := range c.s.Routers {
-		serves(c.t, c.s, router)
+		waitServing(c.t, c.s, router)
 	}
-	waitInForce(c.t, c.s, c.floor)
+	waitConfigurationVersion(c.t, c.s, c.acceptedVersion)
 }
--- a/test/crashing_test.go
+++ b/test/crashing_test.go
@@ -22,54 +22,58 @@
 	"github.com/dragonflyrail/dragonflyrail/platform/testfleet"
 )
 
-// Bounds of what a crashing request may do.
+// Limits on the runs of a request that crashes runners.
 const (
-	crashesToLearn = 3
-	// learnedWithin is the time from the last of these to when all daemons know.
-	learnedWithin  = 3 * time.Second
-	runsAfterwards = 3
+	crashesToQuarantine = 3
+	// quarantinedWithin is the maximum time from the last of these crashes
+	// until all daemons refuse the request.
+	quarantinedWithin = 3 * time.Second
+	maxExtraRuns      = 3
 )
 
-// Guards against a generation that crashes one runner after the other, whichever daemon it comes to.
-func TestGenerationThatCrashesRunnersIsNotSentOnAndOn(t *testing.T) {
+// Guards against a generation that crashes one runner after another, whichever
+// daemon receives it.
+func TestGenerationThatCrashesRunnersIsQuarantined(t *testing.T) {
 	t.Parallel()
-	crashesRunners(t, testfleet.Generation)
+	testCrashingRequest(t, testfleet.Generation)
 }
 
-// Guards against the same for a call that the system itself repeats.
-func TestCallThatCrashesEndpointsIsNotSentOnAndOn(t *testing.T) {
+// Guards against the same for a repeatable call, which the system itself
+// retries.
+func TestCallThatCrashesEndpointsIsQuarantined(t *testing.T) {
 	t.Parallel()
-	crashesRunners(t, testfleet.Repeatable)
+	testCrashingRequest(t, testfleet.Repeatable)
 }
 
-func crashesRunners(t *testing.T, kind testfleet.Kind) {
+func testCrashingRequest(t *testing.T, kind testfleet.Kind) {
 	f := startFleet(t, func(l *testfleet.Layout) { l.Engines, l.Plain = 6, 6 })
-	ctx, stop := context.WithCancel(bounded(t))
+	ctx, stop := context.WithCancel(testContext(t))
 	defer stop()
 	var background sync.WaitGroup
 	background.Go(func() { f.Respawn(ctx, time.Second) })
-	innocent := f.repeats(ctx, &background, kind)
-	f.crashes(kind, 30)
-	f.mustHaveLearned(t)
-	innocent.mustBeServed(t)
+	harmless := f.startRepeating(ctx, &background, kind)
+	f.sendCrashingRequests(kind, 30)
+	f.checkQuarantined(t)
+	harmless.checkServed(t)
 	stop()
 	background.Wait()
 }
 
-// Guards against forgetting a fatal request when all daemons are lost.
-func TestCrashingRequestIsKnownAfterTheLossOfAllDaemons(t *testing.T) {
+// Guards against losing the quarantine of a request when all daemons are
+// killed.
+func TestQuarantineSurvivesRestartOfAllDaemons(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, func(l *testfleet.Layout) { l.Engines = 6 })
-	ctx, stop := context.WithCancel(bounded(t))
+	ctx, stop := context.WithCancel(testContext(t))
 	defer stop()
 	var background sync.WaitGroup
 	background.Go(func() { f.Respawn(ctx, time.Second) })
-	f.crashes(testfleet.Generation, 8)
-	procs.Until(t, "the store has the request", func() bool {
-		out, err := f.Ctl(bounded(t), f.Daemons[0], "get", "request-quarantine", "main")
+	f.sendCrashingRequests(testfleet.Generation, 8)
+	procs.Until(t, "the store has the quarantined request", func() bool {
+		out, err := f.Ctl(testContext(t), f.Daemons[0], "get", "request-quarantine", "main")
 		return err == nil && strings.Contains(string(out), "fingerprint")
 	})
-	f.explainsARefusal(t)
+	f.checkRefusalExplained(t)
 	for _, d := range f.Daemons {
 		d.Kill()
 	}
@@ -79,122 +83,125 @@
 		}
 	}
 	for _, d := range f.Daemons {
-		f.serves(d)
-		procs.Until(t, d.ID+" knows the request", func() bool {
+		f.waitServing(d)
+		procs.Until(t, d.ID+" quarantines the request", func() bool {
 			return bytes.Contains(d.Log(), []byte(`"verdict":"quarantine"`))
 		})
 	}
-	before := len(f.runsOf(crashing))
-	f.crashes(testfleet.Generation, 3)
-	if after := len(f.runsOf(crashing)); after != before {
-		t.Errorf("it ran %d times more", after-before)
+	before := len(f.runsOf(crashingPrefix))
+	f.sendCrashingRequests(testfleet.Generation, 3)
+	if after := len(f.runsOf(crashingPrefix)); after != before {
+		t.Errorf("the request ran %d more times after the restart", after-before)
 	}
 	stop()
 	background.Wait()
 }
 
-// explainsARefusal: from the id of a refused request an operator finds its
-// fingerprint, and from that which endpoints crashed under it.
-func (f *fleetTest) explainsARefusal(t *testing.T) {
+// checkRefusalExplained checks that an operator can find the fingerprint of a
+// refused request by its id, and the crashed endpoints by the fingerprint.
+func (f *fleetTest) checkRefusalExplained(t *testing.T) {
 	t.Helper()
 	r := &testfleet.Request{ID: "refused", Kind: testfleet.Generation, Events: 3, Path: "/stream/fatal", Body: standin.CrashMark}
-	if a := f.caller.Ask(bounded(t), f.Daemons[0].Callers, r); !a.NotRun || a.RetryAfter <= 0 {
+	if a := f.caller.Ask(testContext(t), f.Daemons[0].Callers, r); !a.NotRun || a.RetryAfter <= 0 {
 		t.Fatalf("%d, Retry-After %v, %v", a.Status, a.RetryAfter, a.Err)
 	}
-	out, err := f.Ctl(bounded(t), f.Daemons[0], "--output", "json", "why", "request", r.ID)
+	out, err := f.Ctl(testContext(t), f.Daemons[0], "--output", "json", "why", "request", r.ID)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var x struct {
+	var explanation struct {
 		Decisions []struct {
 			Reason      string `json:"reason"`
 			Fingerprint string `json:"fingerprint"`
 		} `json:"decisions"`
 	}
-	if err := json.Unmarshal(out, &x); err != nil || len(x.Decisions) == 0 {
+	if err := json.Unmarshal(out, &explanation); err != nil || len(explanation.Decisions) == 0 {
 		t.Fatalf("%v:\n%s", err, out)
 	}
-	last := x.Decisions[len(x.Decisions)-1]
+	last := explanation.Decisions[len(explanation.Decisions)-1]
 	if !strings.HasPrefix(last.Reason, "crashes_endpoints") || last.Fingerprint == "" {
-		t.Fatalf("refused for %q, fingerprint %q", last.Reason, last.Fingerprint)
+		t.Fatalf("request was refused with reason %q, fingerprint %q", last.Reason, last.Fingerprint)
 	}
-	f.tells("suspect", "why", "fingerprint", last.Fingerprint)
-	f.tells("quarantine", "why", "fingerprint", last.Fingerprint)
+	f.checkCtlOutput("suspect", "why", "fingerprint", last.Fingerprint)
+	f.checkCtlOutput("quarantine", "why", "fingerprint", last.Fingerprint)
 }
 
-// Guards against a release that has no effect, or that protects a request for ever.
-func TestOperatorReleasesARequest(t *testing.T) {
+// Guards against a release that has no effect, and against one that exempts a
+// request from quarantine forever.
+func TestOperatorReleasesQuarantinedRequest(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, func(l *testfleet.Layout) { l.Engines = 6 })
-	ctx, stop := context.WithCancel(bounded(t))
+	ctx, stop := context.WithCancel(testContext(t))
 	defer stop()
 	var background sync.WaitGroup
 	background.Go(func() { f.Respawn(ctx, time.Second) })
-	f.crashes(testfleet.Generation, 8)
-	var held []byte
-	procs.Until(t, "the store has the request", func() bool {
-		out, err := f.Ctl(bounded(t), f.Daemons[0], "--output", "json", "get", "request-quarantine", "main")
-		held = out
+	f.sendCrashingRequests(testfleet.Generation, 8)
+	var quarantineDocument []byte
+	procs.Until(t, "the store has the quarantined request", func() bool {
+		out, err := f.Ctl(testContext(t), f.Daemons[0], "--output", "json", "get", "request-quarantine", "main")
+		quarantineDocument = out
 		return err == nil && strings.Contains(string(out), "fingerprint")
 	})
-	before := len(f.runsOf(crashing))
+	before := len(f.runsOf(crashingPrefix))
 	file := filepath.Join(t.TempDir(), "release.json")
-	released := bytes.Replace(held, []byte(`"fingerprint"`), []byte(`"released": true, "fingerprint"`), 1)
+	released := bytes.Replace(quarantineDocument, []byte(`"fingerprint"`), []byte(`"released": true, "fingerprint"`), 1)
 	if err := os.WriteFile(file, released, 0o644); err != nil {
 		t.Fatal(err)
 	}
-	f.tells("request-quarantines", "apply", "--file", file)
+	f.checkCtlOutput("request-quarantines", "apply", "--file", file)
 	for _, d := range f.Daemons {
-		procs.Until(t, d.ID+" has released it", func() bool { return bytes.Contains(d.Log(), []byte(`"verdict":"release"`)) })
+		procs.Until(t, d.ID+" has released the request", func() bool { return bytes.Contains(d.Log(), []byte(`"verdict":"release"`)) })
 	}
-	f.crashes(testfleet.Generation, 8)
-	if again := len(f.runsOf(crashing)) - before; again < crashesToLearn || again > crashesToLearn+runsAfterwards {
-		t.Errorf("it ran %d times after it was released", again)
+	f.sendCrashingRequests(testfleet.Generation, 8)
+	if runsAfterRelease := len(f.runsOf(crashingPrefix)) - before; runsAfterRelease < crashesToQuarantine || runsAfterRelease > crashesToQuarantine+maxExtraRuns {
+		t.Errorf("the request ran %d times after its release", runsAfterRelease)
 	}
 	stop()
 	background.Wait()
 }
 
-// crashing is what the request that crashes runners begins its ids with.
-const crashing = "crashing-"
+// crashingPrefix begins the ids of requests that crash runners.
+const crashingPrefix = "crashing-"
 
-// crashes sends one request that crashes runners to all daemons in turn.
-func (f *fleetTest) crashes(kind testfleet.Kind, times int) {
+// sendCrashingRequests sends the same crashing request to the daemons in turn.
+func (f *fleetTest) sendCrashingRequests(kind testfleet.Kind, times int) {
 	f.t.Helper()
 	const pause = 200 * time.Millisecond
 	for i := range times {
 		r := &testfleet.Request{
-			ID: fmt.Sprint(crashing, i), Kind: kind, Events: 3,
+			ID: fmt.Sprint(crashingPrefix, i), Kind: kind, Events: 3,
 			Path: string(kind) + "fatal", Body: standin.CrashMark,
 		}
-		a := f.caller.Ask(bounded(f.t), f.Daemons[i%len(f.Daemons)].Callers, r)
+		a := f.caller.Ask(testContext(f.t), f.Daemons[i%len(f.Daemons)].Callers, r)
 		if a.Err == nil && a.Status == 200 {
-			f.t.Fatalf("%s was answered", r.ID)
+			f.t.Fatalf("crashing request %s was answered with status 200", r.ID)
 		}
 		time.Sleep(pause)
 	}
 }
 
-// mustHaveLearned checks how often the request ran.
-func (f *fleetTest) mustHaveLearned(t *testing.T) {
+// checkQuarantined checks that the crashing request ran often enough to be
+// quarantined, and hardly ever after that.
+func (f *fleetTest) checkQuarantined(t *testing.T) {
 	t.Helper()
-	runs := f.runsOf(crashing)
-	if len(runs) < crashesToLearn {
-		t.Fatalf("%d runs, too few to tell anything", len(runs))
+	runs := f.runsOf(crashingPrefix)
+	if len(runs) < crashesToQuarantine {
+		t.Fatalf("the crashing request ran only %d times, too few for a quarantine", len(runs))
 	}
-	learned := runs[crashesToLearn-1].Add(learnedWithin)
-	late := 0
+	deadline := runs[crashesToQuarantine-1].Add(quarantinedWithin)
+	lateRuns := 0
 	for _, at := range runs {
-		if at.After(learned) {
-			late++
+		if at.After(deadline) {
+			lateRuns++
 		}
 	}
-	if late > runsAfterwards {
-		t.Errorf("%d runs in all, %d of them later than %v after the third", len(runs), late, learnedWithin)
+	if lateRuns > maxExtraRuns {
+		t.Errorf("the crashing request ran %d times, %d of them more than %v after the third", len(runs), lateRuns, quarantinedWithin)
 	}
 }
 
-// runsOf lists when runners began to run requests whose ids begin so, in order.
+// runsOf returns the sorted start times of runs whose request id has the
+// prefix.
 func (f *fleetTest) runsOf(prefix string) []time.Time {
 	var out []time.Time
 	for _, r := range f.Runners() {
@@ -214,46 +221,49 @@
 	return out
 }
 
-// repeated is one small request that callers send over and over.
-type repeated struct {
+// repeatedRequest is a small harmless request that callers send repeatedly.
+type repeatedRequest struct {
 	f    *fleetTest
 	kind testfleet.Kind
 }
 
-// repeats has callers send it until the context ends.
-func (f *fleetTest) repeats(ctx context.Context, background *sync.WaitGroup, kind testfleet.Kind) *repeated {
-	s := &repeated{f: f, kind: kind}
+// startRepeating starts four callers that send the request until the context
+// ends.
+func (f *fleetTest) startRepeating(ctx context.Context, background *sync.WaitGroup, kind testfleet.Kind) *repeatedRequest {
+	s := &repeatedRequest{f: f, kind: kind}
 	const callers = 4
 	for i := range callers {
 		background.Go(func() {
 			for n := i; ctx.Err() == nil; n++ {
-				s.ask(ctx, n)
+				s.send(ctx, n)
 			}
 		})
 	}
 	return s
 }
 
-func (s *repeated) ask(ctx context.Context, n int) bool {
+func (s *repeatedRequest) send(ctx context.Context, n int) bool {
 	r := s.f.request(s.kind, 1)
 	r.Path, r.Body = string(s.kind)+"small", "small"
 	return s.f.caller.Ask(ctx, s.f.Daemons[n%len(s.f.Daemons)].Callers, r).Whole(r)
 }
 
-// mustBeServed: once the crashes have ended, nothing is held against it.
-func (s *repeated) mustBeServed(t *testing.T) {
+// checkServed checks that the request is always served after the crashes, so
+// that it has not been quarantined with the crashing one.
+func (s *repeatedRequest) checkServed(t *testing.T) {
 	t.Helper()
-	const asks = 30
-	ctx := bounded(t)
-	for n := range asks {
-		if !s.ask(ctx, n) {
-			t.Errorf("ask %d of %d at %s was not served", n, asks, s.f.Daemons[n%len(s.f.Daemons)].ID)
+	const attempts = 30
+	ctx := testContext(t)
+	for n := range attempts {
+		if !s.send(ctx, n) {
+			t.Errorf("request %d of %d at %s was not served", n, attempts, s.f.Daemons[n%len(s.f.Daemons)].ID)
 		}
 	}
 }
 
-// Guards against the same on the product's own platform.
-func TestPromptThatCrashesEnginesIsNotSentOnAndOn(t *testing.T) {
+// Guards against a prompt that crashes one engine after another in a system of
+// routers and keepers.
+func TestPromptThatCrashesEnginesIsQuarantined(t *testing.T) {
 	t.Parallel()
 	s := procs.StartDemo(t, nil)
 	c := s.Caller(procs.DemoOrganisation)
@@ -261,31 +271,31 @@
 	const times = 6
 	for i := range times {
 		router := s.Routers[i%len(s.Routers)]
-		// What becomes of it is the engines' to tell.
-		_, _ = c.Stream(bounded(t), []string{router.Address}, caller.Completion{
+		// The result is irrelevant: the exits of the engines are counted below.
+		_, _ = c.Stream(testContext(t), []string{router.Address}, caller.Completion{
 			Model: procs.DemoModel, Prompt: engine.CrashMark,
 		})
 		for _, e := range s.Engines {
 			select {
 			case <-e.Exited():
 				crashes++
-				if err := s.Restart(bounded(t), e); err != nil {
+				if err := s.Restart(testContext(t), e); err != nil {
 					t.Fatal(err)
 				}
 			case <-time.After(100 * time.Millisecond):
 			}
 		}
 	}
-	if crashes < crashesToLearn || crashes > crashesToLearn+runsAfterwards {
-		t.Errorf("%d engines ended", crashes)
+	if crashes < crashesToQuarantine || crashes > crashesToQuarantine+maxExtraRuns {
+		t.Errorf("%d engines crashed", crashes)
 	}
 	for _, router := range s.Routers {
-		answer, err := c.Stream(bounded(t), []string{router.Address}, caller.Completion{
+		answer, err := c.Stream(testContext(t), []string{router.Address}, caller.Completion{
 			Model: procs.DemoModel, Prompt: engine.CrashMark,
 		})
 		if err != nil || answer.Problem == nil || answer.Problem.Reason != "crashes_endpoints" || answer.Problem.Outcome != problem.OutcomeNotRun {
 			t.Errorf("%s: %+v, %v", router.ID, answer, err)
 		}
-		serves(t, s, router)
+		waitServing(t, s, router)
 	}
 }
--- a/test/demo_test.go
+++ b/test/demo_test.go
@@ -7,8 +7,9 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/testkit/procs"
 )
 
-// What a newcomer runs first must not rot: make demo, less the build.
-func TestDemoFindsNothingAmiss(t *testing.T) {
+// Runs what make demo runs, without the build, so that the documented first
+// command keeps working.
+func TestDemoSucceeds(t *testing.T) {
 	t.Parallel()
 	demo := exec.Command("go", "run", "./internal/tools/demo", "show", "--bin", procs.BinDir())
 	demo.Dir = ".."
--- a/test/drain_test.go
+++ b/test/drain_test.go
@@ -24,21 +24,21 @@
 	return streams
 }
 
-func waitUnnamed(t *testing.T, s *procs.System, asked, gone *procs.Daemon) {
+func waitDelisted(t *testing.T, s *procs.System, source, delisted *procs.Daemon) {
 	t.Helper()
 	c := s.Caller(procs.DemoOrganisation)
-	c.Seeds = []string{asked.Address}
+	c.Seeds = []string{source.Address}
 	procs.Until(t, "the entry no longer names the router", func() bool {
-		named, err := c.Entry(bounded(t), procs.DemoModel)
-		return err == nil && !slices.Contains(named.Addresses, gone.Address)
+		entry, err := c.Entry(testContext(t), procs.DemoModel)
+		return err == nil && !slices.Contains(entry.Addresses, delisted.Address)
 	})
 }
 
-// A router is asked to stop while it streams long reports. No stream is cut or
-// moved, the entry names it no more while it still streams, a caller that
-// holds its address from before is still answered or told to go elsewhere, and
-// it ends by itself.
-func TestPlannedStopCutsNoStream(t *testing.T) {
+// Stops a router gracefully while it streams long reports. No stream may be cut
+// or moved, the entry must omit the router while it still streams, a caller
+// that uses its old address must get an answer or be sent to another router,
+// and the process must exit by itself.
+func TestGracefulStopCompletesStreams(t *testing.T) {
 	t.Parallel()
 	s := procs.StartDemo(t, func(l *procs.Layout) { l.DrainTimeout = procs.Deadline })
 	const tokens = 300
@@ -48,12 +48,12 @@
 	if err := leaving.Terminate(); err != nil {
 		t.Fatal(err)
 	}
-	waitUnnamed(t, s, s.Routers[1], leaving)
+	waitDelisted(t, s, s.Routers[1], leaving)
 	if !leaving.Running() {
 		t.Fatal("the router ended with streams open")
 	}
 	for _, st := range streams {
-		st.whole(t, tokens)
+		st.mustComplete(t, tokens)
 		if st.answer.Resumes > 0 {
 			t.Fatalf("a stream was cut and resumed %d times", st.answer.Resumes)
 		}
@@ -64,9 +64,9 @@
 	}
 }
 
-// The host is reclaimed sooner than the reports end. The callers are told to
-// resume elsewhere, and get the rest there: no token is lost or doubled.
-func TestShortDrainMovesStreams(t *testing.T) {
+// Stops a router with a drain timeout shorter than its streams. Callers must
+// resume at the other router without a lost or duplicate token.
+func TestShortDrainResumesStreamsElsewhere(t *testing.T) {
 	t.Parallel()
 	s := procs.StartDemo(t, func(l *procs.Layout) { l.DrainTimeout = time.Second })
 	const tokens = 400
@@ -78,9 +78,9 @@
 	}
 	<-leaving.Exited()
 	for _, st := range streams {
-		st.whole(t, tokens)
+		st.mustComplete(t, tokens)
 		if st.answer.Resumes == 0 {
-			t.Fatal("a stream outlasted its router")
+			t.Fatal("a stream was not resumed although its router has exited")
 		}
 	}
 }
--- a/test/examples_test.go
+++ b/test/examples_test.go
@@ -10,12 +10,12 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/testkit/procs"
 )
 
-// Every settings file of the examples passes its own binary's check.
-func TestExamplesPassTheirCheck(t *testing.T) {
+// Checks that every settings file of the examples is valid for its own program.
+func TestExampleSettingsAreValid(t *testing.T) {
 	t.Parallel()
 	files, err := filepath.Glob("../examples/*/*.json")
 	if err != nil || len(files) == 0 {
-		t.Fatalf("no examples: %v", err)
+		t.Fatalf("no example settings found: %v", err)
 	}
 	for _, file := range files {
 		kind, _, _ := strings.Cut(filepath.Base(file), "-")
@@ -31,7 +31,7 @@
 			}
 			continue
 		default:
-			t.Errorf("%s: of no known kind", file)
+			t.Errorf("%s: unknown kind of settings file", file)
 			continue
 		}
 		if out, err := check.CombinedOutput(); err != nil {
@@ -40,8 +40,9 @@
 	}
 }
 
-// A daemon refuses a wrong file with the path of the field.
-func TestWrongSettingsNameTheField(t *testing.T) {
+// Checks that the error for an invalid settings file contains the path of the
+// field.
+func TestInvalidSettingsErrorNamesField(t *testing.T) {
 	t.Parallel()
 	out, err := exec.Command(procs.Binary("dragonfly-router"), "--check-settings", "--settings", "testdata/wrong-router.json").CombinedOutput()
 	if err == nil || !strings.Contains(string(out), "listen.admin") {
@@ -49,7 +50,7 @@
 	}
 }
 
-// The records of the examples are accepted by a keeper.
+// Checks that a keeper accepts the records of the examples.
 func TestExampleRecordsAreAccepted(t *testing.T) {
 	for _, name := range []string{"kegsetu", "bayanihan"} {
 		t.Run(name, func(t *testing.T) {
--- a/test/faults_test.go
+++ b/test/faults_test.go
@@ -9,9 +9,10 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/testkit/procs"
 )
 
-// Engines break connections, lose, double and mix up frames, and end streams
-// early. Callers of both routers, at once and with answers of unlike lengths,
-// each see their own whole answer and nothing of this.
+// Makes engines cut connections, drop and duplicate frames, mix frames of
+// different generations and end streams early. Concurrent callers of both
+// routers, with answers of different lengths, must each receive their own
+// complete answer without having to resume.
 func TestFaultyFramesNeverReachCallers(t *testing.T) {
 	t.Parallel()
 	s := procs.StartDemo(t, nil)
@@ -35,7 +36,7 @@
 			streams = append(streams, openStream(t, c, []string{router.Address}, fmt.Sprintf("%s %d", name, i), first+i))
 		}
 		for i, st := range streams {
-			st.whole(t, first+i)
+			st.mustComplete(t, first+i)
 			if st.answer.Resumes > 0 {
 				t.Errorf("%s: the caller had to resume", name)
 			}
@@ -43,9 +44,9 @@
 	}
 }
 
-// The platform's host pauses while a ledger entry is claimed. The caller is
-// told that it was not run. The write may still land when the host comes back;
-// the entry can then be made with the same key, and it runs once.
+// Pauses the platform while a ledger call is claimed. The caller must get
+// not_run. The write may still take effect after the pause; the call must then
+// succeed with the same key and run once.
 func TestPlatformFrozenWhileClaiming(t *testing.T) {
 	t.Parallel()
 	s := procs.StartDemo(t, nil)
@@ -56,26 +57,26 @@
 	for _, router := range s.Routers {
 		generate(t, s, router, "while frozen")
 	}
-	reply, err := c.Service(bounded(t), s.Routers[0].Address, entry("frozen"))
-	t.Logf("while frozen: %s", outcome(reply, err))
-	if !saysNotRun(reply, err) {
-		t.Fatalf("told: %s", outcome(reply, err))
+	reply, err := c.Service(testContext(t), s.Routers[0].Address, ledgerCall("frozen"))
+	t.Logf("while frozen: %s", describeReply(reply, err))
+	if !isNotRun(reply, err) {
+		t.Fatalf("reply while the platform is frozen: %s", describeReply(reply, err))
 	}
 	if err := s.Platform.Thaw(); err != nil {
 		t.Fatal(err)
 	}
-	procs.Until(t, "the entry is made with the same key", func() bool {
-		reply, err := c.Service(bounded(t), s.Routers[1].Address, entry("frozen"))
-		mustAgree(t, s, "frozen", reply, err)
+	procs.Until(t, "the ledger call succeeds with the same key", func() bool {
+		reply, err := c.Service(testContext(t), s.Routers[1].Address, ledgerCall("frozen"))
+		checkReplyMatchesRuns(t, s, "frozen", reply, err)
 		return err == nil && reply.Status == http.StatusOK
 	})
-	if n := runs(t, s, "frozen"); n != 1 {
+	if n := runCount(t, s, "frozen"); n != 1 {
 		t.Fatalf("%d runs", n)
 	}
 }
 
-// All keepers are gone. Generations and repeatable calls go on; a ledger entry
-// is refused at once and truthfully.
+// Kills all keepers. Generations and repeatable calls must still be answered; a
+// ledger call must be refused with not_run and must not run.
 func TestAllKeepersDown(t *testing.T) {
 	t.Parallel()
 	s := procs.StartDemo(t, nil)
@@ -85,39 +86,40 @@
 	c := s.Caller(procs.DemoOrganisation)
 	for _, router := range s.Routers {
 		generate(t, s, router, "without keepers")
-		reply, err := c.Service(bounded(t), router.Address, lookup())
+		reply, err := c.Service(testContext(t), router.Address, repeatableCall())
 		if err != nil || reply.Status != http.StatusOK {
-			t.Fatalf("a repeatable call: %s", outcome(reply, err))
+			t.Fatalf("a repeatable call: %s", describeReply(reply, err))
 		}
 		key := "entry-" + router.ID
-		reply, err = c.Service(bounded(t), router.Address, entry(key))
-		if !saysNotRun(reply, err) || reply.Header.Get("Retry-After") == "" || runs(t, s, key) != 0 {
-			t.Fatalf("a ledger entry: %s, %d runs", outcome(reply, err), runs(t, s, key))
+		reply, err = c.Service(testContext(t), router.Address, ledgerCall(key))
+		if !isNotRun(reply, err) || reply.Header.Get("Retry-After") == "" || runCount(t, s, key) != 0 {
+			t.Fatalf("a ledger entry: %s, %d runs", describeReply(reply, err), runCount(t, s, key))
 		}
 	}
 }
 
-// A keeper dies while it claims. The router turns to the other keeper or says
-// what it doesn't know; wherever the caller tries again, it runs at most once.
+// Kills a keeper while it claims. The router must use the other keeper or
+// report an unknown outcome; a retry at any router must not run the call a
+// second time.
 func TestKeeperKilledWhileClaiming(t *testing.T) {
 	t.Parallel()
 	s := procs.StartDemo(t, nil)
 	setFaults(t, s.Platform, platformSlow)
-	var pending []<-chan answer
+	var pending []<-chan callResult
 	for i := range 4 {
 		pending = append(pending, callInBackground(t, s.Caller(procs.DemoOrganisation),
-			s.Routers[i%2].Address, entry(fmt.Sprintf("entry-%d", i))))
+			s.Routers[i%2].Address, ledgerCall(fmt.Sprintf("entry-%d", i))))
 	}
 	waitWrite(t, s)
 	s.Keepers[0].Kill()
 	for i, p := range pending {
 		a := <-p
 		key := fmt.Sprintf("entry-%d", i)
-		t.Logf("%s: %s", key, outcome(a.reply, a.err))
-		mustAgree(t, s, key, a.reply, a.err)
+		t.Logf("%s: %s", key, describeReply(a.reply, a.err))
+		checkReplyMatchesRuns(t, s, key, a.reply, a.err)
 	}
-	setFaults(t, s.Platform, platformSound)
+	setFaults(t, s.Platform, platformHealthy)
 	for i := range pending {
-		retryElsewhere(t, s, s.Routers[(i+1)%2], fmt.Sprintf("entry-%d", i))
+		retryAt(t, s, s.Routers[(i+1)%2], fmt.Sprintf("entry-%d", i))
 	}
 }
--- a/test/keeper_test.go
+++ b/test/keeper_test.go
@@ -14,10 +14,10 @@
 
 const deploymentPath = "/admin/v1/" + port.ObjectModelDeployment + "/" + procs.DemoModel
 
-// deploy revises the model's version through a keeper.
+// deploy changes the version of the model through a keeper.
 func deploy(t *testing.T, keeper *procs.Daemon, version string) {
 	t.Helper()
-	reply, err := procs.Admin(bounded(t), keeper, http.MethodGet, deploymentPath, "", nil)
+	reply, err := procs.Admin(testContext(t), keeper, http.MethodGet, deploymentPath, "", nil)
 	if err != nil || reply.Status != http.StatusOK {
 		t.Fatalf("read the deployment: %v %+v", err, reply)
 	}
@@ -25,18 +25,19 @@
 		SchemaVersion: 1, Kind: port.ObjectModelDeployment, Name: procs.DemoModel,
 		Spec: procs.DeploymentSpec{Model: procs.DemoModel, Version: version, Replicas: 3},
 	}
-	reply, err = procs.Admin(bounded(t), keeper, http.MethodPut, deploymentPath, reply.Header.Get("ETag"), body)
+	reply, err = procs.Admin(testContext(t), keeper, http.MethodPut, deploymentPath, reply.Header.Get("ETag"), body)
 	if err != nil || reply.Status != http.StatusOK {
 		t.Fatalf("revise the deployment: %v %+v", err, reply)
 	}
 }
 
-// versions lists the version of the model ready on each runner.
+// versions returns the version of the model that is loaded on each runner,
+// empty for none.
 func versions(t *testing.T, s *procs.System) []string {
 	t.Helper()
 	var found []string
 	for _, e := range s.Engines {
-		reply, err := procs.Call(bounded(t), http.MethodGet, e.URL()+"/v1/state", nil, nil)
+		reply, err := procs.Call(testContext(t), http.MethodGet, e.URL()+"/v1/state", nil, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -55,7 +56,7 @@
 	return found
 }
 
-func allAt(t *testing.T, s *procs.System, version string) bool {
+func allAtVersion(t *testing.T, s *procs.System, version string) bool {
 	t.Helper()
 	for _, v := range versions(t, s) {
 		if v != version {
@@ -65,12 +66,13 @@
 	return true
 }
 
-// neverBack fails where a runner obeyed an order that is older than one it
-// obeyed before, by version or by fencing number.
-func neverBack(t *testing.T, s *procs.System) {
+// checkOrdersAscend fails the test if a runner obeyed an order with a lower
+// fencing number, or a load order with a lower version, than the load order
+// before it.
+func checkOrdersAscend(t *testing.T, s *procs.System) {
 	t.Helper()
 	for _, e := range s.Engines {
-		reply, err := procs.Call(bounded(t), http.MethodGet, e.URL()+"/standin/orders", nil, nil)
+		reply, err := procs.Call(testContext(t), http.MethodGet, e.URL()+"/standin/orders", nil, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -90,49 +92,50 @@
 	}
 }
 
-// A keeper's host pauses past its lease, at rest or in the middle of a
-// rollout, and an operator rolls out the next version through the other keeper
-// meanwhile. The paused keeper comes back and still believes that it holds the
-// lease: runners that check fencing numbers and one that doesn't must all stay
-// at the new version, and none may obey an older order after a newer one.
+// Pauses a keeper until its lease has expired, after or during a rollout, while
+// an operator rolls out the next version through the other keeper. After the
+// pause the keeper still assumes that it holds the lease. All runners, with and
+// without a check of fencing numbers, must stay at the new version, and none
+// may obey an older order after a newer one.
 func TestKeeperFrozenPastItsLease(t *testing.T) {
 	for frozen := range 2 {
-		for _, atRest := range []bool{true, false} {
-			t.Run(fmt.Sprintf("keeper-%d at rest %v", frozen+1, atRest), func(t *testing.T) {
+		for _, rolloutDone := range []bool{true, false} {
+			t.Run(fmt.Sprintf("keeper-%d rollout done %v", frozen+1, rolloutDone), func(t *testing.T) {
 				t.Parallel()
 				s := procs.StartDemo(t, nil)
 				deploy(t, s.Keepers[frozen], "2")
-				if atRest {
-					procs.Until(t, "the first rollout is done", func() bool { return allAt(t, s, "2") })
+				if rolloutDone {
+					procs.Until(t, "the first rollout is done", func() bool { return allAtVersion(t, s, "2") })
 				}
 				if err := s.Keepers[frozen].Freeze(); err != nil {
 					t.Fatal(err)
 				}
 				deployAfter(t, s.Keepers[1-frozen], "2", "3")
-				procs.Until(t, "the other keeper rolls out", func() bool { return allAt(t, s, "3") })
+				procs.Until(t, "the other keeper rolls out", func() bool { return allAtVersion(t, s, "3") })
 				if err := s.Keepers[frozen].Thaw(); err != nil {
 					t.Fatal(err)
 				}
 				deployAfter(t, s.Keepers[frozen], "3", "4")
 				procs.Until(t, "a rollout after the pause", func() bool {
-					neverBack(t, s)
-					return allAt(t, s, "4")
+					checkOrdersAscend(t, s)
+					return allAtVersion(t, s, "4")
 				})
-				neverBack(t, s)
+				checkOrdersAscend(t, s)
 				for _, router := range s.Routers {
-					serves(t, s, router)
+					waitServing(t, s, router)
 				}
 			})
 		}
 	}
 }
 
-// deployAfter waits until the keeper shows the version before, then revises.
+// deployAfter waits until the keeper shows the version before, and then deploys
+// the new one.
 func deployAfter(t *testing.T, keeper *procs.Daemon, before, version string) {
 	t.Helper()
 	want := fmt.Sprintf(`"version":%q`, before)
 	procs.Until(t, keeper.ID+" shows version "+before, func() bool {
-		reply, err := procs.Admin(bounded(t), keeper, http.MethodGet, deploymentPath, "", nil)
+		reply, err := procs.Admin(testContext(t), keeper, http.MethodGet, deploymentPath, "", nil)
 		return err == nil && strings.Contains(string(reply.Body), want)
 	})
 	deploy(t, keeper, version)
--- a/test/kill_test.go
+++ b/test/kill_test.go
@@ -8,9 +8,8 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/testkit/procs"
 )
 
-// Any one process is killed without a word. Callers of the rest go on: a
-// generation and a repeatable call are answered at each router that is left,
-// and no entry names a dead router for long.
+// Kills any one process. Each remaining router must answer a generation and a
+// repeatable call, and the entry must stop listing a killed router.
 func TestKillingAnyOneProcessLeavesTheRestServing(t *testing.T) {
 	victims := map[string]func(*procs.System) *procs.Daemon{
 		"platform": func(s *procs.System) *procs.Daemon { return s.Platform },
@@ -31,23 +30,24 @@
 				if router == victim {
 					continue
 				}
-				serves(t, s, router)
+				waitServing(t, s, router)
 				procs.Until(t, "a repeatable call is answered", func() bool {
-					reply, err := c.Service(bounded(t), router.Address, lookup())
+					reply, err := c.Service(testContext(t), router.Address, repeatableCall())
 					return err == nil && reply.Status == http.StatusOK
 				})
-				procs.Until(t, "the entry names the live routers only", func() bool {
-					one := *c
-					one.Seeds = []string{router.Address}
-					named, err := one.Entry(bounded(t), procs.DemoModel)
-					return err == nil && len(named.Addresses) > 0 && !slices.Contains(named.Addresses, deadAddress(victim))
+				procs.Until(t, "the entry lists live routers only", func() bool {
+					client := *c
+					client.Seeds = []string{router.Address}
+					entry, err := client.Entry(testContext(t), procs.DemoModel)
+					return err == nil && len(entry.Addresses) > 0 && !slices.Contains(entry.Addresses, deadAddress(victim))
 				})
 			}
 		})
 	}
 }
 
-// deadAddress is the victim's address where it is a router's.
+// deadAddress returns the address of the victim if it is a router, and an empty
+// string otherwise.
 func deadAddress(victim *procs.Daemon) string {
 	if victim.Peers == "" {
 		return ""
--- a/test/leaving_test.go
+++ b/test/leaving_test.go
@@ -12,15 +12,17 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/testkit/procs"
 )
 
-// offered counts the work that routers have sent to an engine, taken or not.
-func offered(t *testing.T, d *procs.Daemon) int {
+// offeredCount returns the number of requests that routers have sent to an
+// engine, accepted or not.
+func offeredCount(t *testing.T, d *procs.Daemon) int {
 	t.Helper()
 	stats := engineStats(t, d)
 	return stats.Started + stats.Refused
 }
 
-// batch sends short requests through both routers at once.
-func batch(t *testing.T, s *procs.System, name string) {
+// sendBatch sends short requests through both routers at once and checks that
+// all complete.
+func sendBatch(t *testing.T, s *procs.System, name string) {
 	t.Helper()
 	var streams []*stream
 	for i := range 12 {
@@ -29,32 +31,34 @@
 		streams = append(streams, st)
 	}
 	for _, st := range streams {
-		st.whole(t, 3)
+		st.mustComplete(t, 3)
 	}
 }
 
-// leaveLimit is the promise: from then on no new work.
+// leaveLimit is the guaranteed maximum time for which a leaving endpoint still
+// gets new requests.
 const leaveLimit = 5 * time.Second
 
-// untilLimit sends batches until the limit has passed, and returns when the
-// endpoint was last offered work.
-func untilLimit(t *testing.T, s *procs.System, leaving *procs.Daemon) time.Duration {
+// lastOfferBeforeLimit sends batches until leaveLimit has passed, and returns
+// the time from its start to the last batch of which the endpoint was sent a
+// request.
+func lastOfferBeforeLimit(t *testing.T, s *procs.System, leaving *procs.Daemon) time.Duration {
 	t.Helper()
 	since := time.Now()
 	last := time.Duration(0)
 	for n := 0; time.Since(since) < leaveLimit; n++ {
-		before := offered(t, leaving)
-		batch(t, s, fmt.Sprintf("while leaving %d", n))
-		if offered(t, leaving) != before {
+		before := offeredCount(t, leaving)
+		sendBatch(t, s, fmt.Sprintf("while leaving %d", n))
+		if offeredCount(t, leaving) != before {
 			last = time.Since(since)
 		}
 	}
 	return last
 }
 
-// An endpoint is leaving, and callers go on asking. After a few seconds it is
-// offered no new work by either router, every request is still answered, and
-// no late message brings it back.
+// Makes an endpoint leave while callers send requests. After leaveLimit neither
+// router may send it requests, even when a late message arrives, and every
+// request must still be answered.
 func TestLeavingEndpointGetsNoNewWork(t *testing.T) {
 	ways := map[string]func(t *testing.T, s *procs.System, leaving *procs.Daemon){
 		"by its own word": func(t *testing.T, _ *procs.System, leaving *procs.Daemon) {
@@ -67,12 +71,12 @@
 					list[i].State = port.EndpointLeaving
 				}
 			}
-			if err := s.SetHosts(bounded(t), list); err != nil {
+			if err := s.SetHosts(testContext(t), list); err != nil {
 				t.Fatal(err)
 			}
-			// The list itself lags.
+			// The platform applies changes to the host list with a delay.
 			procs.Until(t, "the platform shows that the host is leaving", func() bool {
-				reply, err := procs.Call(bounded(t), http.MethodGet, s.Platform.URL()+"/v1/hosts", nil, nil)
+				reply, err := procs.Call(testContext(t), http.MethodGet, s.Platform.URL()+"/v1/hosts", nil, nil)
 				return err == nil && strings.Contains(string(reply.Body), string(port.EndpointLeaving))
 			})
 		},
@@ -86,15 +90,15 @@
 			t.Parallel()
 			s := procs.StartDemo(t, nil)
 			leaving := s.Engines[0]
-			batch(t, s, "before")
+			sendBatch(t, s, "before")
 			leave(t, s, leaving)
-			t.Logf("no new work after %v", untilLimit(t, s, leaving).Round(time.Millisecond))
-			before := offered(t, leaving)
+			t.Logf("last request sent to the leaving endpoint after %v", lastOfferBeforeLimit(t, s, leaving).Round(time.Millisecond))
+			before := offeredCount(t, leaving)
 			for i := range 20 {
-				batch(t, s, fmt.Sprintf("after leaving %d", i))
+				sendBatch(t, s, fmt.Sprintf("after leaving %d", i))
 			}
-			if now := offered(t, leaving); now != before {
-				t.Fatalf("%d more requests were offered", now-before)
+			if now := offeredCount(t, leaving); now != before {
+				t.Fatalf("%d more requests were sent to the leaving endpoint", now-before)
 			}
 		})
 	}
--- a/test/limited_test.go
+++ b/test/limited_test.go
@@ -17,47 +17,51 @@
 	"github.com/dragonflyrail/dragonflyrail/platform/testfleet"
 )
 
-// What a runner that names a limit gets.
+// Limits and times for a runner that reports a rate limit.
 const (
 	limitPerSecond = 3.0
 	limitWindow    = 4 * time.Second
-	// mostInWindow is one and a half times what the limit allows, and five.
-	mostInWindow = 1.5*limitPerSecond*4 + 5
-	// limitStable is the time from a limit's first mention to when all daemons
-	// keep to it.
-	limitStable = 3 * time.Second
-	limitFor    = 10 * time.Second
+	// maxInWindow is one and a half times what the limit allows in the window,
+	// plus five.
+	maxInWindow = 1.5*limitPerSecond*4 + 5
+	// limitAppliedWithin is the maximum time from the first report of a limit
+	// until all daemons enforce it.
+	limitAppliedWithin = 3 * time.Second
+	limitDuration      = 10 * time.Second
 )
 
-// Guards against exceeding or starving a runner that names a limit while another has room.
-func TestLimitedRunnerGetsTheCallsThatItAllows(t *testing.T) {
+// Guards against exceeding or starving a runner that reports a limit while
+// another runner has capacity.
+func TestLimitedRunnerReceivesAllowedCalls(t *testing.T) {
 	t.Parallel()
-	limitsRunners(t, testfleet.Repeatable, 2)
+	testLimitedRunners(t, testfleet.Repeatable, 2)
 }
 
 // Guards against the same for generations.
-func TestLimitedRunnerGetsTheGenerationsThatItAllows(t *testing.T) {
+func TestLimitedRunnerReceivesAllowedGenerations(t *testing.T) {
 	t.Parallel()
-	limitsRunners(t, testfleet.Generation, 3)
+	testLimitedRunners(t, testfleet.Generation, 3)
 }
 
-// Guards against callers that wait, or exceed limits, when all runners name limits.
-func TestCallersBeyondAllLimitsAreRefusedAtOnce(t *testing.T) {
+// Guards against callers that wait, and against exceeded limits, when all
+// runners report limits.
+func TestRequestsBeyondAllLimitsAreRefused(t *testing.T) {
 	t.Parallel()
-	limitsRunners(t, testfleet.Once, 3)
+	testLimitedRunners(t, testfleet.Once, 3)
 }
 
-// Guards against exceeding or starving a limited runner when the coordinator is killed.
-func TestLimitIsKeptWhileDaemonsAreKilled(t *testing.T) {
+// Guards against exceeding or starving a limited runner when daemons, the
+// coordinator among them, are killed.
+func TestLimitHoldsWhileDaemonsAreKilled(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, func(l *testfleet.Layout) { l.Daemons, l.Engines, l.Plain, l.Work = 4, 1, 2, 10*time.Millisecond })
-	ctx, stop := context.WithCancel(bounded(t))
+	ctx, stop := context.WithCancel(testContext(t))
 	defer stop()
 	var background sync.WaitGroup
-	f.offers(ctx, &background, testfleet.Repeatable)
+	f.startLoad(ctx, &background, testfleet.Repeatable)
 	limited := f.runnersOf(standin.PlainService)
 	f.setLimit(limited, limitPerSecond)
-	time.Sleep(limitStable)
+	time.Sleep(limitAppliedWithin)
 	stable := time.Now()
 	for _, d := range f.Daemons {
 		d.Kill()
@@ -65,7 +69,7 @@
 		if err := f.StartDaemon(d); err != nil {
 			t.Fatal(err)
 		}
-		procs.Until(t, d.ID+" is back", func() bool { return d.Ready(ctx) })
+		procs.Until(t, d.ID+" is ready again", func() bool { return d.Ready(ctx) })
 		time.Sleep(2 * time.Second)
 	}
 	ended := time.Now()
@@ -76,51 +80,53 @@
 	}
 }
 
-func limitsRunners(t *testing.T, kind testfleet.Kind, inNeed int) {
+func testLimitedRunners(t *testing.T, kind testfleet.Kind, limitedCount int) {
 	f := startFleet(t, func(l *testfleet.Layout) { l.Engines, l.Plain, l.Work = 3, 3, 10*time.Millisecond })
-	ctx, stop := context.WithCancel(bounded(t))
+	ctx, stop := context.WithCancel(testContext(t))
 	defer stop()
 	var background sync.WaitGroup
-	load := f.offers(ctx, &background, kind)
+	load := f.startLoad(ctx, &background, kind)
 	service := standin.PlainService
 	if kind == testfleet.Generation {
 		service = standin.EngineService
 	}
-	limited := f.runnersOf(service)[:inNeed]
+	limited := f.runnersOf(service)[:limitedCount]
 	time.Sleep(time.Second)
 	f.setLimit(limited, limitPerSecond)
-	stable := time.Now().Add(limitStable)
-	time.Sleep(limitStable + limitFor)
+	stable := time.Now().Add(limitAppliedWithin)
+	time.Sleep(limitAppliedWithin + limitDuration)
 	ended := time.Now()
 	f.setLimit(limited, 0)
 	for _, r := range limited {
 		checkLimited(t, r, stable, ended)
 	}
 	t.Logf("%d served, %d refused", load.served.Load(), load.refused.Load())
-	if inNeed < 3 && load.refused.Load() > 0 {
-		t.Errorf("%d callers were refused while a runner had room", load.refused.Load())
+	if limitedCount < 3 && load.refused.Load() > 0 {
+		t.Errorf("%d callers were refused while a runner had capacity", load.refused.Load())
 	}
-	if load.lost.Load() > 0 {
-		t.Errorf("%d callers were neither served nor refused at once with a time to come back", load.lost.Load())
+	if load.failed.Load() > 0 {
+		t.Errorf("%d callers were neither served nor refused in time with a Retry-After", load.failed.Load())
 	}
 	for _, r := range limited {
 		if kind == testfleet.Generation {
-			// Which engine is used where all have room is the scheduler's.
+			// If all engines have capacity, the scheduler may choose any of
+			// them.
 			break
 		}
-		procs.Until(t, r.ID+" is used freely again", func() bool {
+		procs.Until(t, r.ID+" gets more than twice its former limit", func() bool {
 			now := time.Now()
-			return float64(len(runsAt(r, now.Add(-time.Second), now))) > 2*limitPerSecond
+			return float64(len(runTimes(r, now.Add(-time.Second), now))) > 2*limitPerSecond
 		})
 	}
 	stop()
 	background.Wait()
 }
 
-// checkLimited checks what a limited runner got.
+// checkLimited checks that the runner got at most maxInWindow requests in any
+// window between from and to, and at least half of what its limit allows.
 func checkLimited(t *testing.T, r *testfleet.Runner, from, to time.Time) {
 	t.Helper()
-	runs := runsAt(r, from, to)
+	runs := runTimes(r, from, to)
 	t.Logf("%s got %d requests in %v", r.ID, len(runs), to.Sub(from).Round(time.Second))
 	for i, first := range runs {
 		n := 0
@@ -129,13 +135,13 @@
 				n++
 			}
 		}
-		if float64(n) > mostInWindow {
-			t.Errorf("%s got %d requests within %v, allowed %v", r.ID, n, limitWindow, mostInWindow)
+		if float64(n) > maxInWindow {
+			t.Errorf("%s got %d requests within %v, allowed %v", r.ID, n, limitWindow, maxInWindow)
 			break
 		}
 	}
 	if least := limitPerSecond * to.Sub(from).Seconds() / 2; float64(len(runs)) < least {
-		t.Errorf("%s got %d requests, less than half of what it takes", r.ID, len(runs))
+		t.Errorf("%s got %d requests, less than half of what its limit allows", r.ID, len(runs))
 	}
 }
 
@@ -149,7 +155,7 @@
 	return out
 }
 
-// setLimit has runners name a limit, zero for none.
+// setLimit makes the runners report the limit, or none if it is zero.
 func (f *fleetTest) setLimit(runners []*testfleet.Runner, perSecond float64) {
 	f.t.Helper()
 	var faults standin.RunnerFaults
@@ -157,20 +163,21 @@
 		faults.Limit = &perSecond
 	}
 	for _, r := range runners {
-		if err := f.SetRunnerFaults(bounded(f.t), r, faults); err != nil {
+		if err := f.SetRunnerFaults(testContext(f.t), r, faults); err != nil {
 			f.t.Fatal(err)
 		}
 	}
 }
 
-// steadyLoad counts what became of a steady load.
+// steadyLoad counts the results of a steady load. Requests that were neither
+// served nor refused in time count as failed.
 type steadyLoad struct {
-	served, refused, lost atomic.Int64
+	served, refused, failed atomic.Int64
 }
 
-// offers sends requests to all daemons in turn, about fifty a second, until the
-// context ends.
-func (f *fleetTest) offers(ctx context.Context, background *sync.WaitGroup, kind testfleet.Kind) *steadyLoad {
+// startLoad sends about fifty requests per second to the daemons in turn until
+// the context ends.
+func (f *fleetTest) startLoad(ctx context.Context, background *sync.WaitGroup, kind testfleet.Kind) *steadyLoad {
 	var o steadyLoad
 	tick := time.NewTicker(20 * time.Millisecond)
 	background.Go(func() {
@@ -181,27 +188,28 @@
 				return
 			case <-tick.C:
 			}
-			background.Go(func() { o.ask(ctx, f, f.Daemons[n%len(f.Daemons)], kind) })
+			background.Go(func() { o.send(ctx, f, f.Daemons[n%len(f.Daemons)], kind) })
 		}
 	})
 	return &o
 }
 
-// Times of a refusal: at once, or for a generation after half of its caller's
-// patience, in which it waits for a place.
+// Maximum times to a refusal: immediate, except for a generation, which is
+// queued for half the patience of its caller.
 const (
-	refusedWithin     = 2 * time.Second
-	refusedAfterAWait = 6 * time.Second
+	refusedWithin           = 2 * time.Second
+	generationRefusedWithin = 6 * time.Second
 )
 
-func (o *steadyLoad) ask(ctx context.Context, f *fleetTest, d *testfleet.Daemon, kind testfleet.Kind) {
+func (o *steadyLoad) send(ctx context.Context, f *fleetTest, d *testfleet.Daemon, kind testfleet.Kind) {
 	r := f.request(kind, 3)
-	// Prompts of their own, so that no runner is preferred for what it has cached.
+	// Each prompt has a unique prefix, so that no runner is preferred for its
+	// cache.
 	r.Prefix = fmt.Sprintf("%08x:1000", fnv32(r.ID))
 	a := f.caller.Ask(ctx, d.Callers, r)
 	within := refusedWithin
 	if kind == testfleet.Generation {
-		within = refusedAfterAWait
+		within = generationRefusedWithin
 	}
 	switch {
 	case a.Whole(r):
@@ -210,8 +218,8 @@
 	case a.NotRun && a.RetryAfter > 0 && a.Took < within:
 		o.refused.Add(1)
 	default:
-		o.lost.Add(1)
-		f.t.Logf("%s: %d after %v, retry after %v, %v", r.ID, a.Status, a.Took, a.RetryAfter, a.Err)
+		o.failed.Add(1)
+		f.t.Logf("%s: status %d after %v, Retry-After %v, %v", r.ID, a.Status, a.Took, a.RetryAfter, a.Err)
 	}
 }
 
@@ -221,8 +229,9 @@
 	return h.Sum32()
 }
 
-// runsAt lists when a runner began to run requests within a time.
-func runsAt(r *testfleet.Runner, from, to time.Time) []time.Time {
+// runTimes returns the times between from and to at which the runner started to
+// run a request.
+func runTimes(r *testfleet.Runner, from, to time.Time) []time.Time {
 	var out []time.Time
 	lines := bufio.NewScanner(bytes.NewReader(r.Log()))
 	for lines.Scan() {
@@ -241,8 +250,9 @@
 	return out
 }
 
-// Guards against a refusal that operators can't trace to the limits behind it.
-func TestRefusalForALimitIsExplained(t *testing.T) {
+// Guards against a refusal that operators cannot trace to the limits that
+// caused it.
+func TestRateLimitRefusalIsExplained(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, func(l *testfleet.Layout) { l.Engines, l.Plain = 1, 1 })
 	limited := f.runnersOf(standin.PlainService)
@@ -250,9 +260,9 @@
 	var refused *testfleet.Request
 	procs.Until(t, "a call is refused", func() bool {
 		refused = f.request(testfleet.Once, 1)
-		a := f.caller.Ask(bounded(t), f.Daemons[0].Callers, refused)
+		a := f.caller.Ask(testContext(t), f.Daemons[0].Callers, refused)
 		return a.NotRun && a.RetryAfter > 0
 	})
-	f.tells("at_rate_limit: the 1 endpoints of pool plain take 0.5 requests a second", "why", "request", refused.ID)
-	f.tells("takes 0.5 requests a second from all daemons together", "why", "endpoint", limited[0].ID)
+	f.checkCtlOutput("at_rate_limit: the 1 endpoints of pool plain take 0.5 requests a second", "why", "request", refused.ID)
+	f.checkCtlOutput("takes 0.5 requests a second from all daemons together", "why", "endpoint", limited[0].ID)
 }
--- a/test/load_test.go
+++ b/test/load_test.go
@@ -12,7 +12,7 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/testkit/procs"
 )
 
-// workload is a file for dragonfly-load against the demo's system.
+// workload is a dragonfly-load workload for the demo system.
 const workload = `{
   "name": "trial", "seed": 3, "duration": "5s", "arrivals_per_second": 12,
   "organisations": [{"name": "brewery-finance", "key": "brewery-finance-demo-key", "weight": 1}],
@@ -23,11 +23,11 @@
     {"name": "entry", "weight": 1, "service": "depot", "path": "/ledger", "non_idempotent": true}
   ]}`
 
-// A workload is replayed while a router dies. Streams that were cut resume at
-// the other router and are whole; what was being asked of the dead router is
-// counted as unreachable, and nothing as cut or broken. The ledger ran each
-// entry once at most.
-func TestLoadAcrossARouterKill(t *testing.T) {
+// Kills a router while dragonfly-load replays a workload. Streams of the killed
+// router must resume at the other router and complete, so that no request
+// counts as cut or broken; requests to the killed router may count as
+// unreachable. The service must run each ledger call at most once.
+func TestLoadReplayAcrossRouterKill(t *testing.T) {
 	t.Parallel()
 	s := procs.StartDemo(t, nil)
 	dir := t.TempDir()
@@ -61,7 +61,7 @@
 	if all.Outcomes[load.OutcomeDone] < all.Requests/2 || !report.Sound() {
 		t.Errorf("outcomes %v", all.Outcomes)
 	}
-	counts, err := s.ServiceRuns(bounded(t))
+	counts, err := s.ServiceRuns(testContext(t))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/test/logs_test.go
+++ b/test/logs_test.go
@@ -10,24 +10,24 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/testkit/procs"
 )
 
-// Logs leave the host, and those who read them need not be those whom the
-// prompts concern. Requests that are served, refused as a duplicate and
-// refused for their key leave lines, but no prompt, body or key in any.
-func TestNoPromptAndNoKeyReachesALog(t *testing.T) {
+// Logs leave the host and may be read by people who are not entitled to see the
+// prompts. Requests that are served, refused as duplicates or refused for their
+// key are logged, but no log may contain a prompt, a body or a key.
+func TestLogsContainNoPromptsOrKeys(t *testing.T) {
 	t.Parallel()
 	const marker = "acoustic-log-of-valve-17"
 	s := procs.StartDemo(t, nil)
 	c := s.Caller(procs.DemoOrganisation)
-	openStream(t, c, []string{s.Routers[0].Address}, marker, 5).whole(t, 5)
+	openStream(t, c, []string{s.Routers[0].Address}, marker, 5).mustComplete(t, 5)
 	for range 2 {
-		if _, err := c.Service(bounded(t), s.Routers[0].Address, entry(marker+"-key")); err != nil {
+		if _, err := c.Service(testContext(t), s.Routers[0].Address, ledgerCall(marker+"-key")); err != nil {
 			t.Fatal(err)
 		}
 	}
-	stranger := caller.New(marker+"-bearer", procs.DemoOrganisation, []string{s.Routers[0].Address})
-	reply, err := stranger.Service(bounded(t), s.Routers[0].Address, lookup())
+	unauthorized := caller.New(marker+"-bearer", procs.DemoOrganisation, []string{s.Routers[0].Address})
+	reply, err := unauthorized.Service(testContext(t), s.Routers[0].Address, repeatableCall())
 	if err != nil || reply.Status != http.StatusUnauthorized {
-		t.Fatalf("a stranger got %+v, %v", reply, err)
+		t.Fatalf("a call with an unknown bearer key got %+v, %v", reply, err)
 	}
 	lines := 0
 	for _, d := range s.All() {
@@ -40,6 +40,6 @@
 		}
 	}
 	if decisions := len(s.Routers[0].Decisions()); decisions < 5 || lines < decisions {
-		t.Fatalf("%d decisions in %d lines: the logs were not read", decisions, lines)
+		t.Fatalf("%d decisions in %d log lines: the logs are incomplete", decisions, lines)
 	}
 }
--- a/test/main_test.go
+++ b/test/main_test.go
@@ -1,6 +1,6 @@
-// Package test holds the process-level tests: the system's binaries run as
-// processes of their own, are killed, frozen and replaced, and callers and the
-// stand-ins' counters tell what became of their requests.
+// Package test holds the process-level tests. They run the binaries as separate
+// processes, kill, freeze and replace them, and check the requests by the
+// replies to callers and the counters of the stand-ins.
 package test
 
 import (
@@ -17,33 +17,37 @@
 
 func TestMain(m *testing.M) { procs.Main(m) }
 
-// bounded is a context that outlasts whatever a sound system needs.
-func bounded(t *testing.T) context.Context {
+// testContext returns a context with a deadline longer than any operation takes
+// in a working system.
+func testContext(t *testing.T) context.Context {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), procs.Deadline)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-// prompt asks for an answer of so many tokens, with a prompt of its own.
+// prompt returns a prompt with the given text that makes the engine stand-in
+// generate the given number of tokens.
 func prompt(what string, tokens int) string {
 	return what + " " + engine.LengthDirective(tokens)
 }
 
-// stream is one answer that is being read.
+// stream is a streamed answer that is read in the background. answer and err
+// are set once done is closed.
 type stream struct {
-	// tokens yields each token's index as it comes.
+	// tokens receives the index of each token on arrival.
 	tokens chan int
 	done   chan struct{}
 	answer *caller.Answer
 	err    error
 }
 
-// openStream asks for tokens at the first address.
+// openStream requests the given number of tokens at the first address. The
+// caller may resume at the others.
 func openStream(t *testing.T, c *caller.Client, addresses []string, text string, tokens int) *stream {
 	t.Helper()
 	s := &stream{tokens: make(chan int, tokens+1), done: make(chan struct{})}
-	ctx := bounded(t)
+	ctx := testContext(t)
 	go func() {
 		defer close(s.done)
 		s.answer, s.err = c.Stream(ctx, addresses, caller.Completion{
@@ -54,7 +58,7 @@
 	return s
 }
 
-// waitTokens waits until the caller has n tokens, or the answer has ended.
+// waitTokens waits until n more tokens have arrived or the answer has ended.
 func (s *stream) waitTokens(n int) {
 	for range n {
 		select {
@@ -65,9 +69,9 @@
 	}
 }
 
-// whole fails the test unless the answer has all its tokens, once each, in
-// order and of one generation.
-func (s *stream) whole(t *testing.T, tokens int) {
+// mustComplete waits for the end of the stream and fails the test unless the
+// answer has all its tokens exactly once, in order and of one generation.
+func (s *stream) mustComplete(t *testing.T, tokens int) {
 	t.Helper()
 	<-s.done
 	if s.err != nil {
@@ -82,52 +86,54 @@
 	}
 }
 
-// generate asks one router for a short answer and fails unless it is whole.
+// generate requests a short answer from one router and fails the test unless it
+// is complete.
 func generate(t *testing.T, s *procs.System, router *procs.Daemon, text string) *caller.Answer {
 	t.Helper()
 	const tokens = 5
 	st := openStream(t, s.Caller(procs.DemoOrganisation), []string{router.Address}, text, tokens)
-	st.whole(t, tokens)
+	st.mustComplete(t, tokens)
 	return st.answer
 }
 
-// serves waits until a router gives a whole answer.
-func serves(t *testing.T, s *procs.System, router *procs.Daemon) {
+// waitServing waits until the router answers a request completely.
+func waitServing(t *testing.T, s *procs.System, router *procs.Daemon) {
 	t.Helper()
 	c := s.Caller(procs.DemoOrganisation)
 	procs.Until(t, router.ID+" serves", func() bool {
-		answer, err := c.Stream(bounded(t), []string{router.Address}, caller.Completion{
+		answer, err := c.Stream(testContext(t), []string{router.Address}, caller.Completion{
 			Model: procs.DemoModel, Prompt: prompt("does it serve", 3),
 		})
 		return err == nil && answer.Problem == nil && answer.Tokens == 3
 	})
 }
 
-// lookup is a call of the plain service that may be repeated.
-func lookup() *caller.ServiceCall {
+// repeatableCall returns a call of the plain service that may run more than
+// once.
+func repeatableCall() *caller.ServiceCall {
 	return &caller.ServiceCall{Service: procs.DemoService, Path: "/kegs", Method: http.MethodGet}
 }
 
-// entry is a call of the plain service that must run at most once.
-func entry(key string) *caller.ServiceCall {
+// ledgerCall returns a call of the plain service that must run at most once.
+func ledgerCall(key string) *caller.ServiceCall {
 	return &caller.ServiceCall{
 		Service: procs.DemoService, Path: "/ledger", Method: http.MethodPost,
 		Body: []byte(`{"kegs":2}`), Key: key, NonIdempotent: true,
 	}
 }
 
-// runs is how often the services ran a key.
-func runs(t *testing.T, s *procs.System, key string) int {
+// runCount returns how often the services ran the call with the key.
+func runCount(t *testing.T, s *procs.System, key string) int {
 	t.Helper()
-	got, err := s.ServiceRuns(bounded(t))
+	got, err := s.ServiceRuns(testContext(t))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return got[key]
 }
 
-// outcome is what a caller was told, for messages.
-func outcome(reply *caller.Reply, err error) string {
+// describeReply formats a reply for test messages.
+func describeReply(reply *caller.Reply, err error) string {
 	switch {
 	case err != nil:
 		return "no answer: " + err.Error()
@@ -138,15 +144,15 @@
 	}
 }
 
-// saysNotRun reports whether the caller was told that nothing ran.
-func saysNotRun(reply *caller.Reply, err error) bool {
+// isNotRun reports whether the reply says that the call was not run.
+func isNotRun(reply *caller.Reply, err error) bool {
 	return err == nil && reply.Problem != nil && reply.Problem.Outcome == problem.OutcomeNotRun
 }
 
-// setFaults switches a stand-in's faults.
+// setFaults replaces the faults of a stand-in.
 func setFaults(t *testing.T, d *procs.Daemon, faults any) {
 	t.Helper()
-	if err := procs.SetFaults(bounded(t), d, faults); err != nil {
+	if err := procs.SetFaults(testContext(t), d, faults); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -154,18 +160,19 @@
 func engineStats(t *testing.T, d *procs.Daemon) engine.Stats {
 	t.Helper()
 	var stats engine.Stats
-	if err := procs.ReadStats(bounded(t), d, &stats); err != nil {
+	if err := procs.ReadStats(testContext(t), d, &stats); err != nil {
 		t.Fatal(err)
 	}
 	return stats
 }
 
-// busyEngine waits for the engine that holds an open generation, and returns
-// its place; before holds each engine's counters from before the request.
-func busyEngine(t *testing.T, s *procs.System, before []engine.Stats) int {
+// waitEngineWithGeneration waits until an engine has started a generation, and
+// returns the index of the engine. before holds the statistics of all engines
+// from before the request.
+func waitEngineWithGeneration(t *testing.T, s *procs.System, before []engine.Stats) int {
 	t.Helper()
 	found := -1
-	procs.Until(t, "an engine holds the generation", func() bool {
+	procs.Until(t, "an engine starts the generation", func() bool {
 		for i, e := range s.Engines {
 			if engineStats(t, e).Started > before[i].Started {
 				found = i
--- a/test/records_test.go
+++ b/test/records_test.go
@@ -24,17 +24,17 @@
 	}
 }
 
-// readRouting returns the routing configuration's entity tag and body.
+// readRouting returns the entity tag and the body of the routing configuration.
 func readRouting(t *testing.T, keeper *procs.Daemon) (tag, body string) {
 	t.Helper()
-	reply, err := procs.Admin(bounded(t), keeper, http.MethodGet, routingPath, "", nil)
+	reply, err := procs.Admin(testContext(t), keeper, http.MethodGet, routingPath, "", nil)
 	if err != nil || reply.Status != http.StatusOK {
 		t.Fatalf("read: %v %+v", err, reply)
 	}
 	return reply.Header.Get("ETag"), string(reply.Body)
 }
 
-// version reads an entity tag as the platform's version.
+// version parses an entity tag as a version of the platform.
 func version(t *testing.T, tag string) uint64 {
 	t.Helper()
 	var v uint64
@@ -48,19 +48,19 @@
 func revise(t *testing.T, keeper *procs.Daemon, queue int) uint64 {
 	t.Helper()
 	tag, _ := readRouting(t, keeper)
-	reply, err := procs.Admin(bounded(t), keeper, http.MethodPut, routingPath, tag, routingDocument(queue))
+	reply, err := procs.Admin(testContext(t), keeper, http.MethodPut, routingPath, tag, routingDocument(queue))
 	if err != nil || reply.Status != http.StatusOK {
 		t.Fatalf("revise: %v %+v", err, reply)
 	}
 	return version(t, reply.Header.Get("ETag"))
 }
 
-// decidedUnder is the configuration version that a router's placement of a new
-// request rests on.
-func decidedUnder(t *testing.T, s *procs.System, router *procs.Daemon) uint64 {
+// placementVersion returns the configuration version that the router used to
+// place a new request.
+func placementVersion(t *testing.T, s *procs.System, router *procs.Daemon) uint64 {
 	t.Helper()
 	answer := generate(t, s, router, "which configuration")
-	decisions, err := s.Explain(bounded(t), "requests", answer.RequestID)
+	decisions, err := s.Explain(testContext(t), "requests", answer.RequestID)
 	if err != nil || len(decisions) == 0 {
 		t.Fatalf("no decision for %s: %v", answer.RequestID, err)
 	}
@@ -73,19 +73,20 @@
 	return placed
 }
 
-func waitInForce(t *testing.T, s *procs.System, want uint64) {
+func waitConfigurationVersion(t *testing.T, s *procs.System, want uint64) {
 	t.Helper()
 	for _, router := range s.Routers {
-		procs.Until(t, router.ID+" decides under the new version", func() bool {
-			return decidedUnder(t, s, router) >= want
+		procs.Until(t, router.ID+" uses the new configuration version", func() bool {
+			return placementVersion(t, s, router) >= want
 		})
 	}
 }
 
-// Two operators revise the same record at once, each through another keeper
-// and from the same version. One wins; the other is told of a conflict and is
-// shown the winner; no write is lost or mixed, and the routers obey the winner.
-func TestTwoOperatorsRace(t *testing.T) {
+// Two operators revise the same record at once, each through a different keeper
+// and from the same version. Exactly one must succeed; the other must get a
+// conflict with the winning content. No write may be lost or mixed, and the
+// routers must use the winning version.
+func TestConcurrentRevisionsConflict(t *testing.T) {
 	t.Parallel()
 	s := procs.StartDemo(t, nil)
 	tag, _ := readRouting(t, s.Keepers[0])
@@ -93,7 +94,7 @@
 		replies := make([]*procs.Reply, len(s.Keepers))
 		errs := make([]error, len(s.Keepers))
 		done := make(chan struct{})
-		ctx := bounded(t)
+		ctx := testContext(t)
 		for i, keeper := range s.Keepers {
 			go func() {
 				replies[i], errs[i] = procs.Admin(ctx, keeper, http.MethodPut, routingPath, tag, routingDocument(1000*round+i+1))
@@ -111,7 +112,7 @@
 			switch replies[i].Status {
 			case http.StatusOK:
 				if winner >= 0 {
-					t.Fatalf("round %d: both won", round)
+					t.Fatalf("round %d: both writes succeeded", round)
 				}
 				winner = i
 			case http.StatusPreconditionFailed, http.StatusConflict:
@@ -120,41 +121,42 @@
 			}
 		}
 		if winner < 0 {
-			t.Fatalf("round %d: nobody won", round)
+			t.Fatalf("round %d: no write succeeded", round)
 		}
 		queue := fmt.Sprint(1000*round + winner + 1)
-		if shown := string(replies[1-winner].Body); !strings.Contains(shown, queue) {
-			t.Fatalf("round %d: the conflict doesn't show the winner's %s: %s", round, queue, shown)
+		if body := string(replies[1-winner].Body); !strings.Contains(body, queue) {
+			t.Fatalf("round %d: the conflict does not show the winning queue limit %s: %s", round, queue, body)
 		}
-		// Both know the newest version: a keeper's own copy may be seconds old.
+		// The next round starts from the newest version, since the copy of a
+		// keeper may be seconds old.
 		tag = replies[winner].Header.Get("ETag")
 	}
-	waitInForce(t, s, version(t, tag))
+	waitConfigurationVersion(t, s, version(t, tag))
 }
 
-// The platform takes the write and its reply is lost. The operator must not be
-// told that it failed.
-func TestLostReplyOnARecordIsRecognised(t *testing.T) {
+// Loses the reply of the platform to a record write. The operator must not get
+// an error, since the write succeeded.
+func TestRecordWriteSucceedsWhenReplyIsLost(t *testing.T) {
 	t.Parallel()
 	s := procs.StartDemo(t, nil)
 	for i := range 3 {
 		tag, _ := readRouting(t, s.Keepers[0])
 		setFaults(t, s.Platform, platform.Faults{LoseReplies: 1})
-		reply, err := procs.Admin(bounded(t), s.Keepers[0], http.MethodPut, routingPath, tag, routingDocument(700+i))
+		reply, err := procs.Admin(testContext(t), s.Keepers[0], http.MethodPut, routingPath, tag, routingDocument(700+i))
 		setFaults(t, s.Platform, platform.Faults{})
 		if err != nil || reply.Status != http.StatusOK {
-			t.Fatalf("told: %v %+v", err, reply)
+			t.Fatalf("reply to the write: %v %+v", err, reply)
 		}
-		procs.Until(t, "the write is there", func() bool {
+		procs.Until(t, "the other keeper shows the write", func() bool {
 			_, body := readRouting(t, s.Keepers[1])
 			return strings.Contains(body, fmt.Sprint(700+i))
 		})
 	}
 }
 
-// Every router is replaced, one after the other, while the platform is down.
-// Callers are served throughout, and no router decides under an older
-// configuration than the one that was in force.
+// Replaces every router, one after the other, while the platform is down.
+// Requests must be served throughout, and no router may use an older
+// configuration than the one in force before.
 func TestRouterReplacementWithThePlatformDown(t *testing.T) {
 	t.Parallel()
 	s := procs.StartDemo(t, nil)
@@ -162,39 +164,39 @@
 	for i := range 3 {
 		floor = revise(t, s.Keepers[0], 600+i)
 	}
-	waitInForce(t, s, floor)
+	waitConfigurationVersion(t, s, floor)
 	s.Platform.Kill()
 	for i, old := range s.Routers {
-		fresh, err := s.AddRouter(bounded(t), fmt.Sprintf("router-new-%d", i+1), old.FailureDomain)
+		replacement, err := s.AddRouter(testContext(t), fmt.Sprintf("router-new-%d", i+1), old.FailureDomain)
 		if err != nil {
 			t.Fatal(err)
 		}
-		serves(t, s, fresh)
+		waitServing(t, s, replacement)
 		st := openStream(t, s.Caller(procs.DemoOrganisation), []string{old.Address}, "report", 60)
 		st.waitTokens(1)
 		if err := old.Terminate(); err != nil {
 			t.Fatal(err)
 		}
-		st.whole(t, 60)
+		st.mustComplete(t, 60)
 		<-old.Exited()
-		waitUnnamed(t, s, fresh, old)
-		s.Routers[i] = fresh
+		waitDelisted(t, s, replacement, old)
+		s.Routers[i] = replacement
 		s.Routers = s.Routers[:2]
 		for _, router := range s.Routers {
-			if got := decidedUnder(t, s, router); got < floor {
-				t.Fatalf("%s decides under version %d, %d was in force", router.ID, got, floor)
+			if got := placementVersion(t, s, router); got < floor {
+				t.Fatalf("%s uses configuration version %d, but %d was in force", router.ID, got, floor)
 			}
 		}
 	}
 }
 
-// The same with the keepers down too: a new router learns the records from its
-// peers before it serves.
+// Restarts a router while the platform and the keepers are down. It must get
+// the records from its peers before it serves.
 func TestRouterReplacementWithoutPlatformAndKeepers(t *testing.T) {
 	t.Parallel()
 	s := procs.StartDemo(t, nil)
 	floor := revise(t, s.Keepers[0], 600)
-	waitInForce(t, s, floor)
+	waitConfigurationVersion(t, s, floor)
 	s.Platform.Kill()
 	for _, keeper := range s.Keepers {
 		keeper.Kill()
@@ -204,11 +206,11 @@
 		t.Fatal(err)
 	}
 	<-old.Exited()
-	if err := s.Restart(bounded(t), old); err != nil {
+	if err := s.Restart(testContext(t), old); err != nil {
 		t.Fatal(err)
 	}
-	serves(t, s, old)
-	if got := decidedUnder(t, s, old); got < floor {
-		t.Fatalf("decides under version %d, %d was in force", got, floor)
+	waitServing(t, s, old)
+	if got := placementVersion(t, s, old); got < floor {
+		t.Fatalf("the restarted router uses configuration version %d, but %d was in force", got, floor)
 	}
 }
--- a/test/restore_test.go
+++ b/test/restore_test.go
@@ -13,11 +13,12 @@
 	"github.com/dragonflyrail/dragonflyrail/platform/testfleet"
 )
 
-// runnersInForce lists the runners that a daemon gives work to.
+// runnersInForce returns the ids of the runners that the daemon lists as live,
+// separated by spaces.
 func (f *fleetTest) runnersInForce(d *testfleet.Daemon) string {
 	f.t.Helper()
 	header := http.Header{"Authorization": {"Bearer " + procs.AdminToken}}
-	reply, err := procs.Call(bounded(f.t), http.MethodGet, d.AdminURL()+"/admin/v1/endpoints", header, nil)
+	reply, err := procs.Call(testContext(f.t), http.MethodGet, d.AdminURL()+"/admin/v1/endpoints", header, nil)
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -39,23 +40,24 @@
 	return strings.Join(live, " ")
 }
 
-// The platform's store comes back from a copy: a runner's notice, a runner and a
-// version of the configuration are lost with what was written since. One daemon
-// alone reads the store; another starts between the eras. At all of them the
-// runner that leaves gets nothing, the newer version stays in force and calls
-// are served, and an operator sees the era.
-func TestStoreComesBackFromACopy(t *testing.T) {
+// Restores the store of the platform from a copy, which loses the later writes:
+// the notice of a runner that leaves and a configuration version. Only one
+// daemon watches the store, and another restarts while the store is
+// unavailable. No daemon that kept running may send work to the leaving runner.
+// All must keep the newer version in force, serve requests and report the new
+// era.
+func TestStoreRestoredFromCopy(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, func(l *testfleet.Layout) {
 		l.Settings = map[string]any{"watchers": 1}
 		l.Notice = 20 * time.Second
 	})
-	ctx := bounded(t)
+	ctx := testContext(t)
 	if err := f.CopyStore(ctx); err != nil {
 		t.Fatal(err)
 	}
-	leaver := f.Runners()[0]
-	if err := leaver.Signal(syscall.SIGTERM); err != nil {
+	leaving := f.Runners()[0]
+	if err := leaving.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 	if err := f.Configure(ctx, 7, func(c standin.Fields) {
@@ -70,7 +72,7 @@
 		return f.caller.Ask(ctx, d.Callers, r).Whole(r)
 	}
 	for _, d := range f.Daemons {
-		procs.Until(t, d.ID+" knows of the notice", func() bool { return !strings.Contains(f.runnersInForce(d)+" ", leaver.ID+" ") })
+		procs.Until(t, d.ID+" no longer lists the leaving runner as live", func() bool { return !strings.Contains(f.runnersInForce(d)+" ", leaving.ID+" ") })
 		procs.Until(t, d.ID+" serves the new route", func() bool { return newRoute(d) })
 	}
 	if err := f.SetStoreFaults(ctx, standin.StoreFaults{Busy: true}); err != nil {
@@ -82,23 +84,23 @@
 	if err := f.SetStoreFaults(ctx, standin.StoreFaults{}); err != nil {
 		t.Fatal(err)
 	}
-	late := f.Daemons[2]
-	late.Kill()
-	if err := f.StartDaemon(late); err != nil {
+	restarted := f.Daemons[2]
+	restarted.Kill()
+	if err := f.StartDaemon(restarted); err != nil {
 		t.Fatal(err)
 	}
 	for _, d := range f.Daemons {
-		procs.Until(t, d.ID+" knows of the era", func() bool {
+		procs.Until(t, d.ID+" reports the new era", func() bool {
 			out, err := f.Ctl(ctx, d, "--output", "json", "in-force")
 			return err == nil && strings.Contains(string(out), `"store_era": 1`)
 		})
-		f.serves(d)
+		f.waitServing(d)
 		procs.Until(t, d.ID+" serves the new route", func() bool { return newRoute(d) })
 	}
 	for end := time.Now().Add(time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		for _, d := range f.Daemons {
-			if live := f.runnersInForce(d); d != late && strings.Contains(live+" ", leaver.ID+" ") {
-				t.Fatalf("%s gives work to the runner that leaves: %s", d.ID, live)
+			if live := f.runnersInForce(d); d != restarted && strings.Contains(live+" ", leaving.ID+" ") {
+				t.Fatalf("%s lists the leaving runner as live: %s", d.ID, live)
 			}
 			if !newRoute(d) {
 				t.Fatalf("%s no longer serves the new route", d.ID)
@@ -112,6 +114,6 @@
 		}
 	}
 	if began != len(f.Daemons) {
-		t.Fatal(fmt.Sprint(began, " daemons logged the era's beginning"))
+		t.Fatal(fmt.Sprint(began, " daemons logged the start of the era"))
 	}
 }
--- a/test/stream_test.go
+++ b/test/stream_test.go
@@ -10,9 +10,9 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/testkit/procs"
 )
 
-// The caller's connection breaks in the middle of a report, as its router is
-// killed. It resumes at the other router, which has never seen the request and
-// reads the rest from the engine: no token is lost or doubled.
+// Kills the router of a report. The caller must resume at the other router,
+// which has not handled the request and reads the rest from the engine, without
+// a lost or duplicate token.
 func TestRouterKilledMidStreamIsResumedElsewhere(t *testing.T) {
 	t.Parallel()
 	s := procs.StartDemo(t, nil)
@@ -21,16 +21,16 @@
 	st := openStream(t, s.Caller(procs.DemoOrganisation), addresses, "evening report", tokens)
 	st.waitTokens(20)
 	s.Routers[0].Kill()
-	st.whole(t, tokens)
+	st.mustComplete(t, tokens)
 	if st.answer.Resumes == 0 {
-		t.Fatal("the stream was not cut, so nothing was tried")
+		t.Fatal("the stream was not cut, so resumption was not tested")
 	}
 }
 
-// The engine dies after the caller has tokens. A second generation would give
-// other tokens, so the answer ends with a failure that says so, and never with
-// an end that looks whole.
-func TestEngineKilledMidStreamFailsHonestly(t *testing.T) {
+// Kills the engine after the caller has received tokens. A second generation
+// would produce different tokens, so the answer must end with outcome failed
+// and without a finish reason.
+func TestEngineKilledMidStreamReportsFailure(t *testing.T) {
 	t.Parallel()
 	s := procs.StartDemo(t, nil)
 	const tokens = 400
@@ -38,7 +38,7 @@
 	addresses := []string{s.Routers[0].Address, s.Routers[1].Address}
 	st := openStream(t, s.Caller(procs.DemoOrganisation), addresses, "evening report", tokens)
 	st.waitTokens(20)
-	s.Engines[busyEngine(t, s, before)].Kill()
+	s.Engines[waitEngineWithGeneration(t, s, before)].Kill()
 	<-st.done
 	if st.err != nil || st.answer.Problem == nil || st.answer.FinishReason != "" {
 		t.Fatalf("ended with %v, problem %v, finish %q", st.err, st.answer.Problem, st.answer.FinishReason)
@@ -51,8 +51,8 @@
 	}
 }
 
-// The engine dies while it computes the prompt. The caller has no token yet,
-// so the request moves to another engine, and the caller sees only a wait.
+// Kills the engine while it computes the prompt. The caller has no token yet,
+// so the request must move to another engine, and the caller sees only a delay.
 func TestEngineKilledBeforeTheFirstTokenIsRetriedElsewhere(t *testing.T) {
 	t.Parallel()
 	s := procs.StartDemo(t, func(l *procs.Layout) {
@@ -63,13 +63,13 @@
 	before := allEngineStats(t, s)
 	text := string(make500Tokens())
 	st := openStream(t, s.Caller(procs.DemoOrganisation), []string{s.Routers[0].Address}, text, tokens)
-	s.Engines[busyEngine(t, s, before)].Kill()
+	s.Engines[waitEngineWithGeneration(t, s, before)].Kill()
 	select {
 	case <-st.tokens:
-		t.Fatal("the engine was killed too late to try anything")
+		t.Fatal("the engine was killed after the first token, so the retry was not tested")
 	default:
 	}
-	st.whole(t, tokens)
+	st.mustComplete(t, tokens)
 }
 
 func make500Tokens() []byte {
@@ -80,14 +80,14 @@
 	return text
 }
 
-// pause is longer than the router's patience with a silent link, and shorter
-// than it takes to give an engine up.
+// pause is longer than the time after which a router treats a link as silent,
+// and shorter than the time after which it gives up an engine.
 const pause = 3 * time.Second
 
-// The engine's host pauses in the middle of a report and comes back soon. The
-// caller sees a stall, then the rest. A request of the other router that met
-// the pause is answered too.
-func TestEngineFrozenForAMomentOnlyStalls(t *testing.T) {
+// Pauses the engine of a report briefly. The caller must see a stall and then
+// the rest. A request that the other router received during the pause must be
+// answered too.
+func TestShortEnginePauseOnlyStallsStream(t *testing.T) {
 	t.Parallel()
 	s := procs.StartDemo(t, nil)
 	const tokens = 150
@@ -95,7 +95,7 @@
 	c := s.Caller(procs.DemoOrganisation)
 	st := openStream(t, c, []string{s.Routers[0].Address}, "report", tokens)
 	st.waitTokens(10)
-	victim := s.Engines[busyEngine(t, s, before)]
+	victim := s.Engines[waitEngineWithGeneration(t, s, before)]
 	if err := victim.Freeze(); err != nil {
 		t.Fatal(err)
 	}
@@ -105,36 +105,36 @@
 	if err := victim.Thaw(); err != nil {
 		t.Fatal(err)
 	}
-	st.whole(t, tokens)
-	other.whole(t, 5)
+	st.mustComplete(t, tokens)
+	other.mustComplete(t, 5)
 }
 
-// The engine's host pauses for good. Its report fails honestly, and new
-// requests are answered by the other engines.
-func TestEngineFrozenForGoodFailsHonestly(t *testing.T) {
+// Pauses the engine of a report permanently. The report must end with a
+// problem, and other engines must answer new requests.
+func TestEngineFrozenPermanentlyReportsFailure(t *testing.T) {
 	t.Parallel()
 	s := procs.StartDemo(t, nil)
 	before := allEngineStats(t, s)
 	st := openStream(t, s.Caller(procs.DemoOrganisation), []string{s.Routers[0].Address}, "report", 400)
 	st.waitTokens(10)
-	if err := s.Engines[busyEngine(t, s, before)].Freeze(); err != nil {
+	if err := s.Engines[waitEngineWithGeneration(t, s, before)].Freeze(); err != nil {
 		t.Fatal(err)
 	}
 	for _, router := range s.Routers {
-		serves(t, s, router)
+		waitServing(t, s, router)
 	}
 	<-st.done
 	if st.err != nil || st.answer.Problem == nil || st.answer.FinishReason != "" {
 		t.Fatalf("ended with %v, problem %v, finish %q", st.err, st.answer.Problem, st.answer.FinishReason)
 	}
 	if got := st.answer.Problem.Outcome; got == problem.OutcomeNotRun {
-		t.Fatalf("told %q after %d tokens", got, st.answer.Tokens)
+		t.Fatalf("outcome is %q after %d tokens", got, st.answer.Tokens)
 	}
 }
 
-// The engine's host pauses before it has taken the request. The caller waits
-// for the answer that the router doesn't get, for a probe and for the cancels,
-// then another engine answers; the paused one refuses the run when it wakes.
+// Pauses engines before they accept a request. The router gets no reply and
+// must wait for a probe and the cancels, and then use another engine; the
+// paused engine must refuse the run after the pause.
 func TestEngineFrozenBeforeTheFirstTokenIsRetriedElsewhere(t *testing.T) {
 	t.Parallel()
 	s := procs.StartDemo(t, nil)
@@ -146,12 +146,12 @@
 	const tokens = 5
 	for i := range 4 {
 		c := s.Caller(procs.DemoOrganisation)
-		openStream(t, c, []string{s.Routers[i%len(s.Routers)].Address}, fmt.Sprint("query ", i), tokens).whole(t, tokens)
+		openStream(t, c, []string{s.Routers[i%len(s.Routers)].Address}, fmt.Sprint("query ", i), tokens).mustComplete(t, tokens)
 	}
 	for _, e := range s.Engines[1:] {
 		if err := e.Thaw(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	batch(t, s, "after the pause")
+	sendBatch(t, s, "after the pause")
 }
