--- a/internal/tools/policybench/aims.go
+++ b/internal/tools/policybench/aims.go
@@ -14,13 +14,14 @@
 	return nil
 }
 
-// judge states the aims at 0.9 load and the figures, met or not.
-func (r *report) judge() {
+// addComparisons adds a comparison of least outstanding, the scheduler and the
+// oracle at 0.9 load to the report.
+func (r *report) addComparisons() {
 	for _, w := range []string{"kegsetu", "bayanihan"} {
-		least := r.find(w, usual, "least outstanding")
-		ours := r.find(w, usual, "ours, "+w)
-		holds := r.find(w, usual, "oracle, holds")
-		if least == nil || ours == nil || holds == nil {
+		leastRow := r.find(w, referenceScenario, "least outstanding")
+		schedulerRow := r.find(w, referenceScenario, "ours, "+w)
+		oracleRow := r.find(w, referenceScenario, "oracle, holds")
+		if leastRow == nil || schedulerRow == nil || oracleRow == nil {
 			continue
 		}
 		measured := []string{stallTime, preemptions}
@@ -28,72 +29,75 @@
 			measured = append(measured, gapP99)
 		}
 		for _, m := range measured {
-			a, b, c := least.Mean[m], ours.Mean[m], holds.Mean[m]
+			a, b, c := leastRow.Mean[m], schedulerRow.Mean[m], oracleRow.Mean[m]
 			r.Aims = append(r.Aims, fmt.Sprintf("%s %s: least outstanding %.2f, ours %.2f (%.2f of it), oracle %.2f; %.2f of the way",
 				w, m, a, b, b/a, c, (a-b)/(a-c)))
 		}
-		for _, m := range []string{goodput, goodputLong, firstShortP95, firstLongP95} {
+		for _, m := range []string{goodput, goodputReport, firstShortP95, firstReportP95} {
 			r.Aims = append(r.Aims, fmt.Sprintf("%s %s: least outstanding %.2f, ours %.2f, oracle %.2f",
-				w, m, least.Mean[m], ours.Mean[m], holds.Mean[m]))
+				w, m, leastRow.Mean[m], schedulerRow.Mean[m], oracleRow.Mean[m]))
 		}
 	}
 }
 
-// judgeFlood compares each other organisation's 95th percentiles under the
-// flood with those of the same seeds without it.
-func (r *report) judgeFlood() {
+// addFloodComparisons adds the ratio of each other organisation's 95th
+// percentile latencies with the flood to those of the same seeds without it.
+func (r *report) addFloodComparisons() {
 	for _, l := range r.Rows {
-		calm := r.find(l.Workload, calmScenario, l.Policy)
-		if l.Scenario != floodScenario || calm == nil {
+		unflooded := r.find(l.Workload, unfloodedScenario, l.Policy)
+		if l.Scenario != floodScenario || unflooded == nil {
 			continue
 		}
-		first := ratios(l, calm, func(x *result, o int) []float64 { return x.first[o] })
-		whole := ratios(l, calm, func(x *result, o int) []float64 { return x.whole[o] })
+		first := ratios(l, unflooded, func(x *result, o int) []float64 { return x.firstToken[o] })
+		completion := ratios(l, unflooded, func(x *result, o int) []float64 { return x.completion[o] })
 		r.Aims = append(r.Aims, fmt.Sprintf("%s flood, %s: others' p95 first token x%.2f at worst, x%.2f in the middle; whole answer x%.2f, x%.2f",
-			l.Workload, l.Policy, first[len(first)-1], first[len(first)/2], whole[len(whole)-1], whole[len(whole)/2]))
-		r.causes(l, calm)
+			l.Workload, l.Policy, first[len(first)-1], first[len(first)/2], completion[len(completion)-1], completion[len(completion)/2]))
+		r.addFloodBreakdown(l, unflooded)
 	}
 }
 
-// causes tells which part of the others' first token a flood stretches.
-func (r *report) causes(flooded, calm *row) {
+// addFloodBreakdown adds how much of the other organisations' time to the first
+// token is spent before placement and how much at the engine, with and without
+// the flood.
+func (r *report) addFloodBreakdown(flooded, unflooded *row) {
 	kinds := []string{"short", "report"}
 	for kind, name := range kinds {
-		held := func(x *result, _ int) []float64 { return x.held[kind] }
-		engine := func(x *result, _ int) []float64 { return x.engine[kind] }
+		held := func(x *result, _ int) []float64 { return x.beforePlacement[kind] }
+		engine := func(x *result, _ int) []float64 { return x.atEngine[kind] }
 		r.Aims = append(r.Aims, fmt.Sprintf("%s flood, %s: others' %s p95, calm to flooded: held %.2f to %.2f s, at the engine %.2f to %.2f s, refused first %.2f to %.2f %%; the flooder's whole answers %d to %d",
 			flooded.Workload, flooded.Policy, name,
-			pooled(calm, 0, held), pooled(flooded, 0, held), pooled(calm, 0, engine), pooled(flooded, 0, engine),
-			100*calm.part(kind), 100*flooded.part(kind), calm.flooder(kind), flooded.flooder(kind)))
+			pooled(unflooded, 0, held), pooled(flooded, 0, held), pooled(unflooded, 0, engine), pooled(flooded, 0, engine),
+			100*unflooded.refusedFraction(kind), 100*flooded.refusedFraction(kind), unflooded.floodingCompleted(kind), flooded.floodingCompleted(kind)))
 	}
 }
 
-// part is the others' requests of a kind that were refused first.
-func (l *row) part(kind int) float64 {
+// refusedFraction returns the fraction of the other organisations' requests of
+// a kind that were refused at least once before they were placed.
+func (l *row) refusedFraction(kind int) float64 {
 	refused, all := 0.0, 0
 	for _, x := range l.results {
-		for _, b := range x.back[kind] {
+		for _, b := range x.wasRefused[kind] {
 			refused += b
 		}
-		all += len(x.back[kind])
+		all += len(x.wasRefused[kind])
 	}
 	return refused / float64(max(1, all))
 }
 
-// flooder is how many of the flooding organisation's answers became whole.
-func (l *row) flooder(kind int) int {
+// floodingCompleted counts the complete answers of the flooding organisation.
+func (l *row) floodingCompleted(kind int) int {
 	n := 0
 	for _, x := range l.results {
-		n += x.flooder[kind]
+		n += x.floodingCompleted[kind]
 	}
 	return n
 }
 
-func ratios(flooded, calm *row, values func(*result, int) []float64) []float64 {
+func ratios(flooded, unflooded *row, values func(*result, int) []float64) []float64 {
 	var out []float64
-	for o := range organisationParts {
-		if o != floodingOne {
-			out = append(out, pooled(flooded, o, values)/pooled(calm, o, values))
+	for o := range organisationFractions {
+		if o != floodingOrganisation {
+			out = append(out, pooled(flooded, o, values)/pooled(unflooded, o, values))
 		}
 	}
 	slices.Sort(out)
--- a/internal/tools/policybench/main.go
+++ b/internal/tools/policybench/main.go
@@ -1,6 +1,6 @@
 // Command policybench measures routing policies against the engine model and
-// prints one table for all of them from one run. It calls the decision code
-// directly and steps engines on a clock of its own; see docs/design/routing.md.
+// prints all results of a run in one table. It calls the decision code directly
+// and steps the engines on a simulated clock; see docs/design/routing.md.
 package main
 
 import (
@@ -16,11 +16,11 @@
 	"github.com/jessevdk/go-flags"
 )
 
-// options of the command line.
+// options holds the command-line options.
 type options struct {
-	Seeds    int           `long:"seeds" default:"5" description:"runs of each policy, each with other arrivals"`
+	Seeds    int           `long:"seeds" default:"5" description:"runs of each policy, each with different arrivals"`
 	Length   time.Duration `long:"length" default:"240s" description:"simulated time of arrivals"`
-	Workers  int           `long:"workers" default:"4" description:"runs at once"`
+	Workers  int           `long:"workers" default:"4" description:"concurrent runs"`
 	Short    bool          `long:"short" description:"two seeds at 0.9 load only"`
 	Workload string        `long:"workload" description:"only this workload"`
 	Scenario string        `long:"scenario" description:"only these scenarios, by name"`
@@ -40,32 +40,33 @@
 	}
 }
 
-const usualLag = 200 * time.Millisecond
+const defaultReportLag = 200 * time.Millisecond
 
-// usual is the scenario that the aims are stated for.
-const usual = "load 0.9"
+// referenceScenario is the scenario in which the policies are compared.
+const referenceScenario = "load 0.9"
 
-// The flood is compared with the same load without it.
+// The flood scenario is compared with the scenario of the same base load.
 const (
-	calmScenario  = "load 0.7"
-	floodScenario = "flood"
+	unfloodedScenario = "load 0.7"
+	floodScenario     = "flood"
 )
 
 func scenarios() []scenario {
 	return []scenario{
-		{name: calmScenario, load: 0.7, lag: usualLag},
-		{name: usual, load: 0.9, lag: usualLag},
-		{name: "load 1.0", load: 1.0, lag: usualLag},
-		{name: "load 1.2", load: 1.2, lag: usualLag},
+		{name: unfloodedScenario, load: 0.7, lag: defaultReportLag},
+		{name: referenceScenario, load: 0.9, lag: defaultReportLag},
+		{name: "load 1.0", load: 1.0, lag: defaultReportLag},
+		{name: "load 1.2", load: 1.2, lag: defaultReportLag},
 		{name: "lag 0", load: 0.9},
 		{name: "lag 1000 ms", load: 0.9, lag: time.Second},
-		{name: "one slowed", load: 0.9, lag: usualLag, slow: true},
-		{name: "one reclaimed", load: 0.9, lag: usualLag, reclaim: true},
-		{name: floodScenario, load: 0.7, lag: usualLag, flood: true},
+		{name: "one slowed", load: 0.9, lag: defaultReportLag, slow: true},
+		{name: "one reclaimed", load: 0.9, lag: defaultReportLag, reclaim: true},
+		{name: floodScenario, load: 0.7, lag: defaultReportLag, flood: true},
 	}
 }
 
-// row is one line of the table: a measure's mean and deviation over seeds.
+// row is one line of the table: the mean and the standard deviation of each
+// measure over the seeds.
 type row struct {
 	Workload string             `json:"workload"`
 	Scenario string             `json:"scenario"`
@@ -75,7 +76,7 @@
 	results  []*result
 }
 
-// report is the JSON that the command writes.
+// report is the content of the JSON file.
 type report struct {
 	Seeds    int                `json:"seeds"`
 	Length   float64            `json:"length_s"`
@@ -88,7 +89,7 @@
 	if o.Short {
 		o.Seeds = min(o.Seeds, 2)
 		if o.Scenario == "" {
-			o.Scenario = usual
+			o.Scenario = referenceScenario
 		}
 	}
 	out := &report{Seeds: o.Seeds, Length: o.Length.Seconds(), Capacity: map[string]float64{}}
@@ -155,7 +156,7 @@
 	}
 }
 
-// rounded keeps the figures readable in the written file.
+// rounded rounds to three decimals to keep the JSON file readable.
 func rounded(x float64) float64 { return math.Round(x*1000) / 1000 }
 
 func meanAndDeviation(xs []float64) (mean, deviation float64) {
@@ -189,8 +190,8 @@
 		fmt.Println()
 	}
 	fmt.Println()
-	r.judge()
-	r.judgeFlood()
+	r.addComparisons()
+	r.addFloodComparisons()
 	for _, aim := range r.Aims {
 		fmt.Println(aim)
 	}
--- a/internal/tools/policybench/plot.go
+++ b/internal/tools/policybench/plot.go
@@ -14,10 +14,10 @@
 	panelMargin = 50
 )
 
-// plotted are the measures of the plot, one column of panels each.
+// plotted lists the measures of the plot, one column of panels each.
 var plotted = []string{stallTime, preemptions, gapP99, firstShortP95, goodput}
 
-// colours of the policies, in the order of policies.
+// colours lists the colours of the policies, in the order of policies().
 var colours = []string{"#bbbbbb", "#888888", "#d62728", "#ff7f0e", "#1f77b4", "#17becf", "#9467bd", "#98df8a", "#2ca02c"}
 
 type panel struct {
@@ -57,7 +57,8 @@
 {{end}}</svg>
 `))
 
-// writePlot draws each measure over the load, a row of panels a workload.
+// writePlot draws each measure against the load, with a row of panels for each
+// workload.
 func (r *report) writePlot(w io.Writer) error {
 	p := plot{Width: len(plotted)*panelWidth + panelMargin}
 	for i, known := range policies() {
--- a/internal/tools/policybench/policies.go
+++ b/internal/tools/policybench/policies.go
@@ -10,7 +10,7 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// policy makes the routers' schedulers for one run.
+// policy is a named constructor of the routers' schedulers for one run.
 type policy struct {
 	name string
 	make func(w *workload, s *sim, seed uint64) []port.Scheduler
@@ -18,13 +18,13 @@
 
 func policies() []policy {
 	return []policy{
-		{"random", plain(func(b *baseline) int { return b.random.IntN(len(b.live)) })},
-		{"round robin", plain(roundRobin)},
-		{"least outstanding", plain(leastOutstanding)},
-		{"two choices", plain(twoChoices)},
-		{"ours, kegsetu", ours(kegsetuWeights(), ranked)},
-		{"ours, bayanihan", ours(bayanihanWeights(), ranked)},
-		{"ours, no ranks", ours(kegsetuWeights(), unranked)},
+		{"random", baselineScheduler(func(b *baseline) int { return b.random.IntN(len(b.live)) })},
+		{"round robin", baselineScheduler(roundRobin)},
+		{"least outstanding", baselineScheduler(leastOutstanding)},
+		{"two choices", baselineScheduler(twoChoices)},
+		{"ours, kegsetu", routingScheduler(kegsetuWeights(), ranked)},
+		{"ours, bayanihan", routingScheduler(bayanihanWeights(), ranked)},
+		{"ours, no ranks", routingScheduler(kegsetuWeights(), unranked)},
 		{"oracle, places", oracle(false)},
 		{"oracle, holds", oracle(true)},
 		{floorPolicy, oracle(false)},
@@ -32,7 +32,8 @@
 }
 
 // floorPolicy runs on engines whose cache never fills and which compute one
-// prompt a step: what remains of the gap's tail is one prompt's prefill.
+// prompt per step, so the tail of the gap between tokens is the prefill time of
+// a single prompt. It is a lower bound for the other policies.
 const floorPolicy = "floor of the gap"
 
 func (w workload) withoutLimits() workload {
@@ -43,7 +44,7 @@
 	return w
 }
 
-// kegsetuWeights weigh stall time and preemptions.
+// kegsetuWeights returns weights that favour few stalls and preemptions.
 func kegsetuWeights() port.Weights {
 	return port.Weights{
 		Overflow: 4, Gap: 0.5, Prefill: 0.5, Prefix: 0.5,
@@ -51,7 +52,8 @@
 	}
 }
 
-// bayanihanWeights weigh the tail of the gap between tokens.
+// bayanihanWeights returns weights that favour a short tail of the gap between
+// tokens.
 func bayanihanWeights() port.Weights {
 	return port.Weights{
 		Overflow: 2, Gap: 2, Prefill: 2, Prefix: 1,
@@ -59,21 +61,21 @@
 	}
 }
 
-type place struct{ rank, routers int }
+type routerPosition struct{ rank, routers int }
 
-func (p place) LiveRouters() int       { return p.routers }
-func (p place) RouterRank() (int, int) { return p.rank, p.routers }
+func (p routerPosition) LiveRouters() int       { return p.routers }
+func (p routerPosition) RouterRank() (int, int) { return p.rank, p.routers }
 
-func ranked(rank, routers int) port.RouterCounter { return place{rank, routers} }
+func ranked(rank, routers int) port.RouterCounter { return routerPosition{rank, routers} }
 
-// unranked routers know how many they are, but not their own place.
-func unranked(_, routers int) port.RouterCounter { return count(routers) }
+// unranked returns a counter that reports the number of routers but no rank.
+func unranked(_, routers int) port.RouterCounter { return routerCount(routers) }
 
-type count int
+type routerCount int
 
-func (c count) LiveRouters() int { return int(c) }
+func (c routerCount) LiveRouters() int { return int(c) }
 
-func ours(weights port.Weights, counter func(rank, routers int) port.RouterCounter) func(*workload, *sim, uint64) []port.Scheduler {
+func routingScheduler(weights port.Weights, counter func(rank, routers int) port.RouterCounter) func(*workload, *sim, uint64) []port.Scheduler {
 	return func(w *workload, _ *sim, seed uint64) []port.Scheduler {
 		out := make([]port.Scheduler, w.routers)
 		for i := range out {
@@ -83,8 +85,8 @@
 				Random:   rand.New(rand.NewPCG(seed, uint64(100+i))),
 			})
 			p := port.Policy{Weights: map[string]port.Weights{"": weights}, Organisations: map[string]port.OrganisationLimits{}}
-			for o, part := range organisationParts {
-				p.Organisations[organisationName(o)] = port.OrganisationLimits{Share: part}
+			for o, fraction := range organisationFractions {
+				p.Organisations[organisationName(o)] = port.OrganisationLimits{Share: fraction}
 			}
 			s.SetPolicy(p)
 			out[i] = s
@@ -93,12 +95,12 @@
 	}
 }
 
-// unreadLimit bounds the unread prompt tokens at a runner, as the daemon that
-// schedules a pool alone does.
+// unreadLimit bounds the prompt tokens at a runner that are not yet prefilled.
+// It is the limit of a daemon that is the only scheduler of its pool.
 const unreadLimit = 4096
 
-// alone is one scheduler for the whole pool.
-func alone(unread int) func(*workload, *sim, uint64) []port.Scheduler {
+// singleScheduler returns a constructor of one scheduler for the whole pool.
+func singleScheduler(unread int) func(*workload, *sim, uint64) []port.Scheduler {
 	return func(_ *workload, _ *sim, seed uint64) []port.Scheduler {
 		return []port.Scheduler{routing.NewScheduler(routing.Options{
 			RouterID: "router-0", BusyUse: 1, UnreadLimit: unread, Random: rand.New(rand.NewPCG(seed, 100)),
@@ -106,7 +108,8 @@
 	}
 }
 
-// baseline is a plain placement at one router: it never holds or refuses.
+// baseline is the scheduler of one router with a simple placement rule. It
+// never holds or refuses a request.
 type baseline struct {
 	choose      func(*baseline) int
 	random      *rand.Rand
@@ -117,7 +120,7 @@
 	reported    map[string]int
 }
 
-func plain(choose func(*baseline) int) func(*workload, *sim, uint64) []port.Scheduler {
+func baselineScheduler(choose func(*baseline) int) func(*workload, *sim, uint64) []port.Scheduler {
 	return func(w *workload, _ *sim, seed uint64) []port.Scheduler {
 		out := make([]port.Scheduler, w.routers)
 		for i := range out {
@@ -136,8 +139,8 @@
 	return b.next % len(b.live)
 }
 
-// leastOutstanding takes the runner with the fewest of this router's own
-// open requests, as proxies do.
+// leastOutstanding chooses the runner with the fewest open requests of this
+// router, as common proxies do. Ties are broken at random.
 func leastOutstanding(b *baseline) int {
 	best, ties := 0, 0
 	for i, e := range b.live {
@@ -154,8 +157,8 @@
 	return best
 }
 
-// twoChoices takes the better of two random runners by reported load and
-// own dispatches since.
+// twoChoices chooses the less loaded of two random runners. The load is the
+// last reported one plus this router's dispatches since that report.
 func twoChoices(b *baseline) int {
 	x, y := b.random.IntN(len(b.live)), b.random.IntN(len(b.live))
 	if b.reported[b.live[x].ID] <= b.reported[b.live[y].ID] {
@@ -191,10 +194,11 @@
 func (b *baseline) SetPolicy(port.Policy)           {}
 func (b *baseline) Tick(time.Time)                  {}
 
-// knowing is the oracle: it sees every engine as it is and every length. It
-// places where the true peak is lowest, and where holds is set keeps back
-// what would overflow.
-type knowing struct {
+// oracleScheduler has the current state of every engine and the output length
+// of every request. It prefers runners with a low future peak of cache use and
+// few waiting prompt tokens. If holds is set, it holds requests that would
+// overflow the cache.
+type oracleScheduler struct {
 	sim     *sim
 	holds   bool
 	running [][]*call
@@ -206,7 +210,7 @@
 
 func oracle(holds bool) func(*workload, *sim, uint64) []port.Scheduler {
 	return func(w *workload, s *sim, _ uint64) []port.Scheduler {
-		k := &knowing{
+		k := &oracleScheduler{
 			sim: s, holds: holds, running: make([][]*call, w.runners),
 			ready: map[string]chan struct{}{}, chosen: map[string]int{}, live: make([]bool, w.runners),
 		}
@@ -218,23 +222,25 @@
 	}
 }
 
-// oracleRoom is the part of the cache that the oracle fills: blocks round up.
-const oracleRoom = 0.97
+// oracleCacheLimit is the fraction of the cache that the oracle fills. It is
+// below 1 because the cache use of a request is rounded up to whole blocks.
+const oracleCacheLimit = 0.97
 
-// peak is the highest cache use to come on a runner with one more call.
-func (k *knowing) peak(runner int, extra *call) float64 {
+// peak returns the highest future cache use, in tokens, of a runner with one
+// more call.
+func (k *oracleScheduler) peak(runner int, extra *call) float64 {
 	calls := append(slices.Clone(k.running[runner]), extra)
 	slices.SortFunc(calls, func(a, b *call) int { return (b.output - b.tokens) - (a.output - a.tokens) })
 	top, context := 0, 0
 	for alive, c := range calls {
-		// All with more left than c are alive with it when it ends.
+		// Every call with more remaining tokens is still running when c ends.
 		context += c.prompt + c.tokens
 		top = max(top, context+(alive+1)*(c.output-c.tokens))
 	}
 	return float64(top)
 }
 
-func (k *knowing) choose(c *call) (int, bool) {
+func (k *oracleScheduler) choose(c *call) (int, bool) {
 	best, bestScore, fits := -1, 0.0, false
 	capacity := float64(k.sim.w.engine.BlocksTotal * k.sim.w.engine.BlockTokens)
 	for i := range k.running {
@@ -243,7 +249,7 @@
 		}
 		load := k.sim.engines[i].model.Load()
 		peak := k.peak(i, c) / capacity
-		ok := peak <= oracleRoom && load.Waiting == 0
+		ok := peak <= oracleCacheLimit && load.Waiting == 0
 		score := peak + float64(load.WaitingPromptTokens)/2048
 		if best < 0 || (ok && !fits) || (ok == fits && score < bestScore) {
 			best, bestScore, fits = i, score, ok
@@ -252,7 +258,7 @@
 	return best, fits
 }
 
-func (k *knowing) Submit(_ time.Time, r *port.GenerationRequest) port.Decision {
+func (k *oracleScheduler) Submit(_ time.Time, r *port.GenerationRequest) port.Decision {
 	c := k.sim.calls[r.RequestID]
 	if runner, chosen := k.chosen[r.RequestID]; chosen {
 		delete(k.chosen, r.RequestID)
@@ -269,11 +275,11 @@
 	return port.Decision{Verdict: port.VerdictHold}
 }
 
-func (k *knowing) place(runner int) port.Decision {
+func (k *oracleScheduler) place(runner int) port.Decision {
 	return port.Decision{Verdict: port.VerdictPlace, Endpoint: port.Endpoint{ID: runnerName(runner)}}
 }
 
-func (k *knowing) Finished(now time.Time, id string, _ int, _ port.FinishKind) {
+func (k *oracleScheduler) Finished(now time.Time, id string, _ int, _ port.FinishKind) {
 	c := k.sim.calls[id]
 	for i := range k.running {
 		k.running[i] = slices.DeleteFunc(k.running[i], func(other *call) bool { return other == c })
@@ -281,29 +287,29 @@
 	k.Tick(now)
 }
 
-func (k *knowing) Tick(time.Time) {
-	still := k.waiting[:0]
+func (k *oracleScheduler) Tick(time.Time) {
+	remaining := k.waiting[:0]
 	for _, c := range k.waiting {
 		runner, fits := k.choose(c)
 		if !fits {
-			still = append(still, c)
+			remaining = append(remaining, c)
 			continue
 		}
 		k.running[runner] = append(k.running[runner], c)
 		k.chosen[c.id] = runner
 		close(k.ready[c.id])
 	}
-	k.waiting = still
+	k.waiting = remaining
 }
 
-func (k *knowing) SetEndpoints(_ time.Time, es []port.Endpoint) {
+func (k *oracleScheduler) SetEndpoints(_ time.Time, es []port.Endpoint) {
 	for i := range es {
 		k.live[i] = es[i].State == port.EndpointLive
 	}
 }
 
-func (k *knowing) Ready(id string) <-chan struct{}    { return k.ready[id] }
-func (k *knowing) Withdraw(time.Time, string)         {}
-func (k *knowing) Progress(time.Time, string, int)    {}
-func (k *knowing) Report(time.Time, *port.LoadReport) {}
-func (k *knowing) SetPolicy(port.Policy)              {}
+func (k *oracleScheduler) Ready(id string) <-chan struct{}    { return k.ready[id] }
+func (k *oracleScheduler) Withdraw(time.Time, string)         {}
+func (k *oracleScheduler) Progress(time.Time, string, int)    {}
+func (k *oracleScheduler) Report(time.Time, *port.LoadReport) {}
+func (k *oracleScheduler) SetPolicy(port.Policy)              {}
--- a/internal/tools/policybench/result.go
+++ b/internal/tools/policybench/result.go
@@ -7,63 +7,66 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// result is what one run measured.
+// result holds the measurements of one run.
 type result struct {
-	gaps         *hdrhistogram.Histogram
-	placed       map[int]int
-	refusedFirst [2]int
+	gaps       *hdrhistogram.Histogram
+	placements map[int]int
+	refusals   [2]int
 
 	Values map[string]float64
-	// first and whole are latencies by organisation in seconds.
-	first [10][]float64
-	whole [10][]float64
-	// held and engine are the parts of first, before and after the placing,
-	// by kind, of all but the flooding organisation.
-	held   [2][]float64
-	engine [2][]float64
-	// back is one for each of them that was refused first, else zero.
-	back [2][]float64
-	// flooder counts the flooding organisation's whole answers, by kind.
-	flooder [2]int
+	// firstToken and completion are latencies in seconds, by organisation.
+	firstToken [10][]float64
+	completion [10][]float64
+	// beforePlacement and atEngine are the parts of the time to the first token
+	// before and after placement in seconds, by kind, for all organisations but
+	// the flooding one.
+	beforePlacement [2][]float64
+	atEngine        [2][]float64
+	// wasRefused is 1 for each of these requests that was refused at least once,
+	// otherwise 0.
+	wasRefused [2][]float64
+	// floodingCompleted counts the flooding organisation's complete answers, by
+	// kind.
+	floodingCompleted [2]int
 }
 
-// Names of the measures, in the table's order.
+// Names of the measures, in the order of the table.
 const (
-	stallTime     = "stall_s"
-	preemptions   = "preemptions"
-	gapP50        = "gap_p50_ms"
-	gapP95        = "gap_p95_ms"
-	gapP99        = "gap_p99_ms"
-	firstP95      = "first_p95_s"
-	firstShortP95 = "first_short_p95_s"
-	firstLongP95  = "first_report_p95_s"
-	goodput       = "goodput_pct"
-	goodputLong   = "goodput_report_pct"
-	refusals      = "refused_pct"
-	returnServed  = "returned_served_pct"
-	worstShare    = "worst_org_pct"
-	spread        = "placement_cv"
+	stallTime      = "stall_s"
+	preemptions    = "preemptions"
+	gapP50         = "gap_p50_ms"
+	gapP95         = "gap_p95_ms"
+	gapP99         = "gap_p99_ms"
+	firstP95       = "first_p95_s"
+	firstShortP95  = "first_short_p95_s"
+	firstReportP95 = "first_report_p95_s"
+	goodput        = "goodput_pct"
+	goodputReport  = "goodput_report_pct"
+	refusals       = "refused_pct"
+	retryServed    = "returned_served_pct"
+	worstShare     = "worst_org_pct"
+	spread         = "placement_cv"
 )
 
 var measures = []string{
-	stallTime, preemptions, gapP50, gapP95, gapP99, firstP95, firstShortP95, firstLongP95, goodput, goodputLong, refusals, returnServed, worstShare, spread,
+	stallTime, preemptions, gapP50, gapP95, gapP99, firstP95, firstShortP95, firstReportP95, goodput, goodputReport, refusals, retryServed, worstShare, spread,
 }
 
 func newResult() *result {
 	return &result{
-		gaps:   hdrhistogram.New(1, (10 * time.Minute).Microseconds(), 3),
-		placed: make(map[int]int),
-		Values: make(map[string]float64),
+		gaps:       hdrhistogram.New(1, (10 * time.Minute).Microseconds(), 3),
+		placements: make(map[int]int),
+		Values:     make(map[string]float64),
 	}
 }
 
-func (r *result) gap(d time.Duration) { _ = r.gaps.RecordValue(d.Microseconds()) }
+func (r *result) recordGap(d time.Duration) { _ = r.gaps.RecordValue(d.Microseconds()) }
 
 func (r *result) collect(s *sim) {
 	var first []float64
 	var firstOf [2][]float64
 	var good, offered [10]float64
-	refused, returned, served := 0.0, 0.0, 0.0
+	refused, retried, served := 0.0, 0.0, 0.0
 	reports, goodReports := 0.0, 0.0
 	stall := time.Duration(0)
 	for _, c := range s.all {
@@ -72,11 +75,11 @@
 			reports++
 		}
 		stall += c.stall
-		if c.refused > 0 && !c.served {
+		if c.refused > 0 && !c.dispatched {
 			refused++
 		}
-		if c.returned {
-			returned++
+		if c.retried {
+			retried++
 			if c.refused <= 1 {
 				served++
 			}
@@ -86,16 +89,16 @@
 		}
 		f := (c.first - c.arrived).Seconds()
 		first = append(first, f)
-		if c.arrived > s.faultFrom {
-			r.first[c.organisation] = append(r.first[c.organisation], f)
-			r.split(c)
+		if c.arrived > s.floodStart {
+			r.firstToken[c.organisation] = append(r.firstToken[c.organisation], f)
+			r.recordFirstTokenParts(c)
 		}
 		firstOf[c.kind] = append(firstOf[c.kind], f)
 		if c.finished == 0 {
 			continue
 		}
-		if c.arrived > s.faultFrom {
-			r.whole[c.organisation] = append(r.whole[c.organisation], (c.finished - c.arrived).Seconds())
+		if c.arrived > s.floodStart {
+			r.completion[c.organisation] = append(r.completion[c.organisation], (c.finished - c.arrived).Seconds())
 		}
 		if s.withinTargets(c) {
 			good[c.organisation]++
@@ -120,44 +123,47 @@
 	}
 	v[firstP95] = quantile(first, 0.95)
 	v[firstShortP95] = quantile(firstOf[shortKind], 0.95)
-	v[firstLongP95] = quantile(firstOf[reportKind], 0.95)
+	v[firstReportP95] = quantile(firstOf[reportKind], 0.95)
 	v[goodput] = 100 * allGood / total
-	v[goodputLong] = 100 * goodReports / reports
+	v[goodputReport] = 100 * goodReports / reports
 	v[refusals] = 100 * refused / total
-	v[returnServed] = 100
-	if returned > 0 {
-		v[returnServed] = 100 * served / returned
+	v[retryServed] = 100
+	if retried > 0 {
+		v[retryServed] = 100 * served / retried
 	}
 	v[worstShare] = 100 * worst
 	v[spread] = r.placementSpread(len(s.engines))
 	r.gaps = nil
 }
 
-// split notes where a first token's time went.
-func (r *result) split(c *call) {
-	if c.organisation == floodingOne {
+// recordFirstTokenParts records the call's time to the first token before and
+// after placement. For the flooding organisation it only counts complete
+// answers.
+func (r *result) recordFirstTokenParts(c *call) {
+	if c.organisation == floodingOrganisation {
 		if c.finished != 0 {
-			r.flooder[c.kind]++
+			r.floodingCompleted[c.kind]++
 		}
 		return
 	}
-	r.held[c.kind] = append(r.held[c.kind], (c.placed - c.arrived).Seconds())
-	r.back[c.kind] = append(r.back[c.kind], float64(min(1, c.refused)))
-	r.engine[c.kind] = append(r.engine[c.kind], (c.first - c.placed).Seconds())
+	r.beforePlacement[c.kind] = append(r.beforePlacement[c.kind], (c.placed - c.arrived).Seconds())
+	r.wasRefused[c.kind] = append(r.wasRefused[c.kind], float64(min(1, c.refused)))
+	r.atEngine[c.kind] = append(r.atEngine[c.kind], (c.first - c.placed).Seconds())
 }
 
 func (s *sim) withinTargets(c *call) bool {
 	k := &s.w.kinds[c.kind]
-	if c.finished == 0 || c.first-c.arrived > k.firstToken {
+	if c.finished == 0 || c.first-c.arrived > k.firstTokenTarget {
 		return false
 	}
-	return c.finished-c.arrived <= k.wholeBase+time.Duration(c.output)*wholePerToken
+	return c.finished-c.arrived <= k.completionBase+time.Duration(c.output)*completionPerToken
 }
 
-// placementSpread is the coefficient of variation of placements by runner.
+// placementSpread returns the coefficient of variation of the number of
+// placements per runner.
 func (r *result) placementSpread(runners int) float64 {
 	counts := make([]float64, runners)
-	for i, n := range r.placed {
+	for i, n := range r.placements {
 		counts[i] = float64(n)
 	}
 	m, d := meanAndDeviation(counts)
--- a/internal/tools/policybench/sim.go
+++ b/internal/tools/policybench/sim.go
@@ -10,10 +10,11 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/standin/enginemodel"
 )
 
-// epoch is the time zero of every run.
+// epoch is the wall-clock time at the start of every run.
 var epoch = time.Unix(1_700_000_000, 0)
 
-// scenario is one column of conditions.
+// scenario describes the load, the delay of load reports and the faults of a
+// run.
 type scenario struct {
 	name    string
 	load    float64
@@ -21,31 +22,31 @@
 	slow    bool
 	reclaim bool
 	flood   bool
-	// waves: a part of the runners is replaced every few seconds.
+	// waves replaces some of the runners every few seconds.
 	waves bool
 }
 
-// Times of the stepping.
+// Parameters of the simulation.
 const (
 	reportEvery   = 250 * time.Millisecond
 	tickEvery     = 100 * time.Millisecond
 	progressEvery = 8
-	// drainTime is how long a run goes on after the last arrival.
+	// drainTime is how long a run continues after the end of the arrivals.
 	drainTime = 180 * time.Second
-	// stallAbove is the gap from which on a caller sees a stall; only the
-	// time beyond it counts.
-	stallAbove    = 250 * time.Millisecond
-	slowedFactor  = 3
-	reclaimNotice = 5 * time.Second
-	hostListLag   = 2 * time.Second
-	maxReturns    = 1
-	floodFactor   = 10
-	// waveEvery is the time between two waves of reclaims, in each of which one
-	// runner in wavePart leaves on waveNotice, and another joins.
-	waveEvery   = 3300 * time.Millisecond
-	wavePart    = 7
-	waveNotice  = 1800 * time.Millisecond
-	floodingOne = 3
+	// stallThreshold is the gap between tokens above which a caller sees a
+	// stall. Only the time above it counts as stall time.
+	stallThreshold = 250 * time.Millisecond
+	slowedFactor   = 3
+	reclaimNotice  = 5 * time.Second
+	hostListLag    = 2 * time.Second
+	maxRetries     = 1
+	floodFactor    = 10
+	// waveEvery is the time between two waves of reclaims. In each wave, one
+	// runner in waveDivisor is reclaimed after waveNotice and replaced.
+	waveEvery            = 3300 * time.Millisecond
+	waveDivisor          = 7
+	waveNotice           = 1800 * time.Millisecond
+	floodingOrganisation = 3
 )
 
 type event struct {
@@ -72,7 +73,7 @@
 	return e
 }
 
-// engineSlot is one runner: the model and the step under way.
+// engineSlot is one runner: its engine model and its state.
 type engineSlot struct {
 	index    int
 	model    *enginemodel.Engine
@@ -81,7 +82,8 @@
 	leaving  bool
 }
 
-// sim steps one run: engines, routers' decision code, and arrivals.
+// sim simulates one run: the engines, the routers' decision code and the
+// arrivals.
 type sim struct {
 	w        workload
 	scenario scenario
@@ -93,9 +95,9 @@
 	queue    eventQueue
 	seq      int
 	end      time.Duration
-	// faultFrom is when a flood begins.
-	faultFrom time.Duration
-	result    *result
+	// floodStart is the time at which a flood begins.
+	floodStart time.Duration
+	result     *result
 }
 
 func at(now time.Duration) time.Time { return epoch.Add(now) }
@@ -105,12 +107,12 @@
 	heap.Push(&s.queue, event{at: when, seq: s.seq, run: run})
 }
 
-// run steps a whole run of one policy.
+// run simulates one run of a policy.
 func run(w workload, sc scenario, capacity float64, length time.Duration, seed uint64, p policy) *result {
 	if p.name == floorPolicy {
 		w = w.withoutLimits()
 	}
-	s := &sim{w: w, scenario: sc, calls: make(map[string]*call), result: newResult(), end: length + drainTime, faultFrom: length / 3}
+	s := &sim{w: w, scenario: sc, calls: make(map[string]*call), result: newResult(), end: length + drainTime, floodStart: length / 3}
 	for i := range w.runners {
 		s.engines = append(s.engines, &engineSlot{index: i, model: enginemodel.New(w.engine)})
 	}
@@ -118,7 +120,7 @@
 	s.held = make([][]*call, len(s.routers))
 	flood := -1
 	if sc.flood {
-		flood = floodingOne
+		flood = floodingOrganisation
 	}
 	s.all = w.arrivals(seed, capacity*sc.load, length, flood, floodFactor)
 	for i, c := range s.all {
@@ -127,16 +129,16 @@
 			RequestID: c.id, Organisation: organisationName(c.organisation), Model: modelName,
 			PromptTokens: c.prompt, PrefixHashes: w.prefixHashes(c), Attempt: 1, Arrived: at(c.arrived),
 		}
-		if w.routes {
-			c.request.Route, c.request.Objective = w.kinds[c.kind].name, w.kinds[c.kind].firstToken
+		if w.hasRoutes {
+			c.request.Route, c.request.Objective = w.kinds[c.kind].name, w.kinds[c.kind].firstTokenTarget
 		}
 		s.calls[c.id] = c
 		s.schedule(c.arrived, func(now time.Duration) { s.submit(now, c) })
 	}
 	s.setEndpoints(0)
-	s.schedule(0, s.reports)
-	s.schedule(tickEvery, s.ticks)
-	s.faults(length)
+	s.schedule(0, s.sendReports)
+	s.schedule(tickEvery, s.tickRouters)
+	s.scheduleFaults(length)
 	for s.queue.Len() > 0 {
 		e := heap.Pop(&s.queue).(event)
 		if e.at > s.end {
@@ -148,7 +150,7 @@
 	return s.result
 }
 
-func (s *sim) faults(length time.Duration) {
+func (s *sim) scheduleFaults(length time.Duration) {
 	if s.scenario.slow {
 		s.schedule(length/4, func(time.Duration) { s.engines[0].model.SetSlowFactor(slowedFactor) })
 	}
@@ -163,17 +165,18 @@
 	}
 }
 
-// wave has the oldest runners leave and others join, again and again.
+// wave marks the oldest runners as leaving, adds as many new ones and schedules
+// the next wave.
 func (s *sim) wave(now, until time.Duration) {
 	if now > until {
 		return
 	}
-	leave := s.w.runners / wavePart
+	toReclaim := s.w.runners / waveDivisor
 	for _, e := range s.engines {
-		if e.leaving || leave == 0 {
+		if e.leaving || toReclaim == 0 {
 			continue
 		}
-		leave--
+		toReclaim--
 		e.leaving = true
 		s.schedule(now+waveNotice, func(now time.Duration) { s.reclaim(now, e) })
 		s.engines = append(s.engines, &engineSlot{index: len(s.engines), model: enginemodel.New(s.w.engine)})
@@ -193,21 +196,23 @@
 			ID: runnerName(e.index), Kind: port.KindRunner, Pool: "pool", Incarnation: 1, State: state, Models: []string{modelName},
 		})
 	}
-	for _, r := range s.distinct() {
+	for _, r := range s.distinctRouters() {
 		r.SetEndpoints(at(now), es)
 	}
 }
 
-// distinct lists the schedulers once each; the oracles share one.
-func (s *sim) distinct() []port.Scheduler { return slices.Compact(slices.Clone(s.routers)) }
+// distinctRouters returns each scheduler once. With an oracle, all routers
+// share one scheduler.
+func (s *sim) distinctRouters() []port.Scheduler { return slices.Compact(slices.Clone(s.routers)) }
 
 func runnerName(i int) string { return fmt.Sprintf("runner-%02d", i) }
 
-// reclaim kills an engine. What hasn't begun to answer is tried elsewhere.
+// reclaim stops an engine. Its calls without a first token are submitted again
+// with this runner excluded; the others are lost.
 func (s *sim) reclaim(now time.Duration, e *engineSlot) {
 	e.dead = true
 	for _, c := range s.all {
-		if !c.served || c.finished != 0 || c.lost || c.engine != e.index {
+		if !c.dispatched || c.finished != 0 || c.lost || c.engine != e.index {
 			continue
 		}
 		s.routers[c.router].Finished(at(now), c.id, c.tokens, port.FinishFailed)
@@ -221,7 +226,7 @@
 	}
 }
 
-func (s *sim) reports(now time.Duration) {
+func (s *sim) sendReports(now time.Duration) {
 	for _, e := range s.engines {
 		if e.dead {
 			continue
@@ -235,25 +240,25 @@
 		}
 		load.TakenUnixMillis = at(now).UnixMilli()
 		s.schedule(now+s.scenario.lag, func(now time.Duration) {
-			for _, r := range s.distinct() {
+			for _, r := range s.distinctRouters() {
 				r.Report(at(now), &load)
 			}
 		})
 	}
 	if now+reportEvery < s.end {
-		s.schedule(now+reportEvery, s.reports)
+		s.schedule(now+reportEvery, s.sendReports)
 	}
 }
 
-func (s *sim) ticks(now time.Duration) {
-	for _, r := range s.distinct() {
+func (s *sim) tickRouters(now time.Duration) {
+	for _, r := range s.distinctRouters() {
 		r.Tick(at(now))
 	}
 	for i := range s.routers {
-		s.wake(now, i)
+		s.submitReady(now, i)
 	}
 	if now+tickEvery < s.end {
-		s.schedule(now+tickEvery, s.ticks)
+		s.schedule(now+tickEvery, s.tickRouters)
 	}
 }
 
@@ -287,44 +292,44 @@
 	if err := e.model.Submit(at(now), job); err != nil {
 		panic(err)
 	}
-	c.served = true
+	c.dispatched = true
 	c.placed = now
-	s.result.placed[index]++
-	s.kick(now, e)
+	s.result.placements[index]++
+	s.startStep(now, e)
 }
 
 func (s *sim) refuse(now time.Duration, c *call, d *port.Decision) {
 	c.refused++
-	s.result.refusedFirst[c.kind]++
-	if d.RetryAfter <= 0 || c.refused > maxReturns {
+	s.result.refusals[c.kind]++
+	if d.RetryAfter <= 0 || c.refused > maxRetries {
 		return
 	}
 	s.schedule(now+d.RetryAfter, func(now time.Duration) {
-		c.returned = true
+		c.retried = true
 		c.request.Attempt = 1
 		s.submit(now, c)
 	})
 }
 
-// wake submits the held requests of a router whose turn has come.
-func (s *sim) wake(now time.Duration, router int) {
-	still := s.held[router][:0]
-	var woken []*call
+// submitReady submits the held requests of a router that are ready.
+func (s *sim) submitReady(now time.Duration, router int) {
+	remaining := s.held[router][:0]
+	var ready []*call
 	for _, c := range s.held[router] {
 		select {
 		case <-s.routers[router].Ready(c.id):
-			woken = append(woken, c)
+			ready = append(ready, c)
 		default:
-			still = append(still, c)
+			remaining = append(remaining, c)
 		}
 	}
-	s.held[router] = still
-	for _, c := range woken {
+	s.held[router] = remaining
+	for _, c := range ready {
 		s.submit(now, c)
 	}
 }
 
-func (s *sim) kick(now time.Duration, e *engineSlot) {
+func (s *sim) startStep(now time.Duration, e *engineSlot) {
 	if e.stepping || e.dead {
 		return
 	}
@@ -339,20 +344,20 @@
 			return
 		}
 		for _, t := range events {
-			s.token(now, t)
+			s.handleToken(now, t)
 		}
-		s.kick(now, e)
+		s.startStep(now, e)
 	})
 }
 
-func (s *sim) token(now time.Duration, t enginemodel.TokenEvent) {
+func (s *sim) handleToken(now time.Duration, t enginemodel.TokenEvent) {
 	c := s.calls[t.JobID]
 	if c.tokens == 0 {
 		c.first = now
 	} else {
 		gap := now - c.last
-		s.result.gap(gap)
-		c.stall += max(0, gap-stallAbove)
+		s.result.recordGap(gap)
+		c.stall += max(0, gap-stallThreshold)
 	}
 	c.last = now
 	c.tokens++
@@ -360,7 +365,7 @@
 	if t.Final {
 		c.finished = now
 		r.Finished(at(now), c.id, c.tokens, port.FinishDone)
-		s.wakeAll(now, c.router)
+		s.submitReadyShared(now, c.router)
 		return
 	}
 	if c.tokens == 1 || c.tokens%progressEvery == 0 {
@@ -368,11 +373,12 @@
 	}
 }
 
-// wakeAll wakes one router, or all where they share a scheduler.
-func (s *sim) wakeAll(now time.Duration, router int) {
+// submitReadyShared calls submitReady for every router that has the same
+// scheduler as the given one, itself included.
+func (s *sim) submitReadyShared(now time.Duration, router int) {
 	for i := range s.routers {
 		if s.routers[i] == s.routers[router] {
-			s.wake(now, i)
+			s.submitReady(now, i)
 		}
 	}
 }
--- a/internal/tools/policybench/waves_test.go
+++ b/internal/tools/policybench/waves_test.go
@@ -5,50 +5,51 @@
 	"time"
 )
 
-// played are means over the seeds of one policy's runs.
-type played struct {
-	// all and reports are the parts of all requests and of reports that came in
-	// time, in percent.
-	all, reports float64
-	preempted    float64
+// waveResult holds the means over the seeds of one policy's runs.
+type waveResult struct {
+	// onTime and reportsOnTime are the percentages of requests of all kinds and
+	// of reports that met their targets.
+	onTime, reportsOnTime float64
+	preempted             float64
 }
 
-// playWaves plays a policy on engines of which some are replaced every few
-// seconds, and logs what callers got.
-func playWaves(t *testing.T, p policy, w workload, capacity, load float64) played {
+// runWaves runs a policy while some of the engines are replaced every few
+// seconds, and logs the percentages of requests on time.
+func runWaves(t *testing.T, p policy, w workload, capacity, load float64) waveResult {
 	t.Helper()
 	const seeds, length = 2, 40 * time.Second
-	var out played
+	var out waveResult
 	for seed := range uint64(seeds) {
-		r := run(w, scenario{name: "waves", load: load, lag: usualLag, waves: true}, capacity, length, seed+1, p)
-		out.all += r.Values[goodput] / seeds
-		out.reports += r.Values[goodputLong] / seeds
+		r := run(w, scenario{name: "waves", load: load, lag: defaultReportLag, waves: true}, capacity, length, seed+1, p)
+		out.onTime += r.Values[goodput] / seeds
+		out.reportsOnTime += r.Values[goodputReport] / seeds
 		out.preempted += r.Values[preemptions] / seeds
 	}
-	t.Logf("load %v, %s: %.1f of 100 in time, of reports %.1f; %.0f preempted", load, p.name, out.all, out.reports, out.preempted)
+	t.Logf("load %v, %s: %.1f %% of the requests on time, %.1f %% of the reports; %.0f preemptions", load, p.name, out.onTime, out.reportsOnTime, out.preempted)
 	return out
 }
 
-// Prompts of thousands of tokens meet engines that are full or asked for more
-// than they carry, and of which some are replaced every few seconds. More
-// callers have their answer in time where those that can still be in time are
-// placed first, and prompts are bound to a runner only as it reads them.
-// Before, bound at once in the order of arrival, and after, at these loads:
-// 70.6 and 79.0, 49.8 and 70.0 of 100 in time.
-func TestMoreComeInTimeAtFullEngines(t *testing.T) {
+// Guards against fewer answers on time when engines are overloaded by prompts
+// of thousands of tokens and some engines are replaced every few seconds.
+// Placing the requests that can still meet their targets first, and binding a
+// prompt to a runner only when the runner is about to prefill it, must yield
+// more answers on time than binding at once in order of arrival. At load 1.1,
+// the percentages on time are 79.0 against 70.6, at load 1.25, 70.0 against
+// 49.8.
+func TestDeadlineOrderAndDeferredBindingRaiseGoodput(t *testing.T) {
 	arrival := longPrompts()
-	arrival.routes = false
+	arrival.hasRoutes = false
 	capacity := arrival.capacity(1)
 	for _, load := range []float64{1.1, 1.25} {
-		least := playWaves(t, policy{"least outstanding", plain(leastOutstanding)}, arrival, capacity, load)
-		before := playWaves(t, policy{"bound at once, in the order of arrival", alone(0)}, arrival, capacity, load)
-		ordered := playWaves(t, policy{"bound at once, those in time first", alone(0)}, longPrompts(), capacity, load)
-		after := playWaves(t, policy{"bound as they are read, those in time first", alone(unreadLimit)}, longPrompts(), capacity, load)
-		if after.all <= before.all || after.all <= ordered.all || after.all <= least.all {
-			t.Errorf("load %v: %.1f of 100 in time, no more than %.1f, %.1f or %.1f", load, after.all, before.all, ordered.all, least.all)
+		outstanding := runWaves(t, policy{"least outstanding", baselineScheduler(leastOutstanding)}, arrival, capacity, load)
+		arrivalOrder := runWaves(t, policy{"bound at once, in the order of arrival", singleScheduler(0)}, arrival, capacity, load)
+		deadlineOrder := runWaves(t, policy{"bound at once, on-time requests first", singleScheduler(0)}, longPrompts(), capacity, load)
+		deferred := runWaves(t, policy{"bound at prefill, on-time requests first", singleScheduler(unreadLimit)}, longPrompts(), capacity, load)
+		if deferred.onTime <= arrivalOrder.onTime || deferred.onTime <= deadlineOrder.onTime || deferred.onTime <= outstanding.onTime {
+			t.Errorf("load %v: %.1f %% on time, want more than %.1f (order of arrival), %.1f (on-time first) and %.1f (least outstanding)", load, deferred.onTime, arrivalOrder.onTime, deadlineOrder.onTime, outstanding.onTime)
 		}
-		if after.preempted > least.preempted/2 {
-			t.Errorf("load %v: %.0f preempted, over half of %.0f", load, after.preempted, least.preempted)
+		if deferred.preempted > outstanding.preempted/2 {
+			t.Errorf("load %v: %.0f preemptions, want at most half of the %.0f of least outstanding", load, deferred.preempted, outstanding.preempted)
 		}
 	}
 }
--- a/internal/tools/policybench/workload.go
+++ b/internal/tools/policybench/workload.go
@@ -10,23 +10,24 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/standin/enginemodel"
 )
 
-// kind is one kind of request. Lengths are lognormal: heavy-tailed, with a
-// median, a spread and a cap in tokens.
+// kind describes one kind of request. Lengths in tokens follow a heavy-tailed
+// lognormal distribution with a median, a spread and a cap.
 type kind struct {
-	name   string
-	part   float64
-	prompt distribution
-	output distribution
-	// template is the prompt part that all requests of an organisation and
-	// kind have in common.
-	template int
-	// firstToken and wholeBase are the targets of the kind.
-	firstToken time.Duration
-	wholeBase  time.Duration
+	name     string
+	fraction float64
+	prompt   distribution
+	output   distribution
+	// templateTokens is the length of the prompt prefix that all requests of
+	// the same organisation and kind share.
+	templateTokens int
+	// firstTokenTarget bounds the time to the first token. completionBase plus
+	// completionPerToken for each token bounds the time to the complete answer.
+	firstTokenTarget time.Duration
+	completionBase   time.Duration
 }
 
-// wholePerToken is the target time of each token of a whole answer.
-const wholePerToken = 50 * time.Millisecond
+// completionPerToken is the time that the completion target allows per token.
+const completionPerToken = 50 * time.Millisecond
 
 type distribution struct {
 	median float64
@@ -39,16 +40,16 @@
 	return min(d.cap, max(1, n))
 }
 
-// workload is one user's day.
+// workload describes a pool of runners and the requests sent to it.
 type workload struct {
 	name    string
 	runners int
 	routers int
 	engine  enginemodel.Config
 	kinds   []kind
-	// routes: each kind has a route of its own, which names the time to the
-	// first token that is on time.
-	routes bool
+	// hasRoutes gives each kind a separate route whose objective is the kind's
+	// target for the time to the first token.
+	hasRoutes bool
 }
 
 const (
@@ -63,14 +64,14 @@
 		name: "kegsetu", runners: 12, routers: 6, engine: engine,
 		kinds: []kind{
 			{
-				name: "query", part: 0.88, template: 128,
+				name: "query", fraction: 0.88, templateTokens: 128,
 				prompt: distribution{220, 0.5, 1500}, output: distribution{60, 0.9, 1000},
-				firstToken: 1200 * time.Millisecond, wholeBase: 1200 * time.Millisecond,
+				firstTokenTarget: 1200 * time.Millisecond, completionBase: 1200 * time.Millisecond,
 			},
 			{
-				name: "report", part: 0.12, template: 512,
+				name: "report", fraction: 0.12, templateTokens: 512,
 				prompt: distribution{1400, 0.5, 6000}, output: distribution{1800, 0.8, 12000},
-				firstToken: 30 * time.Second, wholeBase: 30 * time.Second,
+				firstTokenTarget: 30 * time.Second, completionBase: 30 * time.Second,
 			},
 		},
 	}
@@ -85,22 +86,22 @@
 		name: "bayanihan", runners: 15, routers: 7, engine: engine,
 		kinds: []kind{
 			{
-				name: "ticket", part: 0.85, template: 256,
+				name: "ticket", fraction: 0.85, templateTokens: 256,
 				prompt: distribution{500, 0.4, 2000}, output: distribution{24, 0.8, 400},
-				firstToken: 1200 * time.Millisecond, wholeBase: 1200 * time.Millisecond,
+				firstTokenTarget: 1200 * time.Millisecond, completionBase: 1200 * time.Millisecond,
 			},
 			{
-				name: "report", part: 0.15, template: 512,
+				name: "report", fraction: 0.15, templateTokens: 512,
 				prompt: distribution{2500, 0.5, 8000}, output: distribution{1200, 0.8, 8000},
-				firstToken: 30 * time.Second, wholeBase: 30 * time.Second,
+				firstTokenTarget: 30 * time.Second, completionBase: 30 * time.Second,
 			},
 		},
 	}
 }
 
-// longPrompts asks for labels and reports, both with prompts of thousands of
-// tokens, of engines that read them in small parts between the tokens of
-// others. One daemon schedules all.
+// longPrompts returns a workload of labels and reports, both with prompts of
+// thousands of tokens. The engines prefill prompts in small chunks between the
+// tokens of other requests, and one daemon schedules the whole pool.
 func longPrompts() workload {
 	engine := enginemodel.DefaultConfig()
 	engine.BlocksTotal = 1366
@@ -109,31 +110,32 @@
 	engine.StepPerJob = 120 * time.Microsecond
 	engine.PrefillPerToken = time.Second / 14_000
 	return workload{
-		name: "long prompts", runners: 14, routers: 1, engine: engine, routes: true,
+		name: "long prompts", runners: 14, routers: 1, engine: engine, hasRoutes: true,
 		kinds: []kind{
 			{
-				name: "label", part: 0.53, template: 64,
+				name: "label", fraction: 0.53, templateTokens: 64,
 				prompt: distribution{1850, 0.6, 6000}, output: distribution{10, 0.9, 52},
-				firstToken: 1500 * time.Millisecond, wholeBase: 6 * time.Second,
+				firstTokenTarget: 1500 * time.Millisecond, completionBase: 6 * time.Second,
 			},
 			{
-				name: "report", part: 0.47, template: 64,
+				name: "report", fraction: 0.47, templateTokens: 64,
 				prompt: distribution{2850, 0.35, 6000}, output: distribution{560, 0.84, 2200},
-				firstToken: 1800 * time.Millisecond, wholeBase: 6 * time.Second,
+				firstTokenTarget: 1800 * time.Millisecond, completionBase: 6 * time.Second,
 			},
 		},
 	}
 }
 
-// organisationParts are ten organisations' parts of the requests.
-var organisationParts = []float64{0.25, 0.2, 0.15, 0.06, 0.06, 0.06, 0.06, 0.06, 0.05, 0.05}
+// organisationFractions are the fractions of the requests that ten
+// organisations send.
+var organisationFractions = []float64{0.25, 0.2, 0.15, 0.06, 0.06, 0.06, 0.06, 0.06, 0.05, 0.05}
 
-// organisationScales make some write longer reports than others.
-var organisationScales = []float64{1, 1.4, 0.7, 1.2, 0.6, 1, 1.6, 0.8, 1, 1.3}
+// reportLengthScales scale the median report length of each organisation.
+var reportLengthScales = []float64{1, 1.4, 0.7, 1.2, 0.6, 1, 1.6, 0.8, 1, 1.3}
 
 func organisationName(i int) string { return fmt.Sprintf("organisation-%d", i) }
 
-// call is one request and what became of it.
+// call is one request and its outcome.
 type call struct {
 	id           string
 	organisation int
@@ -143,37 +145,38 @@
 	arrived      time.Duration
 	router       int
 
-	request  port.GenerationRequest
-	engine   int
-	tokens   int
-	last     time.Duration
-	placed   time.Duration
-	first    time.Duration
-	finished time.Duration
-	stall    time.Duration
-	refused  int
-	returned bool
-	served   bool
-	lost     bool
+	request    port.GenerationRequest
+	engine     int
+	tokens     int
+	last       time.Duration
+	placed     time.Duration
+	first      time.Duration
+	finished   time.Duration
+	stall      time.Duration
+	refused    int
+	retried    bool
+	dispatched bool
+	lost       bool
 }
 
 func (w *workload) sample(r *rand.Rand, organisation int) *call {
 	k := shortKind
-	if r.Float64() < w.kinds[reportKind].part {
+	if r.Float64() < w.kinds[reportKind].fraction {
 		k = reportKind
 	}
 	scale := 1.0
 	if k == reportKind {
-		scale = organisationScales[organisation]
+		scale = reportLengthScales[organisation]
 	}
 	c := &call{organisation: organisation, kind: k}
-	c.prompt = w.kinds[k].template + w.kinds[k].prompt.draw(r, 1)
+	c.prompt = w.kinds[k].templateTokens + w.kinds[k].prompt.draw(r, 1)
 	c.output = w.kinds[k].output.draw(r, scale)
 	return c
 }
 
-// Bursts: each organisation is busy a quarter of the time and then sends
-// nearly four times as much as when quiet; the mean is one.
+// Arrivals are bursty: each organisation is busy for a quarter of the time and
+// then sends nearly four times as many requests as when quiet. The mean factor
+// is 1. The mean durations of busy and quiet periods are in seconds.
 const (
 	busyFactor  = 2.2
 	quietFactor = 0.6
@@ -181,13 +184,13 @@
 	quietMean   = 24.0
 )
 
-// arrivals draws all calls of a run at the rate (requests a second). The
-// flooding organisation, if any, sends factor times as much from a third on.
-// Each organisation draws from a source of its own, so that a flood by one
-// changes no request of the others.
+// arrivals draws all calls of a run at the rate in requests per second. The
+// flooding organisation, if any, sends floodFactor times as many requests after
+// the first third of the run. Each organisation has a separate random source,
+// so that a flood by one does not change the requests of the others.
 func (w *workload) arrivals(seed uint64, rate float64, length time.Duration, flood int, floodFactor float64) []*call {
 	var out []*call
-	for o, part := range organisationParts {
+	for o, fraction := range organisationFractions {
 		r := rand.New(rand.NewPCG(seed, uint64(1000+o)))
 		busy := r.Float64() < busyMean/(busyMean+quietMean)
 		until := 0.0
@@ -207,7 +210,7 @@
 			if o == flood && at > length.Seconds()/3 {
 				factor *= floodFactor
 			}
-			step := r.ExpFloat64() / (rate * part * factor)
+			step := r.ExpFloat64() / (rate * fraction * factor)
 			if at+step > until {
 				at = until
 				continue
@@ -223,7 +226,7 @@
 }
 
 func (w *workload) prefixHashes(c *call) []uint64 {
-	blocks := w.kinds[c.kind].template / w.engine.BlockTokens
+	blocks := w.kinds[c.kind].templateTokens / w.engine.BlockTokens
 	out := make([]uint64, blocks)
 	for i := range out {
 		out[i] = uint64(c.organisation+1)<<32 | uint64(c.kind+1)<<16 | uint64(i)
@@ -231,8 +234,8 @@
 	return out
 }
 
-// capacity is the requests a second that the pool carries: what one engine
-// completes when its own queue is never empty, times the runners.
+// capacity returns the requests per second that the pool can complete: the rate
+// of one engine whose queue is never empty, times the number of runners.
 func (w *workload) capacity(seed uint64) float64 {
 	r := rand.New(rand.NewPCG(seed, 99))
 	e := enginemodel.New(w.engine)
@@ -261,8 +264,8 @@
 
 func pickOrganisation(r *rand.Rand) int {
 	at := r.Float64()
-	for o, part := range organisationParts {
-		if at -= part; at < 0 {
+	for o, fraction := range organisationFractions {
+		if at -= fraction; at < 0 {
 			return o
 		}
 	}
