--- a/internal/tools/measure/entry.go
+++ b/internal/tools/measure/entry.go
@@ -23,32 +23,33 @@
 type entryCommand struct {
 	BinDir  string        `long:"bin" default:"bin" description:"directory of the binaries"`
 	Daemons int           `long:"daemons" default:"3" description:"entry daemons"`
-	Runners []int         `long:"runners" default:"30" default:"100" default:"300" default:"1000" default:"3000" description:"runners, a tenth of a plain service; can be repeated"`
-	Rate    float64       `long:"rate" default:"10" description:"requests a second for each daemon, half of them streams"`
+	Runners []int         `long:"runners" default:"30" default:"100" default:"300" default:"1000" default:"3000" description:"number of runners, a tenth of them of the plain service; can be repeated"`
+	Rate    float64       `long:"rate" default:"10" description:"requests per second to each daemon, half of them streams"`
 	Events  int           `long:"events" default:"25" description:"events of a stream"`
-	Changes float64       `long:"changes" default:"0" description:"runners replaced a second, in the whole fleet"`
-	Watch   time.Duration `long:"for" default:"10s" description:"how long each size is watched"`
-	Restart bool          `long:"restart" description:"start all daemons again at once first, and count from there"`
-	Profile string        `long:"profile" description:"file for a processor profile of the first daemon, which is a seed of the others"`
+	Changes float64       `long:"changes" default:"0" description:"runners replaced per second in the whole fleet"`
+	Watch   time.Duration `long:"for" default:"10s" description:"duration of the measurement of each size"`
+	Restart bool          `long:"restart" description:"restart all daemons at once and measure from their start"`
+	Profile string        `long:"profile" description:"file for a processor profile of the first daemon, which is a seed of the others; with --restart, of the last one"`
 }
 
-// entryEvery is the time of one event of a stream.
-const entryEvery = 20 * time.Millisecond
+// eventInterval is the time between two events of a stream.
+const eventInterval = 20 * time.Millisecond
 
-// Execute measures what entry daemons spend, over the number of runners.
+// Execute measures the processor time, memory and written bytes of entry
+// daemons for several numbers of runners.
 func (c *entryCommand) Execute([]string) error {
 	table := tablewriter.NewWriter(os.Stdout)
 	table.Header("runners", "served", "of", "least, % of a core", "most, % of a core", "most MiB at peak", "most written, KB/s")
 	for _, runners := range c.Runners {
-		if err := c.size(table, runners); err != nil {
+		if err := c.measureSize(table, runners); err != nil {
 			return fmt.Errorf("%d runners: %w", runners, err)
 		}
 	}
 	return table.Render()
 }
 
-func (c *entryCommand) size(table *tablewriter.Table, runners int) error {
-	ctx, cancel := interruptible()
+func (c *entryCommand) measureSize(table *tablewriter.Table, runners int) error {
+	ctx, cancel := interruptContext()
 	defer cancel()
 	dir, err := os.MkdirTemp("", "dragonflyrail-measure-")
 	if err != nil {
@@ -70,14 +71,15 @@
 		}
 	}
 	if c.Restart {
-		return c.startAgain(ctx, e, table, runners)
+		return c.restartDaemons(ctx, e, table, runners)
 	}
-	time.Sleep(settle)
+	time.Sleep(settleTime)
 	return c.watch(ctx, e, table, runners)
 }
 
-// startAgain kills all daemons and shows what their common start costs each.
-func (c *entryCommand) startAgain(ctx context.Context, e *entryFleet, table *tablewriter.Table, runners int) error {
+// restartDaemons kills all daemons, starts them at once and adds a table row of
+// what each used since its start.
+func (c *entryCommand) restartDaemons(ctx context.Context, e *entryFleet, table *tablewriter.Table, runners int) error {
 	for _, d := range e.f.Daemons {
 		d.Kill()
 	}
@@ -95,31 +97,32 @@
 	for _, d := range e.f.Daemons {
 		waitForMembers(waiting, d, len(e.f.Daemons))
 	}
-	fmt.Fprintf(os.Stderr, "all daemons know all after %.2f s, if less than %v\n", time.Since(began).Seconds(), c.Watch)
+	fmt.Fprintf(os.Stderr, "waited %.2f s (limit %v) for each daemon to list all members\n", time.Since(began).Seconds(), c.Watch)
 	time.Sleep(c.Watch - time.Since(began))
 	after, err := useOf(e.f.Daemons)
 	if err != nil {
 		return err
 	}
-	return c.row(table, e, runners, make([]entryUse, len(after)), after)
+	return c.appendRow(table, e, runners, make([]entryUse, len(after)), after)
 }
 
-// membersPoll is the pause between two looks at a daemon's members.
-const membersPoll = 50 * time.Millisecond
+// pollInterval is the interval at which the state of a daemon is polled.
+const pollInterval = 50 * time.Millisecond
 
-// waitForMembers waits until the daemon holds so many members, or the context
-// ends.
+// waitForMembers waits until the daemon's metrics report the given number of
+// members, or the context ends.
 func waitForMembers(ctx context.Context, d *testfleet.Daemon, members int) {
 	want := fmt.Sprintf(`"members_held":{"value":%d}`, members)
 	for ctx.Err() == nil {
 		if strings.Contains(metricsOf(ctx, d), want) {
 			return
 		}
-		time.Sleep(membersPoll)
+		time.Sleep(pollInterval)
 	}
 }
 
-// metricsOf is empty while the daemon doesn't answer.
+// metricsOf returns the daemon's metrics, or an empty string if the request
+// fails.
 func metricsOf(ctx context.Context, d *testfleet.Daemon) string {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+d.Metrics+"/metrics", nil)
 	if err != nil {
@@ -149,8 +152,8 @@
 	if c.Profile != "" {
 		background.Go(func() { c.profile(calling, e.f.Daemons[0]) })
 	}
-	time.Sleep(settle)
-	e.asked.Store(0)
+	time.Sleep(settleTime)
+	e.sent.Store(0)
 	e.served.Store(0)
 	before, err := useOf(e.f.Daemons)
 	if err != nil {
@@ -161,10 +164,10 @@
 	if err != nil {
 		return err
 	}
-	return c.row(table, e, runners, before, after)
+	return c.appendRow(table, e, runners, before, after)
 }
 
-func (c *entryCommand) row(table *tablewriter.Table, e *entryFleet, runners int, before, after []entryUse) error {
+func (c *entryCommand) appendRow(table *tablewriter.Table, e *entryFleet, runners int, before, after []entryUse) error {
 	least, most, memory, written := 100.0, 0.0, 0.0, 0.0
 	for i := range after {
 		percent := 100 * (after[i].spent - before[i].spent).Seconds() / c.Watch.Seconds()
@@ -172,13 +175,13 @@
 		memory = max(memory, mib(after[i].peak))
 		written = max(written, float64(after[i].written-before[i].written)/1000/c.Watch.Seconds())
 	}
-	return table.Append(strconv.Itoa(runners), fmt.Sprint(e.served.Load()), fmt.Sprint(e.asked.Load()),
+	return table.Append(strconv.Itoa(runners), fmt.Sprint(e.served.Load()), fmt.Sprint(e.sent.Load()),
 		fmt.Sprintf("%.1f", least), fmt.Sprintf("%.1f", most), fmt.Sprintf("%.1f", memory), fmt.Sprintf("%.1f", written))
 }
 
 func (c *entryCommand) profile(ctx context.Context, d *testfleet.Daemon) {
 	for !d.Ready(ctx) && ctx.Err() == nil {
-		time.Sleep(membersPoll)
+		time.Sleep(pollInterval)
 	}
 	header := http.Header{"Authorization": {"Bearer " + procs.AdminToken}}
 	seconds := strconv.Itoa(int(c.Watch.Seconds()))
@@ -207,12 +210,12 @@
 	return err
 }
 
-// entryUse is what one daemon has spent so far.
+// entryUse is the resource use of one daemon since its start.
 type entryUse struct {
 	spent time.Duration
-	// peak is its largest resident memory so far.
+	// peak is the peak resident memory in bytes.
 	peak int64
-	// written counts all that it wrote: to callers, endpoints, peers, its log.
+	// written counts all bytes written: to callers, endpoints, peers and the log.
 	written int64
 }
 
@@ -235,27 +238,28 @@
 	return all, nil
 }
 
-// entryFleet is a fleet with runners in this process.
+// entryFleet is a fleet of entry daemons whose runners are servers in this
+// process.
 type entryFleet struct {
-	f             *testfleet.Fleet
-	asked, served atomic.Int64
+	f            *testfleet.Fleet
+	sent, served atomic.Int64
 
 	mu      sync.Mutex
 	runners []*httptest.Server
 	ids     []string
-	made    int
+	created int
 }
 
-// add starts and registers a runner; each tenth is of the plain service.
+// add starts and registers a runner. Every tenth one is of the plain service.
 func (e *entryFleet) add(ctx context.Context) error {
 	e.mu.Lock()
-	e.made++
-	n := e.made
+	e.created++
+	n := e.created
 	e.mu.Unlock()
 	r := &standin.Runner{ID: fmt.Sprint("runner-", n), CacheTokens: standin.CacheTokens}
 	service := standin.PlainService
 	if n%10 != 0 {
-		service, r.EventEvery = standin.EngineService, entryEvery
+		service, r.EventEvery = standin.EngineService, eventInterval
 	}
 	server := httptest.NewServer(r)
 	e.mu.Lock()
@@ -265,7 +269,8 @@
 	return e.f.Register(ctx, r.ID, service, strings.TrimPrefix(server.URL, "http://"), n)
 }
 
-// replace removes the oldest runner and adds one, so many times a second.
+// replace removes the oldest runner and adds a new one, perSecond times a
+// second, until the context ends.
 func (e *entryFleet) replace(ctx context.Context, perSecond float64) {
 	if perSecond <= 0 {
 		return
@@ -291,8 +296,9 @@
 	}
 }
 
-// call asks one daemon at a steady rate, whatever becomes of the requests.
-func (e *entryFleet) call(ctx context.Context, d *testfleet.Daemon, of int, c *entryCommand) {
+// call sends requests to one daemon at a constant rate that does not depend on
+// their results.
+func (e *entryFleet) call(ctx context.Context, d *testfleet.Daemon, daemon int, c *entryCommand) {
 	caller := e.f.NewCaller()
 	defer caller.Close()
 	var open sync.WaitGroup
@@ -305,12 +311,12 @@
 			return
 		case <-tick.C:
 		}
-		r := &testfleet.Request{ID: fmt.Sprintf("m%d-%d", of, n), Kind: testfleet.Once}
+		r := &testfleet.Request{ID: fmt.Sprintf("m%d-%d", daemon, n), Kind: testfleet.Once}
 		if n%2 == 0 {
 			r.Kind, r.Events = testfleet.Generation, c.Events
 		}
 		open.Go(func() {
-			e.asked.Add(1)
+			e.sent.Add(1)
 			if caller.Ask(ctx, d.Callers, r).Whole(r) {
 				e.served.Add(1)
 			}
--- a/internal/tools/measure/idle.go
+++ b/internal/tools/measure/idle.go
@@ -15,11 +15,12 @@
 type idleCommand struct {
 	BinDir  string        `long:"bin" default:"bin" description:"directory of the binaries"`
 	Keepers int           `long:"keepers" default:"3" description:"keepers of the system"`
-	Watch   time.Duration `long:"for" default:"20s" description:"how long each size is watched"`
+	Watch   time.Duration `long:"for" default:"20s" description:"duration of the measurement of each size"`
 	Routers []int         `long:"routers" default:"2" default:"6" default:"12" default:"24" default:"48" description:"routers of the system; can be repeated"`
 }
 
-// Execute measures what daemons spend while no caller asks for anything.
+// Execute measures the processor time and memory of daemons while no caller
+// sends requests.
 func (c *idleCommand) Execute([]string) error {
 	table := tablewriter.NewWriter(os.Stdout)
 	table.Header("routers", "keepers", "router, % of a core", "keeper, % of a core", "router MiB", "keeper MiB")
@@ -27,7 +28,7 @@
 		err := withSystem(c.BinDir, func(l *procs.Layout) {
 			l.Routers, l.Keepers = routers, c.Keepers
 		}, func(_ context.Context, s *procs.System) error {
-			return c.size(s, table)
+			return c.measureSize(s, table)
 		})
 		if err != nil {
 			return err
@@ -36,13 +37,13 @@
 	return table.Render()
 }
 
-func (c *idleCommand) size(s *procs.System, table *tablewriter.Table) error {
-	time.Sleep(settle)
-	r, err := spent(s.Routers, c.Watch)
+func (c *idleCommand) measureSize(s *procs.System, table *tablewriter.Table) error {
+	time.Sleep(settleTime)
+	r, err := measureUse(s.Routers, c.Watch)
 	if err != nil {
 		return err
 	}
-	k, err := spent(s.Keepers, c.Watch)
+	k, err := measureUse(s.Keepers, c.Watch)
 	if err != nil {
 		return err
 	}
@@ -50,27 +51,28 @@
 		fmt.Sprintf("%.3f", k.percent), fmt.Sprintf("%.1f", r.mib), fmt.Sprintf("%.1f", k.mib))
 }
 
-// use is the mean of several daemons.
-type use struct{ percent, mib float64 }
+// daemonUse is the mean use of several daemons: percent of a core and MiB of
+// resident memory.
+type daemonUse struct{ percent, mib float64 }
 
-func spent(daemons []*procs.Daemon, watch time.Duration) (use, error) {
-	before, _, err := sum(daemons)
+func measureUse(daemons []*procs.Daemon, watch time.Duration) (daemonUse, error) {
+	before, _, err := totalUse(daemons)
 	if err != nil {
-		return use{}, err
+		return daemonUse{}, err
 	}
 	time.Sleep(watch)
-	after, resident, err := sum(daemons)
+	after, resident, err := totalUse(daemons)
 	if err != nil {
-		return use{}, err
+		return daemonUse{}, err
 	}
 	n := float64(len(daemons))
-	return use{
+	return daemonUse{
 		percent: 100 * (after - before).Seconds() / watch.Seconds() / n,
 		mib:     mib(resident) / n,
 	}, nil
 }
 
-func sum(daemons []*procs.Daemon) (spent time.Duration, resident int64, err error) {
+func totalUse(daemons []*procs.Daemon) (spent time.Duration, resident int64, err error) {
 	for _, d := range daemons {
 		t, err := processorTime(d.PID())
 		if err != nil {
--- a/internal/tools/measure/main.go
+++ b/internal/tools/measure/main.go
@@ -1,8 +1,9 @@
-// Command measure runs the system on loopback and measures what a router
-// costs: the time it adds to first tokens and between tokens against a direct
-// connection to the engine, its memory for each open stream, its processor time
-// for each request and token, and what idle daemons spend. Figures of one run
-// are compared with each other only.
+// Command measure runs the system on loopback and measures the cost of a
+// router: the latency that it adds to first tokens and between tokens compared
+// with a direct connection to the engine, its memory per open stream and its
+// processor time per request and per token. It also measures the processor time
+// and memory of idle daemons and of entry daemons. Only figures of the same run
+// are comparable.
 package main
 
 import (
@@ -33,16 +34,16 @@
 		os.Exit(1)
 	}
 	_, err := parser.Parse()
-	var wrong *flags.Error
+	var flagsErr *flags.Error
 	switch {
-	case errors.As(err, &wrong) && wrong.Type == flags.ErrHelp:
-		fmt.Println(wrong.Message)
+	case errors.As(err, &flagsErr) && flagsErr.Type == flags.ErrHelp:
+		fmt.Println(flagsErr.Message)
 	case err != nil:
 		fmt.Fprintln(os.Stderr, "measure:", err)
 		os.Exit(1)
 	}
 }
 
-func interruptible() (context.Context, context.CancelFunc) {
+func interruptContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 }
--- a/internal/tools/measure/path.go
+++ b/internal/tools/measure/path.go
@@ -33,47 +33,48 @@
 	Tokens   int    `long:"tokens" default:"50" description:"tokens of each answer"`
 }
 
-// times gathers one path's times, in microseconds.
-type times struct {
+// latencies collects the latencies of one path in microseconds and counts the
+// failed requests.
+type latencies struct {
 	mu          sync.Mutex
 	first, gaps *hdrhistogram.Histogram
 	failed      int
 }
 
-func newTimes() *times {
-	return &times{
+func newLatencies() *latencies {
+	return &latencies{
 		first: hdrhistogram.New(1, histogramMax, histogramDigits),
 		gaps:  hdrhistogram.New(1, histogramMax, histogramDigits),
 	}
 }
 
-func (t *times) add(first time.Duration, gaps []time.Duration) {
+func (t *latencies) add(first time.Duration, gaps []time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	record(t.first, first)
+	recordClamped(t.first, first)
 	for _, gap := range gaps {
-		record(t.gaps, gap)
+		recordClamped(t.gaps, gap)
 	}
 }
 
-func (t *times) fail() {
+func (t *latencies) countFailure() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.failed++
 }
 
-func record(h *hdrhistogram.Histogram, d time.Duration) {
-	// The value is clamped to the range, so that recording can't fail.
+func recordClamped(h *hdrhistogram.Histogram, d time.Duration) {
+	// The value is clamped to the range of the histogram, so recording can't fail.
 	_ = h.RecordValue(min(histogramMax, max(1, d.Microseconds())))
 }
 
-// Execute measures both paths, request by request in turn, in one run.
+// Execute measures the direct path and the path through the router in one run.
 func (c *pathCommand) Execute([]string) error {
 	return withSystem(c.BinDir, oneFastEngine("3ms"), c.measure)
 }
 
 func (c *pathCommand) measure(ctx context.Context, s *procs.System) error {
-	direct, routed := newTimes(), newTimes()
+	direct, routed := newLatencies(), newLatencies()
 	var wait sync.WaitGroup
 	for range c.Streams / 2 {
 		wait.Go(func() { c.worker(ctx, s, direct, routed) })
@@ -82,9 +83,9 @@
 	return c.print(direct, routed)
 }
 
-// worker keeps one request open on each path, at the same time, so that both
-// see the same engine and the same machine.
-func (c *pathCommand) worker(ctx context.Context, s *procs.System, direct, routed *times) {
+// worker sends requests in pairs, one on each path at the same time, so that
+// both paths are measured under the same load of the engine and the host.
+func (c *pathCommand) worker(ctx context.Context, s *procs.System, direct, routed *latencies) {
 	client := s.Caller(procs.DemoOrganisation)
 	for range c.Requests / (c.Streams / 2) {
 		var pair sync.WaitGroup
@@ -98,38 +99,38 @@
 	return "measure " + uuid.NewString() + " " + engine.LengthDirective(c.Tokens)
 }
 
-func (c *pathCommand) routed(ctx context.Context, client *caller.Client, router *procs.Daemon, t *times) {
+func (c *pathCommand) routed(ctx context.Context, client *caller.Client, router *procs.Daemon, t *latencies) {
 	answer, err := client.Stream(ctx, []string{router.Address}, caller.Completion{Model: procs.DemoModel, Prompt: c.prompt()})
 	if err != nil || answer.Problem != nil || answer.Tokens != c.Tokens {
-		t.fail()
+		t.countFailure()
 		return
 	}
 	t.add(answer.FirstToken, answer.Gaps)
 }
 
-// engineRequest is what the direct path sends.
+// engineRequest is the body of a request on the direct path.
 type engineRequest struct {
 	Model  string `json:"model"`
 	Prompt string `json:"prompt"`
 	Stream bool   `json:"stream"`
 }
 
-func (c *pathCommand) direct(ctx context.Context, e *procs.Daemon, t *times) {
+func (c *pathCommand) direct(ctx context.Context, e *procs.Daemon, t *latencies) {
 	raw, err := json.Marshal(engineRequest{Model: procs.DemoModel, Prompt: c.prompt(), Stream: true})
 	if err != nil {
-		t.fail()
+		t.countFailure()
 		return
 	}
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, e.URL()+"/v1/completions", bytes.NewReader(raw))
 	if err != nil {
-		t.fail()
+		t.countFailure()
 		return
 	}
 	r.Header.Set(engine.HeaderGeneration, uuid.NewString())
 	started := time.Now()
 	res, err := http.DefaultClient.Do(r)
 	if err != nil {
-		t.fail()
+		t.countFailure()
 		return
 	}
 	defer res.Body.Close()
@@ -138,7 +139,7 @@
 	last := started
 	for e, err := range sse.Read(res.Body, nil) {
 		if err != nil {
-			t.fail()
+			t.countFailure()
 			return
 		}
 		if strings.Contains(e.Data, "finish_reason") {
@@ -153,31 +154,31 @@
 		last = now
 	}
 	if len(gaps) != c.Tokens-1 {
-		t.fail()
+		t.countFailure()
 		return
 	}
 	t.add(first, gaps)
 }
 
-func (c *pathCommand) print(direct, routed *times) error {
+func (c *pathCommand) print(direct, routed *latencies) error {
 	fmt.Printf("%d requests on each path, %d open at once, %d tokens each; failed: direct %d, through the router %d\n",
 		direct.first.TotalCount(), c.Streams, c.Tokens, direct.failed, routed.failed)
 	table := tablewriter.NewWriter(os.Stdout)
 	table.Header("time", "quantile", "direct ms", "through the router ms", "ratio", "added ms")
 	for _, q := range []float64{50, 95, 99} {
-		if err := row(table, "first token", q, direct.first, routed.first); err != nil {
+		if err := appendRow(table, "first token", q, direct.first, routed.first); err != nil {
 			return err
 		}
 	}
 	for _, q := range []float64{50, 95, 99} {
-		if err := row(table, "gap", q, direct.gaps, routed.gaps); err != nil {
+		if err := appendRow(table, "gap", q, direct.gaps, routed.gaps); err != nil {
 			return err
 		}
 	}
 	return table.Render()
 }
 
-func row(table *tablewriter.Table, name string, q float64, direct, routed *hdrhistogram.Histogram) error {
+func appendRow(table *tablewriter.Table, name string, q float64, direct, routed *hdrhistogram.Histogram) error {
 	d := float64(direct.ValueAtQuantile(q)) / 1000
 	r := float64(routed.ValueAtQuantile(q)) / 1000
 	return table.Append(name, fmt.Sprintf("p%.0f", q), fmt.Sprintf("%.2f", d), fmt.Sprintf("%.2f", r),
--- a/internal/tools/measure/process.go
+++ b/internal/tools/measure/process.go
@@ -12,10 +12,10 @@
 // clockTick is the unit of processor times in /proc on Linux.
 const clockTick = 10 * time.Millisecond
 
-// residentBytes reads a process's resident memory.
+// residentBytes returns the resident memory of a process.
 func residentBytes(pid int) (int64, error) { return memoryBytes(pid, "VmRSS:") }
 
-// peakBytes reads the largest resident memory that a process ever had.
+// peakBytes returns the peak resident memory of a process since its start.
 func peakBytes(pid int) (int64, error) { return memoryBytes(pid, "VmHWM:") }
 
 func memoryBytes(pid int, field string) (int64, error) {
@@ -32,23 +32,24 @@
 		kib, err := strconv.ParseInt(strings.TrimSuffix(strings.TrimSpace(text), " kB"), 10, 64)
 		return kib * 1024, err
 	}
-	return 0, fmt.Errorf("no %s for process %d", field, pid)
+	return 0, fmt.Errorf("no %s line in /proc/%d/status", field, pid)
 }
 
 func mib(bytes int64) float64 { return float64(bytes) / (1 << 20) }
 
-// processorTime reads the user and system time of a process.
+// processorTime returns the sum of the user and system time of a process.
 func processorTime(pid int) (time.Duration, error) {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0, err
 	}
-	// The name in parentheses may hold spaces; the fields follow it.
+	// The process name in parentheses may contain spaces, so the fields are
+	// split after it.
 	_, rest, found := strings.Cut(string(raw), ") ")
 	fields := strings.Fields(rest)
 	const user, system = 11, 12
 	if !found || len(fields) <= system {
-		return 0, fmt.Errorf("process %d: unexpected stat", pid)
+		return 0, fmt.Errorf("/proc/%d/stat has an unexpected format", pid)
 	}
 	ticks := int64(0)
 	for _, i := range []int{user, system} {
@@ -61,7 +62,8 @@
 	return time.Duration(ticks) * clockTick, nil
 }
 
-// writtenBytes reads how much a process has written, to files and sockets.
+// writtenBytes returns the number of bytes that a process has written to files
+// and sockets.
 func writtenBytes(pid int) (int64, error) {
 	f, err := os.Open(fmt.Sprintf("/proc/%d/io", pid))
 	if err != nil {
@@ -73,5 +75,5 @@
 			return strconv.ParseInt(text, 10, 64)
 		}
 	}
-	return 0, fmt.Errorf("no wchar for process %d", pid)
+	return 0, fmt.Errorf("no wchar line in /proc/%d/io", pid)
 }
--- a/internal/tools/measure/system.go
+++ b/internal/tools/measure/system.go
@@ -11,14 +11,15 @@
 
 const launchTimeout = time.Minute
 
-// withSystem starts the demo's system as adjusted, measures it and stops it.
+// withSystem starts the demo system with the adjusted layout, calls measure and
+// stops the system.
 func withSystem(bin string, adjust func(*procs.Layout), measure func(context.Context, *procs.System) error) error {
 	dir, err := os.MkdirTemp("", "dragonflyrail-measure-")
 	if err != nil {
 		return err
 	}
 	defer os.RemoveAll(dir)
-	ctx, cancel := interruptible()
+	ctx, cancel := interruptContext()
 	defer cancel()
 	layout := procs.DemoLayout(bin, dir)
 	adjust(&layout)
@@ -30,7 +31,7 @@
 	return measure(ctx, s)
 }
 
-// launch starts the system with limits that don't bind here.
+// launch starts the system with routing limits too high to be reached.
 func launch(ctx context.Context, l procs.Layout) (*procs.System, error) {
 	bounded, cancel := context.WithTimeout(ctx, launchTimeout)
 	defer cancel()
@@ -53,7 +54,8 @@
 	return s, nil
 }
 
-// unboundSpec is schema 1 of a routing configuration whose limits don't bind.
+// unboundSpec is schema 1 of a routing configuration, used with limits too high
+// to be reached.
 type unboundSpec struct {
 	Model         string  `json:"model"`
 	OverflowLimit float64 `json:"overflow_limit"`
--- a/internal/tools/measure/work.go
+++ b/internal/tools/measure/work.go
@@ -14,25 +14,27 @@
 
 type workCommand struct {
 	BinDir  string `long:"bin" default:"bin" description:"directory of the binaries"`
-	Total   int    `long:"total" default:"40000" description:"tokens of each size, in as many requests as they make, 2000 at the most"`
+	Total   int    `long:"total" default:"40000" description:"total tokens for each answer length, in at most 2000 requests"`
 	Streams int    `long:"streams" default:"16" description:"requests open at once"`
 	Tokens  []int  `long:"tokens" default:"1" default:"20" default:"100" default:"400" description:"tokens of each answer; can be repeated"`
 }
 
 const maxRequests = 2000
 
-// point is one size: processor time of one request against its tokens.
+// point is the measurement of one answer length: x is the number of tokens and
+// y the processor time per request in microseconds.
 type point struct{ x, y float64 }
 
-// Execute measures the router's processor time for requests of several
-// lengths and fits what a request and a token cost.
+// Execute measures the router's processor time for answers of several lengths
+// and fits the cost per request and per token.
 func (c *workCommand) Execute([]string) error {
 	return withSystem(c.BinDir, oneFastEngine("2ms"), c.measure)
 }
 
-// oneFastEngine is one daemon of each kind before an engine whose step time
-// doesn't depend on its load, and which never refuses: a refused request would
-// count as a cheap one.
+// oneFastEngine returns a layout change to one daemon of each kind and an
+// engine whose step time doesn't depend on its load. The engine's limits are too
+// high to refuse a request, because a refused request would lower the measured
+// cost.
 func oneFastEngine(step string) func(*procs.Layout) {
 	return func(l *procs.Layout) {
 		l.Runners, l.Routers, l.Keepers = 1, 1, 1
@@ -45,7 +47,7 @@
 	table.Header("tokens of an answer", "requests", "router's time for each request, us")
 	var points []point
 	for _, tokens := range c.Tokens {
-		p, err := c.size(ctx, s, table, tokens)
+		p, err := c.measureSize(ctx, s, table, tokens)
 		if err != nil {
 			return err
 		}
@@ -59,11 +61,11 @@
 	return nil
 }
 
-func (c *workCommand) size(ctx context.Context, s *procs.System, table *tablewriter.Table, tokens int) (point, error) {
+func (c *workCommand) measureSize(ctx context.Context, s *procs.System, table *tablewriter.Table, tokens int) (point, error) {
 	requests := min(maxRequests, max(1, c.Total/tokens))
 	path := pathCommand{Tokens: tokens}
 	client := s.Caller(procs.DemoOrganisation)
-	seen := newTimes()
+	results := newLatencies()
 	before, err := processorTime(s.Routers[0].PID())
 	if err != nil {
 		return point{}, err
@@ -72,7 +74,7 @@
 	for range c.Streams {
 		wait.Go(func() {
 			for range requests / c.Streams {
-				path.routed(ctx, client, s.Routers[0], seen)
+				path.routed(ctx, client, s.Routers[0], results)
 			}
 		})
 	}
@@ -81,8 +83,8 @@
 	if err != nil {
 		return point{}, err
 	}
-	if seen.failed > 0 {
-		return point{}, fmt.Errorf("%d of %d requests failed; the rest says nothing of the cost", seen.failed, requests)
+	if results.failed > 0 {
+		return point{}, fmt.Errorf("%d of %d requests failed; the cost per request is only valid without failures", results.failed, requests)
 	}
 	done := requests / c.Streams * c.Streams
 	each := float64((after - before).Microseconds()) / float64(done)
