--- a/internal/tools/spreadbench/calls.go
+++ b/internal/tools/spreadbench/calls.go
@@ -13,12 +13,13 @@
 
 type callsCommand struct {
 	Routers []int   `long:"routers" default:"2" default:"6" default:"12" default:"24" default:"48"`
-	Keepers int     `long:"keepers" default:"0" description:"0: one beside each router"`
+	Keepers int     `long:"keepers" default:"0" description:"number of keepers; 0 for as many as routers"`
 	Seconds int     `long:"seconds" default:"20" description:"length of each measurement"`
-	Rate    float64 `long:"rate" default:"10" description:"changes a second of the busy half"`
+	Rate    float64 `long:"rate" default:"10" description:"changes per second in the second measurement of each size"`
 }
 
-// Execute measures each size idle and busy.
+// Execute measures the platform calls of each fleet size, first without changes
+// and then with changes at the given rate.
 func (c *callsCommand) Execute([]string) error {
 	table := tablewriter.NewWriter(os.Stdout)
 	table.Header("routers", "keepers", "changes/s", "reads/s", "writes/s", "watches/s (in reads)", "waiting watches", "throttled")
@@ -33,9 +34,9 @@
 		}
 		for _, rate := range []float64{0, c.Rate} {
 			before := f.platform.Stats()
-			did := f.load(rate, time.Duration(c.Seconds)*time.Second)
+			changes := f.load(rate, time.Duration(c.Seconds)*time.Second)
 			after := f.platform.Stats()
-			if err := table.Append(c.line(routers, keepers, did, &before, &after)); err != nil {
+			if err := table.Append(c.row(routers, keepers, changes, &before, &after)); err != nil {
 				return err
 			}
 		}
@@ -44,7 +45,7 @@
 	return table.Render()
 }
 
-func (c *callsCommand) line(routers, keepers, changes int, before, after *platform.Stats) []string {
+func (c *callsCommand) row(routers, keepers, changes int, before, after *platform.Stats) []string {
 	rate := func(n int64) string { return fmt.Sprintf("%.1f", float64(n)/float64(c.Seconds)) }
 	return []string{
 		fmt.Sprint(routers), fmt.Sprint(keepers), rate(int64(changes)),
@@ -54,7 +55,8 @@
 	}
 }
 
-// load changes records at the rate for the time and returns how many.
+// load changes records at the rate for the duration d and returns the number of
+// accepted changes.
 func (f *fleet) load(rate float64, d time.Duration) int {
 	if rate <= 0 {
 		time.Sleep(d)
@@ -67,17 +69,17 @@
 	if f.writer == nil {
 		f.writer = newWriter(64)
 	}
-	did := 0
+	changes := 0
 	for {
 		select {
 		case <-ctx.Done():
-			return did
+			return changes
 		case <-ticker.C:
-			if _, err := f.writer.change(f.keepers[did%len(f.keepers)].Keeper); err != nil {
+			if _, err := f.writer.change(f.keepers[changes%len(f.keepers)].Keeper); err != nil {
 				fmt.Fprintln(os.Stderr, "change:", err)
 				continue
 			}
-			did++
+			changes++
 		}
 	}
 }
--- a/internal/tools/spreadbench/conn.go
+++ b/internal/tools/spreadbench/conn.go
@@ -9,15 +9,16 @@
 	"google.golang.org/grpc"
 )
 
-// meter counts what one daemon sends and receives over its connections.
+// meter counts the bytes that one daemon sends and receives over its
+// connections.
 type meter struct {
 	sent, received atomic.Int64
-	// segments counts writes; each is at least one packet and its ACK.
+	// segments counts the writes. Each causes at least one packet and its ACK.
 	segments atomic.Int64
 }
 
-// gate stops all traffic of a daemon while it is cut: bytes neither come nor
-// go and no connection ends, as behind a link that drops packets.
+// gate blocks all traffic of a daemon while it is cut. Connections stay open, as
+// on a link that drops all packets.
 type gate struct {
 	mu   sync.Mutex
 	open chan struct{}
@@ -45,7 +46,7 @@
 	}
 }
 
-// wait blocks while cut, or until the connection is closed.
+// wait blocks while the gate is cut, at most until the connection is closed.
 func (g *gate) wait(closed <-chan struct{}) {
 	g.mu.Lock()
 	open := g.open
@@ -56,7 +57,8 @@
 	}
 }
 
-// meteredConn is one connection of a daemon.
+// meteredConn counts the traffic of one connection of a daemon and blocks it
+// while the gate is cut.
 type meteredConn struct {
 	net.Conn
 	meter  *meter
@@ -89,7 +91,7 @@
 	return c.Conn.Close()
 }
 
-// meteredListener meters the connections that a daemon accepts.
+// meteredListener wraps the connections that a daemon accepts in a meteredConn.
 type meteredListener struct {
 	net.Listener
 	meter *meter
@@ -104,7 +106,8 @@
 	return metered(c, l.meter, l.gate), nil
 }
 
-// dialer meters the connections that a daemon opens.
+// dialer returns an option that wraps the connections that a daemon opens in a
+// meteredConn.
 func dialer(m *meter, g *gate) grpc.DialOption {
 	return grpc.WithContextDialer(func(ctx context.Context, address string) (net.Conn, error) {
 		c, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
--- a/internal/tools/spreadbench/convergence.go
+++ b/internal/tools/spreadbench/convergence.go
@@ -14,20 +14,23 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// Modes of a run; any other name is a run without faults.
+// Modes of a run. A run of any other mode has no faults.
 const (
-	// modeSlow: the platform takes slowMillis longer for each call.
+	// modeSlow delays each platform call by slowMillis.
 	modeSlow = "slow"
-	// modeCut: one keeper after another loses all its links for a while.
+	// modeCut blocks all connections of one keeper after another, each for
+	// changesBetweenCuts changes.
 	modeCut = "cut"
-	// modeWatched: the change goes past all keepers, as when the one that
-	// took it died right after; only watches bring it.
+	// modeWatched makes each change at a keeper outside the fleet, so that the
+	// fleet receives it only through its watches of the platform. This is the
+	// case of a keeper that stops right after it has accepted a change.
 	modeWatched = "watched"
 )
 
 const (
 	slowMillis = 1000
-	// changesBetweenCuts is how long one keeper stays cut, in changes.
+	// changesBetweenCuts is the number of changes during which one keeper stays
+	// cut.
 	changesBetweenCuts = 50
 	convergeTimeout    = 60 * time.Second
 )
@@ -40,7 +43,7 @@
 	Pause   int      `long:"pause-ms" default:"50" description:"pause between changes"`
 }
 
-// Execute runs all modes and prints one line for each.
+// Execute runs all modes and prints one table row for each.
 func (c *convergenceCommand) Execute([]string) error {
 	table := tablewriter.NewWriter(os.Stdout)
 	table.Header("mode", "keepers", "routers", "changes", "median ms", "p95 ms", "worst ms", "over 6 s")
@@ -72,12 +75,12 @@
 		return nil, err
 	}
 	defer f.stop()
-	lone := keeper.New(keeper.Options{
-		Self: port.Member{ID: "past-all"}, Logger: quiet(),
+	outsider := keeper.New(keeper.Options{
+		Self: port.Member{ID: "past-all"}, Logger: discardLogger(),
 		Platform: httpplatform.New(httpplatform.Options{BaseURL: f.server.URL}),
 	})
 	if mode == modeSlow {
-		if err := f.faults(fmt.Sprintf(`{"slow_ms":%d}`, slowMillis)); err != nil {
+		if err := f.setFaults(fmt.Sprintf(`{"slow_ms":%d}`, slowMillis)); err != nil {
 			return nil, err
 		}
 	}
@@ -88,9 +91,9 @@
 		if mode == modeCut && i%changesBetweenCuts == changesBetweenCuts/2 {
 			cut = f.cutNext(cut)
 		}
-		at := f.keepers[f.writerFor(i, cut)].Keeper
+		at := f.keepers[f.keeperFor(i, cut)].Keeper
 		if mode == modeWatched {
-			at = lone
+			at = outsider
 		}
 		took, err := f.converge(w, at)
 		if err != nil {
@@ -102,7 +105,8 @@
 	return times, nil
 }
 
-// cutNext heals the keeper that was cut and cuts the next.
+// cutNext reconnects the keeper that is cut, if any, cuts the next one and
+// returns its index.
 func (f *fleet) cutNext(cut int) int {
 	if cut >= 0 {
 		f.keepers[cut].gate.heal()
@@ -112,8 +116,9 @@
 	return next
 }
 
-// writerFor takes the keepers in turn, but for the one that is cut.
-func (f *fleet) writerFor(i, cut int) int {
+// keeperFor returns the index of the keeper that makes change i. It goes through
+// the keepers in turn and skips the one that is cut.
+func (f *fleet) keeperFor(i, cut int) int {
 	at := i % len(f.keepers)
 	if at == cut {
 		at = (at + 1) % len(f.keepers)
@@ -121,7 +126,8 @@
 	return at
 }
 
-// converge writes and returns the time from the accept to the last router.
+// converge makes a change and returns the time from its acceptance until every
+// router has it in force.
 func (f *fleet) converge(w *writer, at *keeper.Keeper) (time.Duration, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), convergeTimeout)
 	defer cancel()
@@ -132,17 +138,17 @@
 	accepted := time.Now()
 	done := make(chan bool, len(f.routers))
 	for _, r := range f.routers {
-		go func() { done <- r.waitFor(ctx, version) }()
+		go func() { done <- r.waitForVersion(ctx, version) }()
 	}
 	for range f.routers {
 		if !<-done {
-			return 0, fmt.Errorf("version %d was not in force everywhere within %v", version, convergeTimeout)
+			return 0, fmt.Errorf("version %d was not in force at every router within %v", version, convergeTimeout)
 		}
 	}
 	return time.Since(accepted), nil
 }
 
-func (r *routerDaemon) waitFor(ctx context.Context, version uint64) bool {
+func (r *routerDaemon) waitForVersion(ctx context.Context, version uint64) bool {
 	for {
 		changed := r.Changed()
 		if r.HighestVersion() >= version {
--- a/internal/tools/spreadbench/fleet.go
+++ b/internal/tools/spreadbench/fleet.go
@@ -23,13 +23,13 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/standin/platform"
 )
 
-// failureDomains of the fleet.
+// failureDomains is the number of failure domains of the fleet.
 const failureDomains = 3
 
-// startTimeout bounds the start of a fleet.
+// startTimeout bounds the start of a fleet and the spread of its endpoints.
 const startTimeout = 60 * time.Second
 
-// daemon is what routers and keepers have in common here.
+// daemon holds the traffic meter and the gate of a router or keeper.
 type daemon struct {
 	meter meter
 	gate  *gate
@@ -46,7 +46,8 @@
 	*grpcpeer.View
 }
 
-// fleet is a whole system in this process.
+// fleet is a complete system in this process: the platform stand-in, keepers
+// and routers.
 type fleet struct {
 	platform *platform.Platform
 	server   *httptest.Server
@@ -59,17 +60,19 @@
 	prober   keeper.EndpointProber
 }
 
-func quiet() *log.Logger {
+func discardLogger() *log.Logger {
 	return &log.Logger{Level: log.ErrorLevel, Writer: &log.IOWriter{Writer: io.Discard}}
 }
 
-// startFleet starts all and waits until every router is synced.
+// startFleet starts a fleet without endpoint probes and waits until every router
+// and keeper is synced.
 func startFleet(keepers, routers int) (*fleet, error) {
-	return startFleetWith(keepers, routers, nil)
+	return startFleetWithProber(keepers, routers, nil)
 }
 
-// startFleetWith lets the keepers probe endpoints.
-func startFleetWith(keepers, routers int, prober keeper.EndpointProber) (*fleet, error) {
+// startFleetWithProber starts a fleet whose keepers probe endpoints with prober,
+// and waits until every router and keeper is synced.
+func startFleetWithProber(keepers, routers int, prober keeper.EndpointProber) (*fleet, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	f := &fleet{prober: prober, platform: platform.New(platform.DefaultOptions()), cancel: cancel}
 	f.server = httptest.NewServer(f.platform)
@@ -88,8 +91,8 @@
 	for i := range routers {
 		f.startRouter(ctx, i, addresses)
 	}
-	// A router waits for an endpoint before it serves.
-	if err := f.putHosts(1); err != nil {
+	// A router waits for an endpoint before it is synced.
+	if err := f.putEndpoints(1); err != nil {
 		return nil, err
 	}
 	return f, f.waitSynced()
@@ -99,13 +102,13 @@
 	k := &keeperDaemon{daemon: daemon{gate: newGate()}, address: l.Addr().String()}
 	k.Keeper = keeper.New(keeper.Options{
 		Self: port.Member{
-			ID: fmt.Sprintf("keeper-%03d", i), Host: "127.0.0.1", FailureDomain: domain(i),
+			ID: fmt.Sprintf("keeper-%03d", i), Host: "127.0.0.1", FailureDomain: failureDomainName(i),
 			PeerAddress: k.address,
 		},
 		Keepers:     addresses,
 		Platform:    httpplatform.New(httpplatform.Options{BaseURL: f.server.URL}),
 		Prober:      f.prober,
-		Logger:      quiet(),
+		Logger:      discardLogger(),
 		Registry:    gometrics.NewRegistry(),
 		DialOptions: []grpc.DialOption{dialer(&k.meter, k.gate)},
 	})
@@ -122,17 +125,17 @@
 	r.View = grpcpeer.NewView(grpcpeer.ViewOptions{
 		Self: port.Member{
 			ID: fmt.Sprintf("router-%03d", i), Role: port.RoleRouter, Host: "127.0.0.1",
-			FailureDomain: domain(i), CallerAddress: "127.0.0.1:1", PeerAddress: "127.0.0.1:1",
+			FailureDomain: failureDomainName(i), CallerAddress: "127.0.0.1:1", PeerAddress: "127.0.0.1:1",
 		},
 		Keepers:     addresses,
-		Logger:      quiet(),
+		Logger:      discardLogger(),
 		DialOptions: []grpc.DialOption{dialer(&r.meter, r.gate)},
 	})
 	f.routers = append(f.routers, r)
 	f.group.Go(func() { _ = r.Run(ctx) })
 }
 
-func domain(i int) string { return fmt.Sprintf("domain-%d", i%failureDomains) }
+func failureDomainName(i int) string { return fmt.Sprintf("domain-%d", i%failureDomains) }
 
 func (f *fleet) waitSynced() error {
 	deadline := time.Now().Add(startTimeout)
@@ -142,7 +145,7 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	return fmt.Errorf("not all routers were synced within %v", startTimeout)
+	return fmt.Errorf("not all routers and keepers were synced within %v", startTimeout)
 }
 
 func (f *fleet) synced() bool {
@@ -171,7 +174,7 @@
 	f.server.Close()
 }
 
-func (f *fleet) faults(body string) error {
+func (f *fleet) setFaults(body string) error {
 	r, err := http.NewRequest(http.MethodPut, f.server.URL+"/standin/faults", strings.NewReader(body))
 	if err != nil {
 		return err
@@ -183,7 +186,7 @@
 	return res.Body.Close()
 }
 
-// writer revises records in turn.
+// writer writes new revisions of a fixed number of records in turn.
 type writer struct {
 	versions map[string]uint64
 	names    int
@@ -192,7 +195,7 @@
 
 func newWriter(names int) *writer { return &writer{versions: map[string]uint64{}, names: names} }
 
-// change writes the next revision at a keeper and returns its version.
+// change writes the next revision through a keeper and returns its version.
 func (w *writer) change(k *keeper.Keeper) (uint64, error) {
 	name := fmt.Sprintf("record-%d", w.count%w.names)
 	w.count++
--- a/internal/tools/spreadbench/leaving.go
+++ b/internal/tools/spreadbench/leaving.go
@@ -16,20 +16,20 @@
 )
 
 type leavingCommand struct {
-	Endpoints int `long:"endpoints" default:"60" description:"endpoints that leave, one after the other"`
+	Endpoints int `long:"endpoints" default:"60" description:"number of endpoints that leave one after the other"`
 	Keepers   int `long:"keepers" default:"6"`
 	Routers   int `long:"routers" default:"24"`
-	Pause     int `long:"pause-ms" default:"170" description:"pause between two leaves"`
+	Pause     int `long:"pause-ms" default:"170" description:"pause before the next endpoint leaves"`
 }
 
-// endpoints answers probes in place of real endpoints.
-type endpoints struct {
+// stubProber answers probes in place of real endpoints.
+type stubProber struct {
 	mu      sync.Mutex
 	leaving map[string]bool
 }
 
 // Load implements keeper.EndpointProber.
-func (e *endpoints) Load(_ context.Context, p port.Endpoint) (port.LoadReport, error) {
+func (e *stubProber) Load(_ context.Context, p port.Endpoint) (port.LoadReport, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	r := port.LoadReport{EndpointID: p.ID, Incarnation: 1, State: port.EndpointLive}
@@ -39,15 +39,16 @@
 	return r, nil
 }
 
-func (e *endpoints) leave(id string) {
+func (e *stubProber) setLeaving(id string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.leaving[id] = true
 }
 
-// Execute measures from an endpoint's own word to the last router that knows,
-// with the platform up and down. The list goes on showing the endpoint live,
-// and no router's own traffic helps: this is the slowest of the ways.
+// Execute measures the time from an endpoint's change to the leaving state until
+// every router has that state, with the platform up and down. The platform's
+// list still shows the endpoint as live and the routers send it no requests, so
+// the state spreads only through the keepers' probes, the slowest way.
 func (c *leavingCommand) Execute([]string) error {
 	table := tablewriter.NewWriter(os.Stdout)
 	table.Header("platform", "keepers", "routers", "leaves", "median ms", "p95 ms", "worst ms")
@@ -70,8 +71,8 @@
 }
 
 func (c *leavingCommand) run(down bool) ([]time.Duration, error) {
-	prober := &endpoints{leaving: map[string]bool{}}
-	f, err := startFleetWith(c.Keepers, c.Routers, prober)
+	prober := &stubProber{leaving: map[string]bool{}}
+	f, err := startFleetWithProber(c.Keepers, c.Routers, prober)
 	if err != nil {
 		return nil, err
 	}
@@ -80,7 +81,7 @@
 		return nil, err
 	}
 	if down {
-		if err := f.faults(`{"down":true}`); err != nil {
+		if err := f.setFaults(`{"down":true}`); err != nil {
 			return nil, err
 		}
 	}
@@ -88,7 +89,7 @@
 	for i := range c.Endpoints {
 		id := endpointID(i)
 		began := time.Now()
-		prober.leave(id)
+		prober.setLeaving(id)
 		if err := f.waitEndpoints(func(e *port.Endpoint) bool { return e.ID != id || e.State == port.EndpointLeaving }); err != nil {
 			return nil, err
 		}
@@ -100,11 +101,11 @@
 
 func endpointID(i int) string { return fmt.Sprintf("runner-%03d", i) }
 
-// putHosts puts endpoints on the platform's list.
-func (f *fleet) putHosts(n int) error {
+// putEndpoints sets the platform's list to n live endpoints.
+func (f *fleet) putEndpoints(n int) error {
 	lines := make([]string, n)
 	for i := range n {
-		lines[i] = fmt.Sprintf(`{"id":%q,"kind":"runner","pool":"p","address":"127.0.0.1:1","failure_domain":%q,"incarnation":1,"state":"live"}`, endpointID(i), domain(i))
+		lines[i] = fmt.Sprintf(`{"id":%q,"kind":"runner","pool":"p","address":"127.0.0.1:1","failure_domain":%q,"incarnation":1,"state":"live"}`, endpointID(i), failureDomainName(i))
 	}
 	r, err := http.NewRequest(http.MethodPut, f.server.URL+"/standin/hosts", strings.NewReader(`{"endpoints":[`+strings.Join(lines, ",")+`]}`))
 	if err != nil {
@@ -117,24 +118,24 @@
 	return res.Body.Close()
 }
 
-// listEndpoints puts endpoints on the list and waits until every router knows
-// them.
+// listEndpoints sets the platform's list to n endpoints and waits until every
+// router has them.
 func (f *fleet) listEndpoints(n int) error {
-	if err := f.putHosts(n); err != nil {
+	if err := f.putEndpoints(n); err != nil {
 		return err
 	}
 	deadline := time.Now().Add(startTimeout)
 	for time.Now().Before(deadline) {
-		known := true
+		complete := true
 		for _, r := range f.routers {
-			known = known && len(r.Endpoints()) == n
+			complete = complete && len(r.Endpoints()) == n
 		}
-		if known {
+		if complete {
 			return nil
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	return fmt.Errorf("not all routers know the endpoints within %v", startTimeout)
+	return fmt.Errorf("not all routers had the listed endpoints within %v", startTimeout)
 }
 
 // waitEndpoints waits until the condition holds for every endpoint at every
@@ -151,7 +152,7 @@
 			select {
 			case <-changed:
 			case <-timeout:
-				return fmt.Errorf("not known everywhere within %v", convergeTimeout)
+				return fmt.Errorf("not every router had the expected endpoint states within %v", convergeTimeout)
 			}
 		}
 	}
--- a/internal/tools/spreadbench/main.go
+++ b/internal/tools/spreadbench/main.go
@@ -1,7 +1,7 @@
-// Command spreadbench measures how records spread: the time from an accepted
-// change to the last router that has it in force, calls to the platform,
-// control bytes, and memory. All daemons run in this process and talk over
-// loopback; the platform is the stand-in.
+// Command spreadbench measures the distribution of records: the time from the
+// acceptance of a change until every router has it in force, the calls to the
+// platform, the control bytes and the memory. All daemons run in this process
+// and communicate over loopback; the platform is the stand-in.
 package main
 
 import (
@@ -13,11 +13,11 @@
 )
 
 type options struct {
-	Convergence convergenceCommand `command:"convergence" description:"time from accept to the last router in force"`
-	Calls       callsCommand       `command:"calls" description:"platform calls a second against the number of routers"`
-	Bytes       bytesCommand       `command:"bytes" description:"control bytes a second of each daemon"`
-	Leaving     leavingCommand     `command:"leaving" description:"time from an endpoint's leave to the last router that knows"`
-	Memory      memoryCommand      `command:"memory" description:"heap of each record, member and endpoint"`
+	Convergence convergenceCommand `command:"convergence" description:"time from the acceptance of a change until every router has it in force"`
+	Calls       callsCommand       `command:"calls" description:"platform calls per second for several numbers of routers"`
+	Bytes       bytesCommand       `command:"bytes" description:"control bytes per second of each daemon"`
+	Leaving     leavingCommand     `command:"leaving" description:"time from an endpoint's change to leaving until every router has it"`
+	Memory      memoryCommand      `command:"memory" description:"heap bytes per record, member and endpoint"`
 }
 
 func main() {
--- a/internal/tools/spreadbench/memory.go
+++ b/internal/tools/spreadbench/memory.go
@@ -16,7 +16,8 @@
 	Entries int `long:"entries" default:"20000"`
 }
 
-// Execute fills one table at a time and reads the heap.
+// Execute fills a node with one kind of entry at a time and measures the heap
+// bytes per entry.
 func (c *memoryCommand) Execute([]string) error {
 	table := tablewriter.NewWriter(os.Stdout)
 	table.Header("entry", "count", "heap bytes each")
@@ -27,11 +28,11 @@
 		{"record", putRecord}, {"endpoint", putEndpoint}, {"member", putMember},
 	} {
 		n := node.New()
-		before := heap()
+		before := heapBytes()
 		for i := range c.Entries {
 			kind.put(n, i)
 		}
-		each := float64(heap()-before) / float64(c.Entries)
+		each := float64(heapBytes()-before) / float64(c.Entries)
 		runtime.KeepAlive(n)
 		if err := table.Append(kind.name, c.Entries, fmt.Sprintf("%.0f", each)); err != nil {
 			return err
@@ -40,7 +41,7 @@
 	return table.Render()
 }
 
-func heap() uint64 {
+func heapBytes() uint64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
