--- a/internal/tools/claimbench/main.go
+++ b/internal/tools/claimbench/main.go
@@ -1,7 +1,8 @@
-// Command claimbench measures what at-most-once claims cost: platform writes
-// for each claim and the time they add to a call, at several rates, and the
-// size of a shard. All daemons run in this process and talk over loopback;
-// the platform is the stand-in with a reply time of its own.
+// Command claimbench measures the cost of at-most-once claims: the platform
+// writes per claim and the latency added to a call at several rates, the size of
+// a shard, and the rate of claims that one shard sustains. For the rates, all
+// daemons run in this process and communicate over loopback, with the platform
+// stand-in set to a configurable reply time.
 package main
 
 import (
@@ -13,9 +14,9 @@
 )
 
 type options struct {
-	Rates     ratesCommand     `command:"rates" description:"writes for each claim and added time, at several rates"`
+	Rates     ratesCommand     `command:"rates" description:"writes per claim and added latency at several rates"`
 	Sizes     sizesCommand     `command:"sizes" description:"bytes, memory and processor time of a shard at several sizes"`
-	Sustained sustainedCommand `command:"sustained" description:"what one shard carries for ever, with and without sealed parts"`
+	Sustained sustainedCommand `command:"sustained" description:"rate of claims that one shard sustains, with and without sealed parts"`
 }
 
 func main() {
--- a/internal/tools/claimbench/rates.go
+++ b/internal/tools/claimbench/rates.go
@@ -18,18 +18,18 @@
 )
 
 type ratesCommand struct {
-	Rates    []float64     `long:"rate" default:"1" default:"10" default:"100" default:"1000" description:"claims a second over all routers"`
-	For      time.Duration `long:"for" default:"15s" description:"time at each rate"`
-	Warm     time.Duration `long:"warm" default:"1s" description:"time before the counting starts"`
+	Rates    []float64     `long:"rate" default:"1" default:"10" default:"100" default:"1000" description:"claims per second over all routers"`
+	For      time.Duration `long:"for" default:"15s" description:"duration of the measurement at each rate"`
+	Warm     time.Duration `long:"warm" default:"1s" description:"warm-up time before the measurement"`
 	Keepers  int           `long:"keepers" default:"2"`
 	Routers  int           `long:"routers" default:"6"`
 	Shards   int           `long:"shards" default:"16"`
-	SlowMs   int           `long:"platform-ms" default:"3" description:"the platform's own reply time"`
-	Writes   float64       `long:"writes-per-second" default:"100" description:"the pace of all keepers together"`
+	SlowMs   int           `long:"platform-ms" default:"3" description:"reply time of the platform in milliseconds"`
+	Writes   float64       `long:"writes-per-second" default:"100" description:"rate limit of the writes of all keepers together"`
 	Platform float64       `long:"platform-writes" default:"400" description:"the platform's rate limit of writes"`
 }
 
-// Execute measures each rate on a system of its own.
+// Execute measures each rate on a new system.
 func (c *ratesCommand) Execute([]string) error {
 	table := tablewriter.NewWriter(os.Stdout)
 	table.Header("claims/s", "claims", "refused", "writes", "writes/claim", "conflicts", "reads",
@@ -46,10 +46,10 @@
 	return table.Render()
 }
 
-// sample is what one rate gave. Times are in microseconds.
+// sample holds the measurements of one rate. Times are in microseconds.
 type sample struct {
 	mu        sync.Mutex
-	plain     *hdrhistogram.Histogram
+	unclaimed *hdrhistogram.Histogram
 	claimed   *hdrhistogram.Histogram
 	added     *hdrhistogram.Histogram
 	granted   atomic.Int64
@@ -61,7 +61,7 @@
 
 func newSample() *sample {
 	return &sample{
-		plain: hdrhistogram.New(1, maxMicros, 3), claimed: hdrhistogram.New(1, maxMicros, 3),
+		unclaimed: hdrhistogram.New(1, maxMicros, 3), claimed: hdrhistogram.New(1, maxMicros, 3),
 		added: hdrhistogram.New(1, maxMicros, 3),
 	}
 }
@@ -69,7 +69,7 @@
 func (s *sample) record(h *hdrhistogram.Histogram, d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	// A value past the limit is as good as the limit here.
+	// Longer times are recorded as maxMicros.
 	_ = h.RecordValue(min(d.Microseconds(), maxMicros))
 }
 
@@ -93,43 +93,44 @@
 	}
 	claims := s.granted.Load()
 	writes := after.Writes - before.Writes
-	plain, claimed := s.plain.ValueAtQuantile(50), s.claimed.ValueAtQuantile(50)
+	unclaimed, claimed := s.unclaimed.ValueAtQuantile(50), s.claimed.ValueAtQuantile(50)
 	return []any{
 		rate, claims, s.refused.Load(), writes, fmt.Sprintf("%.3f", float64(writes)/float64(max(claims, 1))),
 		after.Conflicts - before.Conflicts, after.Reads - before.Reads,
-		millis(plain), millis(claimed), fmt.Sprintf("%.1f", float64(claimed)/float64(max(plain, 1))),
+		millis(unclaimed), millis(claimed), fmt.Sprintf("%.1f", float64(claimed)/float64(max(unclaimed, 1))),
 		millis(s.added.ValueAtQuantile(50)), millis(s.added.ValueAtQuantile(95)), millis(s.added.ValueAtQuantile(99)),
 	}, nil
 }
 
 func millis(micros int64) string { return fmt.Sprintf("%.2f", float64(micros)/1000) }
 
-// drive starts claims at an even pace, each beside an unclaimed call, and
+// drive starts pairs of an unclaimed and a claimed call at a constant rate and
 // waits for all of them.
 func (c *ratesCommand) drive(sys *system, s *sample, rate float64, d time.Duration) {
 	var wait sync.WaitGroup
-	pace := time.NewTicker(time.Duration(float64(time.Second) / rate))
-	defer pace.Stop()
+	ticker := time.NewTicker(time.Duration(float64(time.Second) / rate))
+	defer ticker.Stop()
 	end := time.After(d)
 	for n := 0; ; n++ {
 		select {
 		case <-end:
 			wait.Wait()
-			// Outcomes are written a little later; they count too.
+			// Outcomes are written with a delay, and these writes count too.
 			time.Sleep(3 * time.Second)
 			return
-		case <-pace.C:
-			wait.Go(func() { sys.one(s, n) })
+		case <-ticker.C:
+			wait.Go(func() { sys.callPair(s, n) })
 		}
 	}
 }
 
-// one makes an unclaimed and a claimed call to the service.
-func (sys *system) one(s *sample, n int) {
+// callPair makes an unclaimed and then a claimed call to the service and records
+// their times.
+func (sys *system) callPair(s *sample, n int) {
 	client := sys.clients[n%len(sys.clients)]
 	start := time.Now()
-	sys.call()
-	plain := time.Since(start)
+	sys.callService()
+	unclaimed := time.Since(start)
 	e := port.ClaimEntry{
 		KeyHash: claim.KeyHash(uuid.New()), AttemptID: uuid.NewString(),
 		RequestID: fmt.Sprintf("router-%d.%s", n%len(sys.clients), uuid.NewString()),
@@ -143,8 +144,8 @@
 		}
 		return
 	}
-	sys.call()
-	whole := time.Since(start)
+	sys.callService()
+	claimed := time.Since(start)
 	client.Settle(port.ClaimState{
 		KeyHash: e.KeyHash, RequestID: e.RequestID, AttemptID: e.AttemptID, Outcome: port.ClaimDone, StatusCode: http.StatusOK,
 	})
@@ -152,7 +153,7 @@
 		return
 	}
 	s.granted.Add(1)
-	s.record(s.plain, plain)
-	s.record(s.claimed, whole)
+	s.record(s.unclaimed, unclaimed)
+	s.record(s.claimed, claimed)
 	s.record(s.added, added)
 }
--- a/internal/tools/claimbench/sizes.go
+++ b/internal/tools/claimbench/sizes.go
@@ -19,7 +19,8 @@
 
 var limits = claim.Limits{MaxBytes: 1 << 30, Retention: time.Hour, TombstoneRetention: 24 * time.Hour, NotRunMemory: time.Minute}
 
-// Execute fills shards with claims, then lets them expire.
+// Execute measures shards of several sizes, first filled with claims and then
+// with the tombstones of the expired claims.
 func (c *sizesCommand) Execute([]string) error {
 	table := tablewriter.NewWriter(os.Stdout)
 	table.Header("claims", "value bytes", "bytes/claim", "heap bytes/claim", "one commit, ms", "commit ns/claim",
@@ -38,10 +39,10 @@
 
 func measureSize(n int) ([]any, error) {
 	now := time.Now()
-	before := heap()
+	before := heapBytes()
 	s := claim.NewShard()
 	fill(s, n, now)
-	perClaim := float64(int64(heap())-int64(before)) / float64(n)
+	perClaim := float64(int64(heapBytes())-int64(before)) / float64(n)
 	value, err := s.EncodeValue()
 	if err != nil {
 		return nil, err
@@ -51,30 +52,30 @@
 		return nil, err
 	}
 	size := len(value)
-	before = heap()
+	before = heapBytes()
 	expired, err := claim.DecodeValue(value)
 	if err != nil {
 		return nil, err
 	}
 	expired.Prune(now.Add(3*time.Hour), &limits)
-	perTombstone := float64(int64(heap())-int64(before)) / float64(n)
+	perTombstone := float64(int64(heapBytes())-int64(before)) / float64(n)
 	runtime.KeepAlive(value)
-	tombs, err := expired.EncodeValue()
+	tombstones, err := expired.EncodeValue()
 	if err != nil {
 		return nil, err
 	}
 	runtime.KeepAlive(s)
 	runtime.KeepAlive(expired)
 	return []any{
-		n, size, ratio(size, n), fmt.Sprintf("%.0f", perClaim),
+		n, size, bytesEach(size, n), fmt.Sprintf("%.0f", perClaim),
 		fmt.Sprintf("%.2f", commit.Seconds()*1000), fmt.Sprintf("%.0f", float64(commit.Nanoseconds())/float64(n)),
-		len(tombs), ratio(len(tombs), n), fmt.Sprintf("%.0f", perTombstone),
+		len(tombstones), bytesEach(len(tombstones), n), fmt.Sprintf("%.0f", perTombstone),
 	}, nil
 }
 
-func ratio(bytes, n int) string { return fmt.Sprintf("%.1f", float64(bytes)/float64(n)) }
+func bytesEach(bytes, n int) string { return fmt.Sprintf("%.1f", float64(bytes)/float64(n)) }
 
-// fill adds settled claims as routers name them.
+// fill adds n settled claims whose request IDs have the format of the routers.
 func fill(s *claim.Shard, n int, now time.Time) {
 	for i := range n {
 		e := port.ClaimEntry{
@@ -89,7 +90,8 @@
 	}
 }
 
-// timeCommit is a keeper's own work for one write: copy, prune, claim, encode.
+// timeCommit returns the processing time of a keeper for one write: copy, prune,
+// claim and encode.
 func timeCommit(s *claim.Shard, now time.Time) (time.Duration, error) {
 	const rounds = 20
 	start := time.Now()
@@ -104,7 +106,7 @@
 	return time.Since(start) / rounds, nil
 }
 
-func heap() uint64 {
+func heapBytes() uint64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
--- a/internal/tools/claimbench/sustained.go
+++ b/internal/tools/claimbench/sustained.go
@@ -19,16 +19,17 @@
 )
 
 type sustainedCommand struct {
-	Rates []float64     `long:"rate" default:"0.5" default:"0.7" default:"0.75" default:"1" default:"1.5" default:"1.9" default:"2" default:"2.2" default:"2.5" description:"claims a second at one shard"`
-	For   time.Duration `long:"for" default:"27h" description:"time on the clock that the claims are dated by"`
-	Group time.Duration `long:"group" default:"1m" description:"claims of this long make one write"`
+	Rates []float64     `long:"rate" default:"0.5" default:"0.7" default:"0.75" default:"1" default:"1.5" default:"1.9" default:"2" default:"2.2" default:"2.5" description:"claims per second at one shard"`
+	For   time.Duration `long:"for" default:"27h" description:"simulated time of the claims"`
+	Group time.Duration `long:"group" default:"1m" description:"simulated time whose claims are combined into one write"`
 }
 
-// noSealing keeps all tombstones in the shard, as before sealed parts.
+// noSealing is the seal size that disables sealed parts: all tombstones stay in
+// the shard.
 const noSealing = -1
 
 // Execute fills one shard at each rate, with and without sealed parts, on a
-// clock of its own and a platform in memory.
+// simulated clock and an in-memory platform.
 func (c *sustainedCommand) Execute([]string) error {
 	table := tablewriter.NewWriter(os.Stdout)
 	table.Header("claims/s", "sealed parts", "claims", "refused", "head value bytes", "parts", "all value bytes",
@@ -57,11 +58,11 @@
 		Limits: claim.Limits{SealBytes: sealBytes},
 	}
 	store := claimstore.New(options)
-	asked, refused, due := 0, 0, 0.0
+	sent, refused, due := 0, 0, 0.0
 	for end := now.Add(c.For); now.Before(end); now = now.Add(c.Group) {
 		due += rate * c.Group.Seconds()
-		entries := newEntries(int(due) - asked)
-		asked += len(entries)
+		entries := newEntries(int(due) - sent)
+		sent += len(entries)
 		for _, r := range store.Claim(context.Background(), entries) {
 			if r.Verdict != port.ClaimGranted {
 				refused++
@@ -70,10 +71,10 @@
 	}
 	written := gometrics.GetOrRegisterCounter("claims_platform_written_bytes", registry).Count()
 	writes := gometrics.GetOrRegisterCounter("claims_platform_writes_count", registry).Count()
-	cold, err := timeCold(&options)
+	cold, err := timeColdSettle(&options)
 	head, parts, all := p.sizes()
 	return []any{
-		rate, sealBytes != noSealing, asked, refused, head, parts, all, fmt.Sprintf("%.0f", float64(written)/float64(asked)),
+		rate, sealBytes != noSealing, sent, refused, head, parts, all, fmt.Sprintf("%.0f", float64(written)/float64(sent)),
 		writes, fmt.Sprintf("%.1f", cold.Seconds()*1000),
 	}, err
 }
@@ -89,9 +90,9 @@
 	return entries
 }
 
-// timeCold is the first settlement of a keeper that has read nothing yet; the
-// platform's reply time is not in it.
-func timeCold(o *claimstore.Options) (time.Duration, error) {
+// timeColdSettle returns the time of the first settlement of a keeper that has
+// not read the shard yet. The in-memory platform adds no reply time.
+func timeColdSettle(o *claimstore.Options) (time.Duration, error) {
 	fresh := *o
 	fresh.Metrics = gometrics.NewRegistry()
 	fresh.SettleDelay = time.Nanosecond
@@ -113,7 +114,8 @@
 
 func newMemoryPlatform() *memoryPlatform { return &memoryPlatform{objects: map[string]port.Object{}} }
 
-// sizes are the stored bytes of the head, and of all objects with the head.
+// sizes returns the stored bytes of the shard's head, the number of its sealed
+// parts, and the stored bytes of both together.
 func (p *memoryPlatform) sizes() (head, parts, all int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/tools/claimbench/system.go
+++ b/internal/tools/claimbench/system.go
@@ -19,8 +19,8 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/standin/platform"
 )
 
-// system is a platform stand-in, a service, keepers and routers' claim
-// clients in this process.
+// system holds a platform stand-in, a service, keepers and the routers' claim
+// clients, all in this process.
 type system struct {
 	platformURL string
 	serviceURL  string
@@ -29,7 +29,8 @@
 	closers     []func()
 }
 
-// keeper joins the claim methods with the rest of the service.
+// keeper serves the claim methods of the keeper service. The other methods are
+// unimplemented.
 type keeper struct {
 	peerv1.UnimplementedKeeperServer
 	claims *grpcclaim.Server
@@ -55,7 +56,7 @@
 	if sys.platformURL, err = sys.serveHTTP(platform.New(o)); err != nil {
 		return nil, err
 	}
-	if err := sys.slow(c.SlowMs); err != nil {
+	if err := sys.setPlatformDelay(c.SlowMs); err != nil {
 		return nil, err
 	}
 	sys.serviceURL, err = sys.serveHTTP(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) }))
@@ -105,7 +106,7 @@
 	return l.Addr().String(), nil
 }
 
-func (s *system) slow(ms int) error {
+func (s *system) setPlatformDelay(ms int) error {
 	body := strings.NewReader(fmt.Sprintf(`{"slow_ms":%d}`, ms))
 	r, err := http.NewRequest(http.MethodPut, s.platformURL+"/standin/faults", body)
 	if err != nil {
@@ -118,8 +119,8 @@
 	return res.Body.Close()
 }
 
-// call is one call to the service.
-func (s *system) call() {
+// callService makes one call to the service and ignores the result.
+func (s *system) callService() {
 	res, err := s.http.Post(s.serviceURL+"/entry", "application/json", strings.NewReader(`{"keg":1}`))
 	if err != nil {
 		return
@@ -128,7 +129,7 @@
 	_ = res.Body.Close()
 }
 
-// platformStats are the stand-in's counters.
+// platformStats holds the counters of the platform stand-in.
 type platformStats struct {
 	Writes    int64 `json:"writes"`
 	Reads     int64 `json:"reads"`
