--- a/internal/tools/demo/fleet.go
+++ b/internal/tools/demo/fleet.go
@@ -11,12 +11,14 @@
 	"github.com/dragonflyrail/dragonflyrail/platform/testfleet"
 )
 
-// fleetEvents is the length of the generations that outlive their runner.
+// fleetEvents is the number of events of a generation that is still streaming
+// when its runner leaves.
 const fleetEvents = 400
 
-// fleet shows entry daemons on the users' platform: a runner leaves with
-// generations on it, a daemon stops, the store falls silent.
-func (s *show) fleet(ctx context.Context, binDir, dir string) error {
+// runFleet demonstrates entry daemons on the users' platform: a runner leaves
+// during generations, the store stops answering, and a daemon stops during a
+// generation.
+func (s *show) runFleet(ctx context.Context, binDir, dir string) error {
 	if err := os.Mkdir(dir, 0o755); err != nil {
 		return err
 	}
@@ -25,62 +27,62 @@
 		return err
 	}
 	defer f.Kill()
-	s.note("entry daemons on the users' platform", fmt.Sprintf("%d, %d runners", len(f.Daemons), len(f.Runners())), true)
+	s.addRow("entry daemons on the users' platform", fmt.Sprintf("%d, %d runners", len(f.Daemons), len(f.Runners())), true)
 	c := f.NewCaller()
 	defer c.Close()
-	s.outlive(ctx, f, c)
-	s.storeAway(ctx, f, c)
-	s.stopDaemon(ctx, f, c)
-	s.whyAttempt(ctx, f)
+	s.streamDuringLeave(ctx, f, c)
+	s.callDuringStoreOutage(ctx, f, c)
+	s.streamDuringStop(ctx, f, c)
+	s.explainRemotely(ctx, f)
 	return nil
 }
 
-// outlive streams from every daemon while a runner is told to leave.
-func (s *show) outlive(ctx context.Context, f *testfleet.Fleet, c *testfleet.Caller) {
+// streamDuringLeave streams from every daemon while a runner is terminated.
+func (s *show) streamDuringLeave(ctx context.Context, f *testfleet.Fleet, c *testfleet.Caller) {
 	var wait sync.WaitGroup
-	begun := make(chan struct{})
+	started := make(chan struct{})
 	var once sync.Once
 	const streams = 6
-	whole := make([]bool, streams)
+	complete := make([]bool, streams)
 	for i := range streams {
 		r := &testfleet.Request{
 			ID: fmt.Sprint("report-", i), Kind: testfleet.Generation, Events: fleetEvents,
 			OnEvent: func(n int) {
 				if n == fleetEvents/10 {
-					once.Do(func() { close(begun) })
+					once.Do(func() { close(started) })
 				}
 			},
 		}
-		wait.Go(func() { whole[i] = c.Ask(ctx, f.Daemons[i%len(f.Daemons)].Callers, r).Whole(r) })
+		wait.Go(func() { complete[i] = c.Ask(ctx, f.Daemons[i%len(f.Daemons)].Callers, r).Whole(r) })
 	}
 	select {
-	case <-begun:
+	case <-started:
 	case <-ctx.Done():
 	}
 	err := f.Runners()[0].Terminate()
 	wait.Wait()
 	n := 0
-	for _, w := range whole {
+	for _, w := range complete {
 		if w {
 			n++
 		}
 	}
-	s.note("generations while a runner leaves", fmt.Sprintf("%d of %d whole", n, streams), err == nil && n == streams)
+	s.addRow("generations while a runner leaves", fmt.Sprintf("%d of %d whole", n, streams), err == nil && n == streams)
 }
 
-// storeAway calls a daemon while the store doesn't answer.
-func (s *show) storeAway(ctx context.Context, f *testfleet.Fleet, c *testfleet.Caller) {
+// callDuringStoreOutage calls a daemon while the store doesn't answer.
+func (s *show) callDuringStoreOutage(ctx context.Context, f *testfleet.Fleet, c *testfleet.Caller) {
 	err := f.SetStoreFaults(ctx, standin.StoreFaults{Silent: true})
 	r := &testfleet.Request{ID: "call-1", Kind: testfleet.Once}
 	a := c.Ask(ctx, f.Daemons[1].Callers, r)
-	s.note("call while the store is silent", fmt.Sprintf("status %d", a.Status), err == nil && a.Whole(r))
+	s.addRow("call while the store is silent", fmt.Sprintf("status %d", a.Status), err == nil && a.Whole(r))
 	if err := f.SetStoreFaults(ctx, standin.StoreFaults{}); err != nil {
-		s.note("the store is back", err.Error(), false)
+		s.addRow("the store is back", err.Error(), false)
 	}
 }
 
-// stopDaemon stops a daemon that streams.
-func (s *show) stopDaemon(ctx context.Context, f *testfleet.Fleet, c *testfleet.Caller) {
+// streamDuringStop terminates a daemon while it streams a generation.
+func (s *show) streamDuringStop(ctx context.Context, f *testfleet.Fleet, c *testfleet.Caller) {
 	d := f.Daemons[2]
 	r := &testfleet.Request{ID: "report-last", Kind: testfleet.Generation, Events: fleetEvents / 2}
 	var stopped error
@@ -90,15 +92,16 @@
 		}
 	}
 	a := c.Ask(ctx, d.Callers, r)
-	s.note("generation of a daemon that is stopped", fmt.Sprintf("%d bytes", len(a.Body)), stopped == nil && a.Whole(r))
+	s.addRow("generation of a daemon that is stopped", fmt.Sprintf("%d bytes", len(a.Body)), stopped == nil && a.Whole(r))
 }
 
-// whyAttempt asks why at a daemon that did not serve the request.
-func (s *show) whyAttempt(ctx context.Context, f *testfleet.Fleet) {
+// explainRemotely runs "dragonflyctl why" at a daemon for a request that another
+// daemon served.
+func (s *show) explainRemotely(ctx context.Context, f *testfleet.Fleet) {
 	out, err := f.Ctl(ctx, f.Daemons[0], "why", "request", "report-1")
 	seen := fmt.Sprintf("%d lines", strings.Count(string(out), "\n"))
 	if err != nil {
 		seen = err.Error()
 	}
-	s.note("why, for a generation there", seen, err == nil && strings.Contains(string(out), "runner-"))
+	s.addRow("why, for a generation there", seen, err == nil && strings.Contains(string(out), "runner-"))
 }
--- a/internal/tools/demo/show.go
+++ b/internal/tools/demo/show.go
@@ -25,20 +25,20 @@
 
 type showCommand struct {
 	BinDir string `long:"bin" default:"bin" description:"directory of the binaries"`
-	Keep   bool   `long:"keep-logs" description:"keep the logs and name their directory"`
+	Keep   bool   `long:"keep-logs" description:"keep the logs and print their directory"`
 }
 
-// show is the demo under way.
+// show holds the system of a running demo and the table of its results.
 type show struct {
-	system *procs.System
-	client *caller.Client
-	table  *tablewriter.Table
-	amiss  int
+	system     *procs.System
+	client     *caller.Client
+	table      *tablewriter.Table
+	unexpected int
 
 	mu sync.Mutex
 }
 
-// Execute runs the demo; its error makes the command fail.
+// Execute runs the demo. It returns an error if a step had an unexpected result.
 func (c *showCommand) Execute([]string) error {
 	dir, err := os.MkdirTemp("", "dragonflyrail-demo-")
 	if err != nil {
@@ -49,7 +49,7 @@
 	} else {
 		defer os.RemoveAll(dir)
 	}
-	ctx, cancel := interruptible(showTimeout)
+	ctx, cancel := interruptContext(showTimeout)
 	defer cancel()
 	started := time.Now()
 	system, err := procs.Launch(ctx, procs.DemoLayout(c.BinDir, dir))
@@ -63,15 +63,15 @@
 	if err := s.run(ctx); err != nil {
 		return err
 	}
-	if err := s.fleet(ctx, c.BinDir, filepath.Join(dir, "fleet")); err != nil {
+	if err := s.runFleet(ctx, c.BinDir, filepath.Join(dir, "fleet")); err != nil {
 		return err
 	}
 	if err := s.table.Render(); err != nil {
 		return err
 	}
 	fmt.Printf("%.1f s in all\n", time.Since(started).Seconds())
-	if s.amiss > 0 {
-		return fmt.Errorf("%d of the steps went amiss", s.amiss)
+	if s.unexpected > 0 {
+		return fmt.Errorf("%d of the steps had an unexpected result", s.unexpected)
 	}
 	return nil
 }
@@ -80,7 +80,7 @@
 	if err := s.system.WriteRecords(ctx, procs.DemoRecords()); err != nil {
 		return err
 	}
-	s.note("records written with dragonflyctl", fmt.Sprint(len(procs.DemoRecords())), true)
+	s.addRow("records written with dragonflyctl", fmt.Sprint(len(procs.DemoRecords())), true)
 	s.client = s.system.Caller(procs.DemoOrganisation)
 	if err := s.system.WaitServing(ctx, s.client); err != nil {
 		return err
@@ -89,58 +89,58 @@
 	if err != nil {
 		return err
 	}
-	s.note("/v1/entry", fmt.Sprint(entry.Addresses), len(entry.Addresses) == len(s.system.Routers))
-	asked := s.generations(ctx, entry.Addresses)
-	s.ledgerEntry(ctx, entry.Addresses)
-	s.explain(ctx, asked)
-	s.decisionLines()
+	s.addRow("/v1/entry", fmt.Sprint(entry.Addresses), len(entry.Addresses) == len(s.system.Routers))
+	reportID := s.streamAll(ctx, entry.Addresses)
+	s.repeatLedgerCall(ctx, entry.Addresses)
+	s.explain(ctx, reportID)
+	s.checkDecisionLogs()
 	return nil
 }
 
-// note adds a line to the table.
-func (s *show) note(what, seen string, ok bool) {
+// addRow adds a row to the table and counts it as unexpected unless ok is set.
+func (s *show) addRow(what, seen string, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	mark := "yes"
 	if !ok {
 		mark = "NO"
-		s.amiss++
+		s.unexpected++
 	}
 	if err := s.table.Append(what, seen, mark); err != nil {
-		s.amiss++
+		s.unexpected++
 	}
 }
 
-// generations streams a long report and short queries at once through both
-// routers, and returns the report's request id.
-func (s *show) generations(ctx context.Context, addresses []string) string {
+// streamAll streams a long report and short queries concurrently through all
+// routers, and returns the report's request ID.
+func (s *show) streamAll(ctx context.Context, addresses []string) string {
 	var report string
 	var wait sync.WaitGroup
 	wait.Go(func() {
-		report = s.generation(ctx, "long report", addresses, reportTokens)
+		report = s.stream(ctx, "long report", addresses, reportTokens)
 	})
 	for i := range queries {
 		rotated := []string{addresses[i%len(addresses)], addresses[(i+1)%len(addresses)]}
-		wait.Go(func() { s.generation(ctx, fmt.Sprintf("short query %d", i+1), rotated, queryTokens) })
+		wait.Go(func() { s.stream(ctx, fmt.Sprintf("short query %d", i+1), rotated, queryTokens) })
 	}
 	wait.Wait()
 	return report
 }
 
-func (s *show) generation(ctx context.Context, what string, addresses []string, tokens int) string {
+func (s *show) stream(ctx context.Context, what string, addresses []string, tokens int) string {
 	answer, err := s.client.Stream(ctx, addresses, caller.Completion{
 		Model:  s.system.Layout.Model,
 		Prompt: "Kegs out and back, " + what + " " + engine.LengthDirective(tokens),
 	})
 	switch {
 	case err != nil:
-		s.note(what, err.Error(), false)
+		s.addRow(what, err.Error(), false)
 	case answer.Problem != nil:
-		s.note(what, answer.Problem.Reason, false)
+		s.addRow(what, answer.Problem.Reason, false)
 	default:
-		_, wrong := engine.CheckText(answer.Text)
+		_, textErr := engine.CheckText(answer.Text)
 		seen := fmt.Sprintf("%d tokens, first after %d ms, at %s", answer.Tokens, answer.FirstToken.Milliseconds(), addresses[0])
-		s.note(what, seen, wrong == nil && answer.Tokens == tokens)
+		s.addRow(what, seen, textErr == nil && answer.Tokens == tokens)
 	}
 	if answer == nil {
 		return ""
@@ -148,9 +148,9 @@
 	return answer.RequestID
 }
 
-// ledgerEntry makes one non-idempotent call twice with one key, at two
-// routers, and asks the service how often it ran.
-func (s *show) ledgerEntry(ctx context.Context, addresses []string) {
+// repeatLedgerCall makes a non-idempotent call twice with the same key, at two
+// routers, and checks that the service ran it once.
+func (s *show) repeatLedgerCall(ctx context.Context, addresses []string) {
 	call := &caller.ServiceCall{
 		Service: s.system.Layout.ServicePool, Path: "/ledger", Method: http.MethodPost,
 		Body: []byte(`{"bar":"Olypub","kegs":2}`), Key: "ledger-" + uuid.NewString(), NonIdempotent: true,
@@ -159,27 +159,28 @@
 		what := fmt.Sprintf("ledger entry, try %d", i+1)
 		reply, err := s.client.Service(ctx, address, call)
 		if err != nil {
-			s.note(what, err.Error(), false)
+			s.addRow(what, err.Error(), false)
 			continue
 		}
 		seen := fmt.Sprintf("status %d", reply.Status)
 		if reply.Problem != nil {
 			seen += ", " + string(reply.Problem.Outcome) + ": " + reply.Problem.Reason
 		}
-		// The second try is answered with the first one's reply, or with what
-		// became of it; it must not say that nothing ran.
+		// The second call gets the reply or the outcome of the first one. The
+		// outcome must not be not_run.
 		ran := reply.Problem == nil || reply.Problem.Outcome != "not_run"
-		s.note(what, seen, ran && (i > 0 || reply.Status == http.StatusOK))
+		s.addRow(what, seen, ran && (i > 0 || reply.Status == http.StatusOK))
 	}
 	runs, err := s.system.ServiceRuns(ctx)
-	s.note("runs of the ledger entry", fmt.Sprint(runs[call.Key]), err == nil && runs[call.Key] == 1)
+	s.addRow("runs of the ledger entry", fmt.Sprint(runs[call.Key]), err == nil && runs[call.Key] == 1)
 }
 
-// explain asks why, with dragonflyctl.
+// explain runs "dragonflyctl why" for the request and adds a row for each of its
+// decisions.
 func (s *show) explain(ctx context.Context, requestID string) {
 	decisions, err := s.system.Why(ctx, "request", requestID)
 	if err != nil {
-		s.note("why, for the report", err.Error(), false)
+		s.addRow("why, for the report", err.Error(), false)
 		return
 	}
 	for _, d := range decisions {
@@ -187,23 +188,24 @@
 		if len(d.Candidates) > 0 {
 			seen += fmt.Sprintf(" (%d candidates, configuration %d)", len(d.Candidates), d.ConfigurationVersion)
 		}
-		s.note("why, for the report", seen, d.Reason != "")
+		s.addRow("why, for the report", seen, d.Reason != "")
 	}
 	if len(decisions) == 0 {
-		s.note("why, for the report", "no decision known", false)
+		s.addRow("why, for the report", "no decision known", false)
 	}
 }
 
-// decisionLines checks that the routers logged their decisions as JSON lines.
-func (s *show) decisionLines() {
-	placed, whole := 0, true
+// checkDecisionLogs checks that the routers logged their placement decisions as
+// JSON lines, each with a reason and candidates.
+func (s *show) checkDecisionLogs() {
+	placed, complete := 0, true
 	for _, router := range s.system.Routers {
 		for _, d := range router.Decisions() {
 			if d.Verdict == "place" {
 				placed++
-				whole = whole && d.Reason != "" && len(d.Candidates) > 0
+				complete = complete && d.Reason != "" && len(d.Candidates) > 0
 			}
 		}
 	}
-	s.note("placement decisions in the routers' logs", fmt.Sprint(placed), whole && placed >= queries+1)
+	s.addRow("placement decisions in the routers' logs", fmt.Sprint(placed), complete && placed >= queries+1)
 }
--- a/internal/tools/demo/updown.go
+++ b/internal/tools/demo/updown.go
@@ -23,8 +23,8 @@
 	downPoll   = 50 * time.Millisecond
 )
 
-// running is one line of the pid file.
-type running struct {
+// process is one entry of the PID file.
+type process struct {
 	Name   string `json:"name"`
 	PID    int    `json:"pid"`
 	Binary string `json:"binary"`
@@ -37,11 +37,11 @@
 	Example string `long:"example" default:"examples/kegsetu" description:"directory of the settings, records and system.json"`
 }
 
-// Execute starts the example and leaves it running.
+// Execute starts the example system and leaves it running.
 func (c *upCommand) Execute([]string) error {
 	path := filepath.Join(runDir, pidFile)
 	if _, err := os.Stat(path); err == nil {
-		return fmt.Errorf("%s is there: run `make down` first", path)
+		return fmt.Errorf("%s of an earlier start exists: run `make down` first", path)
 	}
 	if err := os.MkdirAll(runDir, 0o755); err != nil {
 		return err
@@ -54,7 +54,7 @@
 	if layout.BinDir, err = filepath.Abs(c.BinDir); err != nil {
 		return err
 	}
-	ctx, cancel := interruptible(upTimeout)
+	ctx, cancel := interruptContext(upTimeout)
 	defer cancel()
 	system, err := procs.Launch(ctx, layout)
 	if err != nil {
@@ -64,7 +64,7 @@
 		system.Stop()
 		return err
 	}
-	if err := c.bringIntoForce(ctx, system); err != nil {
+	if err := c.applyRecords(ctx, system); err != nil {
 		system.Stop()
 		return errors.Join(err, os.Remove(path))
 	}
@@ -75,9 +75,9 @@
 	return nil
 }
 
-// bringIntoForce writes the example's records and waits until every router
-// serves.
-func (c *upCommand) bringIntoForce(ctx context.Context, system *procs.System) error {
+// applyRecords writes the example's records and waits until every router serves
+// requests.
+func (c *upCommand) applyRecords(ctx context.Context, system *procs.System) error {
 	files, err := procs.Records(c.Example)
 	if err != nil {
 		return err
@@ -100,9 +100,9 @@
 }
 
 func writePIDs(path string, system *procs.System) error {
-	var list []running
+	var list []process
 	for _, d := range system.All() {
-		r := running{Name: d.ID, PID: d.PID(), Binary: d.Spec.Binary}
+		r := process{Name: d.ID, PID: d.PID(), Binary: d.Spec.Binary}
 		if d.Address != "" {
 			r.URL = d.URL()
 		}
@@ -120,7 +120,8 @@
 
 type downCommand struct{}
 
-// Execute stops what up started, by process id.
+// Execute stops the processes of the PID file. It sends SIGCONT and SIGTERM,
+// waits for downPeriod at most, and then sends SIGKILL to those that still run.
 func (c *downCommand) Execute([]string) error {
 	path := filepath.Join(runDir, pidFile)
 	raw, err := os.ReadFile(path)
@@ -131,7 +132,7 @@
 	if err != nil {
 		return err
 	}
-	var list []running
+	var list []process
 	if err := json.Unmarshal(raw, &list); err != nil {
 		return err
 	}
@@ -149,7 +150,7 @@
 	return os.Remove(path)
 }
 
-func anyAlive(list []running) bool {
+func anyAlive(list []process) bool {
 	for _, r := range list {
 		if r.alive() {
 			return true
@@ -158,15 +159,16 @@
 	return false
 }
 
-// alive checks the binary too: the id may belong to another process by now.
-func (r *running) alive() bool {
+// alive reports whether the process still runs. It compares the binary, because
+// the PID may have been reused by another process.
+func (r *process) alive() bool {
 	binary, err := os.Readlink(fmt.Sprintf("/proc/%d/exe", r.PID))
 	return err == nil && binary == r.Binary
 }
 
-func (r *running) signal(s syscall.Signal) {
+func (r *process) signal(s syscall.Signal) {
 	if r.alive() {
-		// It may end between the check and the signal.
+		// The process may end between the check and the signal.
 		_ = syscall.Kill(r.PID, s)
 	}
 }
