--- a/internal/tools/worthplot/draw.go
+++ b/internal/tools/worthplot/draw.go
@@ -10,16 +10,17 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Sizes of the plots.
+// Sizes of the plots. barWidth is in points.
 const (
-	width  = 26 * vg.Centimeter
-	height = 14 * vg.Centimeter
-	bar    = 7
-	// shownCauses bounds the causes that have a colour of their own.
-	shownCauses = 6
+	width    = 26 * vg.Centimeter
+	height   = 14 * vg.Centimeter
+	barWidth = 7
+	// maxCauses bounds the causes that are shown separately.
+	maxCauses = 6
 )
 
-// drawRounds draws the mean worth of the days with trouble over the rounds.
+// drawRounds plots the mean worth of the fault days of each round over time, one
+// line per deployment.
 func drawRounds(rounds []round, file string) error {
 	p := plot.New()
 	p.Title.Text = "Worth of the standard days with trouble, mean of each round"
@@ -29,10 +30,10 @@
 	bySite := map[string]plotter.XYs{}
 	for i := range rounds {
 		r := &rounds[i]
-		bySite[r.site] = append(bySite[r.site], plotter.XY{X: float64(r.at.Unix()), Y: r.mean()})
+		bySite[r.site] = append(bySite[r.site], plotter.XY{X: float64(r.at.Unix()), Y: r.meanWorth()})
 	}
 	var lines []any
-	for _, r := range newest(rounds) {
+	for _, r := range newestRounds(rounds) {
 		lines = append(lines, r.site, bySite[r.site])
 	}
 	if err := plotutil.AddLinePoints(p, lines...); err != nil {
@@ -41,13 +42,14 @@
 	return p.Save(width, height, file)
 }
 
-// loss is what a day lacks of all that could be earned, by cause.
+// loss is the difference of a day's worth to the maximum of 1, by cause.
 type loss struct {
 	day     string
 	byCause map[string]float64
 }
 
-// unserved is the cause of what was not served, or late; all else is a price.
+// unserved is the cause of the loss that no price of the day accounts for:
+// requests that were not served or were served late.
 const unserved = "not served, or late"
 
 func lossesOf(rounds []round) []loss {
@@ -55,19 +57,20 @@
 	for _, r := range rounds {
 		for _, d := range r.days {
 			l := loss{day: shortName(r.site) + " " + d.Name, byCause: map[string]float64{}}
-			rest := 1 - d.Worth
+			unexplained := 1 - d.Worth
 			for _, p := range d.Prices {
 				l.byCause[p.Cause] += p.Worth
-				rest -= p.Worth
+				unexplained -= p.Worth
 			}
-			l.byCause[unserved] = max(0, rest)
+			l.byCause[unserved] = max(0, unexplained)
 			out = append(out, l)
 		}
 	}
 	return out
 }
 
-// shortName keeps the first letters of a deployment's name.
+// shortName returns the first letter of each part of a deployment's name. Parts
+// are separated by dashes.
 func shortName(site string) string {
 	var out strings.Builder
 	for part := range strings.SplitSeq(site, "-") {
@@ -76,8 +79,9 @@
 	return out.String()
 }
 
-// largest names the causes that cost most over all days, and sums up the others.
-func largest(losses []loss) []string {
+// largestCauses returns the at most maxCauses causes with the highest loss over
+// all days, in descending order.
+func largestCauses(losses []loss) []string {
 	total := map[string]float64{}
 	for _, l := range losses {
 		for cause, worth := range l.byCause {
@@ -97,10 +101,10 @@
 		}
 		return strings.Compare(a, b)
 	})
-	return causes[:min(shownCauses, len(causes))]
+	return causes[:min(maxCauses, len(causes))]
 }
 
-// drawLosses draws a bar for each day, with a part for each cause.
+// drawLosses plots a stacked bar for each day, with a segment for each cause.
 func drawLosses(rounds []round, file string) error {
 	losses := lossesOf(rounds)
 	p := plot.New()
@@ -108,12 +112,12 @@
 	p.Y.Label.Text = "worth"
 	p.Legend.Top, p.Legend.Left = true, true
 	var below *plotter.BarChart
-	for i, cause := range append(largest(losses), "others") {
+	for i, cause := range append(largestCauses(losses), "others") {
 		values := make(plotter.Values, len(losses))
 		for n, l := range losses {
-			values[n] = l.of(cause, largest(losses))
+			values[n] = l.ofCause(cause, largestCauses(losses))
 		}
-		bars, err := plotter.NewBarChart(values, vg.Points(bar))
+		bars, err := plotter.NewBarChart(values, vg.Points(barWidth))
 		if err != nil {
 			return err
 		}
@@ -131,11 +135,12 @@
 	}
 	p.NominalX(names...)
 	p.X.Tick.Label.Rotation, p.X.Tick.Label.XAlign, p.X.Tick.Label.YAlign = 1.2, -1, -0.5
-	return p.Save(width+vg.Length(len(losses))*vg.Points(bar), height, file)
+	return p.Save(width+vg.Length(len(losses))*vg.Points(barWidth), height, file)
 }
 
-// of is what a cause has cost; "others" are those that are not shown.
-func (l *loss) of(cause string, shown []string) float64 {
+// ofCause returns the loss of a shown cause. For any other name it returns the
+// sum of all causes that are not shown.
+func (l *loss) ofCause(cause string, shown []string) float64 {
 	if slices.Contains(shown, cause) {
 		return l.byCause[cause]
 	}
--- a/internal/tools/worthplot/journal.go
+++ b/internal/tools/worthplot/journal.go
@@ -10,52 +10,54 @@
 	"time"
 )
 
-// errNoRounds: the journal holds no whole round.
-var errNoRounds = errors.New("no round of a deployment's standard days in the journal")
+// errNoRounds means that the journal has no complete round.
+var errNoRounds = errors.New("the journal has no complete round of a deployment's standard days")
 
-// entry is what is read of an entry of the journal.
+// entry holds the fields of a journal entry that the plots need.
 type entry struct {
 	Command string `json:"cmd"`
-	// At is when it was begun and ended, the latter empty where it was not.
+	// At holds the start and end times. The end is empty if the command did not
+	// end.
 	At   []string `json:"at"`
 	Site string   `json:"site"`
 	Days []day    `json:"days"`
 }
 
-// day is one day that was played.
+// day is the result of one test day.
 type day struct {
 	Name  string  `json:"name"`
 	Worth float64 `json:"G"`
-	// ByKind is the share of its worth that each kind of request earned, none for a
-	// kind that wasn't asked for.
+	// ByKind is the fraction of its maximum worth that each kind of request
+	// earned, nil for a kind without requests.
 	ByKind []*float64 `json:"by_class"`
 	Served float64    `json:"served"`
 	Prices []price    `json:"prices"`
 }
 
-// price is what one cause has cost, in worth.
+// price is the worth that one cause has cost.
 type price struct {
 	Cause string
 	Worth float64
 }
 
-// UnmarshalJSON reads a list of the cause, its amount and its worth.
+// UnmarshalJSON decodes a list of the cause, its amount and its worth.
 func (p *price) UnmarshalJSON(raw []byte) error {
 	var amount float64
 	return json.Unmarshal(raw, &[]any{&p.Cause, &amount, &p.Worth})
 }
 
-// round is one play of the standard days of a deployment.
+// round is one run of the standard days of a deployment.
 type round struct {
 	site string
 	at   time.Time
 	days []day
 }
 
-// drawnMark begins the names of days that were drawn for one play.
-const drawnMark = "fresh"
+// randomDayPrefix starts the names of the days that were generated at random for
+// a single run and are not standard days.
+const randomDayPrefix = "fresh"
 
-// readRounds reads the plays of standard days, in the order of their times.
+// readRounds reads the runs of standard days, in the order of their end times.
 func readRounds(files []string) ([]round, error) {
 	var out []round
 	for _, name := range files {
@@ -67,7 +69,7 @@
 		if err := json.Unmarshal(raw, &e); err != nil {
 			return nil, fmt.Errorf("%s: %w", name, err)
 		}
-		if r, whole := e.round(); whole {
+		if r, complete := e.round(); complete {
 			out = append(out, r)
 		}
 	}
@@ -78,8 +80,8 @@
 	return out, nil
 }
 
-// troubled is the number of standard days with trouble of a deployment.
-const troubled = 5
+// faultDays is the number of standard days with faults of a deployment.
+const faultDays = 5
 
 func (e *entry) round() (round, bool) {
 	r := round{site: e.Site}
@@ -92,15 +94,15 @@
 	}
 	r.at = at
 	for _, d := range e.Days {
-		if !strings.HasPrefix(d.Name, drawnMark) {
+		if !strings.HasPrefix(d.Name, randomDayPrefix) {
 			r.days = append(r.days, d)
 		}
 	}
-	return r, len(r.days) > troubled
+	return r, len(r.days) > faultDays
 }
 
-// mean is the mean worth of the days with trouble.
-func (r *round) mean() float64 {
+// meanWorth returns the mean worth of the days with faults.
+func (r *round) meanWorth() float64 {
 	sum, n := 0.0, 0
 	for _, d := range r.days {
 		if !strings.HasPrefix(d.Name, "quiet") {
@@ -111,8 +113,9 @@
 	return sum / float64(max(1, n))
 }
 
-// newest keeps the last round of each deployment, in the order of their names.
-func newest(rounds []round) []round {
+// newestRounds returns the last round of each deployment, sorted by deployment
+// name.
+func newestRounds(rounds []round) []round {
 	bySite := map[string]round{}
 	for _, r := range rounds {
 		bySite[r.site] = r
--- a/internal/tools/worthplot/main.go
+++ b/internal/tools/worthplot/main.go
@@ -1,6 +1,6 @@
-// Command worthplot draws from the journal of played days what callers' requests
-// were worth: for each deployment over the rounds, and for its newest round the
-// loss of each day by cause.
+// Command worthplot plots the worth of callers' requests from the journal of
+// test days: for each deployment the worth over the rounds, and for its
+// newest round the loss of each day by cause.
 package main
 
 import (
@@ -12,7 +12,7 @@
 )
 
 type options struct {
-	Journal string `long:"journal" default:"journal" description:"directory of the entries"`
+	Journal string `long:"journal" default:"journal" description:"directory of the journal entries"`
 	Rounds  string `long:"rounds" default:"docs/worth-by-round.svg" description:"plot of worth over the rounds"`
 	Losses  string `long:"losses" default:"docs/loss-by-day.svg" description:"plot of losses by day and cause"`
 }
@@ -40,5 +40,5 @@
 	if err := drawRounds(rounds, o.Rounds); err != nil {
 		return err
 	}
-	return drawLosses(newest(rounds), o.Losses)
+	return drawLosses(newestRounds(rounds), o.Losses)
 }
