--- a/internal/tools/knownred/main.go
+++ b/internal/tools/knownred/main.go
@@ -1,6 +1,7 @@
-// Command knownred runs `go test -json` and judges the result against
-// KNOWN-RED.txt: a listed test may fail and is printed, any other failure is
-// one, and a listed test that passes is a failure too, as its line is stale.
+// Command knownred runs `go test -json` and compares the result with
+// KNOWN-RED.txt. A listed test may fail and is printed. Any other failed test
+// makes the command fail, and so does a listed test that passes, because its
+// entry is stale.
 package main
 
 import (
@@ -15,11 +16,11 @@
 )
 
 const (
-	listFile = "KNOWN-RED.txt"
-	maxLines = 3
+	listFile   = "KNOWN-RED.txt"
+	maxEntries = 3
 )
 
-// event is one line of `go test -json`.
+// event is one line of the output of `go test -json`.
 type event struct {
 	Action     string
 	Package    string
@@ -29,7 +30,7 @@
 	Elapsed    float64
 }
 
-// result collects what the run said.
+// result collects the outcome of a test run, by test ID or package.
 type result struct {
 	output       map[string][]string
 	failed       []string
@@ -53,12 +54,13 @@
 		fmt.Fprintln(os.Stderr, "knownred:", err)
 		os.Exit(1)
 	}
-	if !judge(os.Stdout, known, res) {
+	if !evaluate(os.Stdout, known, res) {
 		os.Exit(1)
 	}
 }
 
-// readKnown returns the test ids ("package.Test") that open each line.
+// readKnown returns the test IDs ("package.Test") at the start of the lines. It
+// skips empty lines and comments, and returns none if the file does not exist.
 func readKnown(path string) ([]string, error) {
 	raw, err := os.ReadFile(path)
 	if os.IsNotExist(err) {
@@ -76,8 +78,8 @@
 		id, _, _ := strings.Cut(line, " ")
 		ids = append(ids, id)
 	}
-	if len(ids) > maxLines {
-		return nil, fmt.Errorf("%s has %d lines; %d at most", path, len(ids), maxLines)
+	if len(ids) > maxEntries {
+		return nil, fmt.Errorf("%s has %d entries; at most %d are allowed", path, len(ids), maxEntries)
 	}
 	return ids, nil
 }
@@ -93,8 +95,8 @@
 		return nil, err
 	}
 	res := collect(out)
-	// The exit code repeats what the events said; a run without any event
-	// did not test anything.
+	// A non-zero exit code is expected if a package failed. Without a failed
+	// package, the command itself failed.
 	waitErr := cmd.Wait()
 	if waitErr != nil && len(res.failedPkgs) == 0 {
 		return nil, fmt.Errorf("%s: %w", args[0], waitErr)
@@ -140,41 +142,41 @@
 	case "pass":
 		r.passed[id] = true
 		delete(r.output, id)
-		r.line(e, "ok  ")
+		r.addPackageLine(e, "ok  ")
 	case "fail":
 		if e.Test == "" {
 			r.failedPkgs[e.Package] = true
-			r.line(e, "FAIL")
+			r.addPackageLine(e, "FAIL")
 			return
 		}
 		r.failed = append(r.failed, id)
 	}
 }
 
-func (r *result) line(e *event, word string) {
+func (r *result) addPackageLine(e *event, status string) {
 	if e.Test == "" {
-		r.packageLines = append(r.packageLines, fmt.Sprintf("%s %s %.1fs", word, e.Package, e.Elapsed))
+		r.packageLines = append(r.packageLines, fmt.Sprintf("%s %s %.1fs", status, e.Package, e.Elapsed))
 	}
 }
 
-// judge prints the verdict and reports whether the run may pass.
-func judge(w io.Writer, known []string, r *result) bool {
+// evaluate prints the outcome and reports whether the run passes.
+func evaluate(w io.Writer, known []string, r *result) bool {
 	for _, line := range r.packageLines {
 		fmt.Fprintln(w, line)
 	}
 	ok := true
-	excused := map[string]bool{}
+	knownPackages := map[string]bool{}
 	for _, id := range r.failed {
-		if coveredBy(id, known, r.failed) {
+		if isKnown(id, known, r.failed) {
 			fmt.Fprintln(w, "KNOWN-RED:", id)
-			excused[packageOf(id)] = true
+			knownPackages[packageOf(id)] = true
 			continue
 		}
 		ok = false
 		fmt.Fprintf(w, "--- FAIL: %s\n%s", id, strings.Join(r.output[id], ""))
 	}
 	for pkg := range r.failedPkgs {
-		if !excused[pkg] {
+		if !knownPackages[pkg] {
 			ok = false
 			fmt.Fprintf(w, "FAIL: package %s\n%s", pkg, strings.Join(r.output[pkg], ""))
 		}
@@ -188,9 +190,9 @@
 	return ok
 }
 
-// coveredBy accepts a listed test, and a parent all of whose failed children
-// are listed.
-func coveredBy(id string, known, failed []string) bool {
+// isKnown reports whether a failed test is listed, or has failed subtests that
+// are all known.
+func isKnown(id string, known, failed []string) bool {
 	if slices.Contains(known, id) {
 		return true
 	}
@@ -199,7 +201,7 @@
 		if !strings.HasPrefix(f, id+"/") {
 			continue
 		}
-		if !coveredBy(f, known, failed) {
+		if !isKnown(f, known, failed) {
 			return false
 		}
 		children++
--- a/internal/tools/knownred/main_test.go
+++ b/internal/tools/knownred/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestJudge(t *testing.T) {
+func TestEvaluate(t *testing.T) {
 	fail := `{"Action":"fail","Package":"m/p","Test":"TestA"}
 {"Action":"fail","Package":"m/p"}
 `
@@ -17,18 +17,18 @@
 		known        []string
 		want         bool
 	}{
-		{"green", `{"Action":"pass","Package":"m/p","Test":"TestA"}`, nil, true},
+		{"all tests pass", `{"Action":"pass","Package":"m/p","Test":"TestA"}`, nil, true},
 		{"unlisted failure", fail, nil, false},
 		{"listed failure", fail, []string{"m/p.TestA"}, true},
-		{"another is listed", fail, []string{"m/p.TestB"}, false},
+		{"only another test is listed", fail, []string{"m/p.TestB"}, false},
 		{"listed subtest", sub, []string{"m/p.TestA/x"}, true},
-		{"stale line", `{"Action":"pass","Package":"m/p","Test":"TestA"}`, []string{"m/p.TestA"}, false},
+		{"listed test passes", `{"Action":"pass","Package":"m/p","Test":"TestA"}`, []string{"m/p.TestA"}, false},
 		{"package fails without a test", `{"Action":"fail","Package":"m/p"}`, []string{"m/p.TestA"}, false},
 		{"build fails", `{"Action":"build-fail","ImportPath":"m/p"}`, nil, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			got := judge(io.Discard, c.known, collect(strings.NewReader(c.events)))
+			got := evaluate(io.Discard, c.known, collect(strings.NewReader(c.events)))
 			if got != c.want {
 				t.Fatalf("got %v, want %v", got, c.want)
 			}
