--- a/internal/tools/benchplot/main.go
+++ b/internal/tools/benchplot/main.go
@@ -1,5 +1,5 @@
-// Command benchplot reads the output of `go test -bench` and draws, as SVG,
-// the time of each benchmark over the size in its name, as in Rank/64. Both
+// Command benchplot reads the output of `go test -bench` and plots, as SVG, the
+// time of each benchmark over the size in its name, for example Rank/64. Both
 // axes are logarithmic.
 package main
 
@@ -24,14 +24,14 @@
 	margin = 50
 )
 
-var errNoPoints = errors.New("no benchmark with a size in its name")
+var errNoPoints = errors.New("the input has no benchmark with a size in its name")
 
 // series is one benchmark at several sizes.
 type series struct {
 	Name   string
 	Colour string
 	points []point
-	// X, Y and Points are pixels.
+	// X, Y and Points are pixel coordinates.
 	X, Y   int
 	Points string
 }
@@ -65,14 +65,14 @@
 }
 
 func run(in io.Reader, out io.Writer) error {
-	all, err := read(in)
+	all, err := readSeries(in)
 	if err != nil {
 		return err
 	}
 	return plotTemplate.Execute(out, layOut(all))
 }
 
-func read(in io.Reader) ([]*series, error) {
+func readSeries(in io.Reader) ([]*series, error) {
 	var all []*series
 	reader := benchfmt.NewReader(in, "stdin")
 	for reader.Scan() {
@@ -80,7 +80,7 @@
 		if !ok {
 			continue
 		}
-		name, p, ok := sized(result)
+		name, p, ok := parseResult(result)
 		if !ok {
 			continue
 		}
@@ -100,17 +100,18 @@
 	return all, nil
 }
 
-// sized splits a result's name into the benchmark and its size.
-func sized(r *benchfmt.Result) (string, point, bool) {
+// parseResult returns the benchmark name of a result and its point. It reports
+// false if the result has no time or its name has no size.
+func parseResult(r *benchfmt.Result) (string, point, bool) {
 	base, parts := r.Name.Parts()
 	seconds, ok := r.Value("sec/op")
 	if !ok || len(parts) == 0 {
 		return "", point{}, false
 	}
 	// A part that begins with a dash is the number of processors.
-	text, named := strings.CutPrefix(string(parts[0]), "/")
+	text, hasSlash := strings.CutPrefix(string(parts[0]), "/")
 	size, err := strconv.ParseFloat(text, 64)
-	if !named || err != nil || size <= 0 {
+	if !hasSlash || err != nil || size <= 0 {
 		return "", point{}, false
 	}
 	return string(base), point{size: size, micros: seconds * 1e6}, true
@@ -128,8 +129,8 @@
 		s.X, s.Y = margin+10+i*110, margin-16
 		var pixels []string
 		for _, p := range s.points {
-			x := margin + 350*part(p.size, low.size, high.size)
-			y := margin + 160*(1-part(p.micros, low.micros, high.micros))
+			x := margin + 350*logFraction(p.size, low.size, high.size)
+			y := margin + 160*(1-logFraction(p.micros, low.micros, high.micros))
 			pixels = append(pixels, fmt.Sprintf("%.1f,%.1f", x, y))
 		}
 		s.Points = strings.Join(pixels, " ")
@@ -141,8 +142,9 @@
 	}
 }
 
-// part is where v lies between low and high on a logarithmic scale, 0 to 1.
-func part(v, low, high float64) float64 {
+// logFraction returns the position of v between low and high on a logarithmic
+// scale, from 0 to 1.
+func logFraction(v, low, high float64) float64 {
 	if high <= low {
 		return 0
 	}
