--- a/internal/tools/soak/main.go
+++ b/internal/tools/soak/main.go
@@ -1,6 +1,6 @@
-// Command soak runs a fleet of real processes under drawn faults, seed after
-// seed, and prints what promises were broken. Each seed draws the same faults
-// again.
+// Command soak runs a fleet of real processes under random faults, one seed
+// after another, and prints the violated guarantees. The same seed gives the
+// same plan of faults.
 package main
 
 import (
@@ -21,25 +21,25 @@
 
 type options struct {
 	Seed    uint64        `long:"seed" required:"true" description:"first seed"`
-	Seeds   uint64        `long:"seeds" default:"1" description:"how many seeds to play, one after another"`
-	Length  time.Duration `long:"for" default:"15s" description:"length of one plan"`
+	Seeds   uint64        `long:"seeds" default:"1" description:"number of seeds to run, one after another"`
+	Length  time.Duration `long:"for" default:"15s" description:"length of the plan of each seed"`
 	Daemons int           `long:"daemons" default:"4" description:"entry daemons"`
 	Engines int           `long:"engines" default:"6" description:"runners that stream"`
 	Plain   int           `long:"plain" default:"3" description:"runners of a plain service"`
-	Routes  int           `long:"routes" default:"0" description:"routes of the configuration that nobody asks for"`
-	Restore bool          `long:"restores" description:"have the store come back from copies, too"`
-	Crashes bool          `long:"crashes" description:"have a request crash the runners that run it"`
-	Limits  bool          `long:"limits" description:"have runners name limits of requests"`
-	Domains bool          `long:"evacuations" description:"have failure domains evacuated"`
-	Cold    bool          `long:"cold" description:"have runners that join be cold"`
+	Routes  int           `long:"routes" default:"0" description:"unused routes in the configuration"`
+	Restore bool          `long:"restores" description:"also restore the store from copies"`
+	Crashes bool          `long:"crashes" description:"also send a request that crashes the runners that run it"`
+	Limits  bool          `long:"limits" description:"let runners declare limits of requests"`
+	Domains bool          `long:"evacuations" description:"also evacuate failure domains"`
+	Cold    bool          `long:"cold" description:"let runners be cold when they join"`
 	BinDir  string        `long:"bin" default:"bin" description:"directory of the binaries"`
-	Logs    string        `long:"logs" default:"soak-logs" description:"where the logs of a seed that failed are kept"`
-	Keep    bool          `long:"keep-logs" description:"keep the logs of seeds that held as well"`
+	Logs    string        `long:"logs" default:"soak-logs" description:"directory for the logs of failed seeds"`
+	Keep    bool          `long:"keep-logs" description:"also keep the logs of seeds that passed"`
 	Verbose bool          `long:"verbose" description:"print each action"`
 }
 
-// errBroken: some seed broke a promise.
-var errBroken = errors.New("promises were broken")
+// errViolations means that at least one seed violated a guarantee.
+var errViolations = errors.New("guarantees were violated")
 
 func main() {
 	var o options
@@ -57,7 +57,7 @@
 func (o *options) run(ctx context.Context) error {
 	var failed []uint64
 	for seed := o.Seed; seed < o.Seed+o.Seeds && ctx.Err() == nil; seed++ {
-		ok, err := o.play(ctx, seed)
+		ok, err := o.runSeed(ctx, seed)
 		if err != nil {
 			return fmt.Errorf("seed %d: %w", seed, err)
 		}
@@ -66,13 +66,14 @@
 		}
 	}
 	if len(failed) > 0 {
-		return fmt.Errorf("%w at seeds %v", errBroken, failed)
+		return fmt.Errorf("%w at seeds %v", errViolations, failed)
 	}
 	return nil
 }
 
-// play runs one seed and keeps its logs where a promise was broken.
-func (o *options) play(ctx context.Context, seed uint64) (bool, error) {
+// runSeed runs one seed and reports whether it passed. It keeps the logs of a
+// seed that violated a guarantee.
+func (o *options) runSeed(ctx context.Context, seed uint64) (bool, error) {
 	dir := filepath.Join(o.Logs, fmt.Sprint(seed))
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return false, err
@@ -98,7 +99,7 @@
 	return false, nil
 }
 
-// clean removes the logs of a seed that held.
+// clean removes the logs of a seed that passed, unless they are to be kept.
 func (o *options) clean(dir string) error {
 	if o.Keep {
 		return nil
