--- a/internal/tools/docscheck/main.go
+++ b/internal/tools/docscheck/main.go
@@ -1,6 +1,6 @@
-// Command docscheck runs the shell blocks of the given Markdown pages that
-// are marked as runnable (```sh runnable), a page at a time, and fails at the
-// first block that fails.
+// Command docscheck runs the shell blocks of the given Markdown pages that are
+// marked as runnable (```sh runnable), in order, and stops at the first block
+// that fails.
 package main
 
 import (
@@ -17,7 +17,7 @@
 
 const marker = "sh runnable"
 
-var errNoBlocks = errors.New("no runnable block on any page")
+var errNoBlocks = errors.New("the given pages have no runnable block")
 
 func main() {
 	if err := run(os.Args[1:]); err != nil {
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// runnable returns the marked blocks of a page in order.
+// runnable returns the contents of the marked blocks of a page, in order.
 func runnable(raw []byte) []string {
 	var blocks []string
 	root := goldmark.DefaultParser().Parse(text.NewReader(raw))
--- a/internal/tools/docscheck/main_test.go
+++ b/internal/tools/docscheck/main_test.go
@@ -10,8 +10,8 @@
 	}
 }
 
-func TestExecuteFailsWithItsFirstCommand(t *testing.T) {
+func TestExecuteStopsAtFirstFailure(t *testing.T) {
 	if err := execute("false\ntrue\n"); err == nil {
-		t.Fatal("a failing command went unnoticed")
+		t.Fatal("execute returned no error although the first command failed")
 	}
 }
