--- a/internal/tools/generate/main.go
+++ b/internal/tools/generate/main.go
@@ -1,6 +1,6 @@
-// Command generate writes the Go code of the .proto files: it compiles them
-// with a library, and hands them to the plugins as protoc would, so that no
-// compiler has to be installed.
+// Command generate writes the Go code for .proto files. It compiles them with a
+// library and passes the result to the plugins in the format of protoc, so that
+// protoc need not be installed.
 package main
 
 import (
@@ -18,10 +18,10 @@
 	"google.golang.org/protobuf/types/pluginpb"
 )
 
-// parameter has each output written beside its source.
+// parameter makes the plugins place each output next to its source.
 const parameter = "paths=source_relative"
 
-// filePerm is that of the written sources.
+// filePerm is the file mode of the generated sources.
 const filePerm = 0o644
 
 var errUsage = errors.New("usage: generate PLUGIN[,PLUGIN] FILE.proto [FILE.proto]")
@@ -50,7 +50,8 @@
 	return nil
 }
 
-// compile returns the plugins' request. The sources import nothing.
+// compile returns the encoded code generation request for the plugins. The
+// sources have no imports.
 func compile(ctx context.Context, sources []string) ([]byte, error) {
 	compiler := protocompile.Compiler{
 		Resolver:       protocompile.WithStandardImports(&protocompile.SourceResolver{}),
@@ -71,7 +72,7 @@
 	return request
 }
 
-// generate runs one plugin and writes what it answers.
+// generate runs one plugin and writes the files of its response.
 func generate(ctx context.Context, plugin string, request []byte) error {
 	command := exec.CommandContext(ctx, plugin)
 	command.Stdin, command.Stderr = bytes.NewReader(request), os.Stderr
