--- a/cmd/dragonfly-entry/main.go
+++ b/cmd/dragonfly-entry/main.go
@@ -30,7 +30,7 @@
 
 func main() {
 	s := defaults()
-	path, code, done := daemon.Start(name, summary, arguments(os.Args[1:]), &s, os.Stdout, os.Stderr)
+	path, code, done := daemon.LoadSettings(name, summary, arguments(os.Args[1:]), &s, os.Stdout, os.Stderr)
 	if done {
 		os.Exit(code)
 	}
--- a/cmd/dragonfly-keeper/main.go
+++ b/cmd/dragonfly-keeper/main.go
@@ -20,7 +20,7 @@
 
 func main() {
 	s := defaults()
-	_, code, done := daemon.Start(name, summary, os.Args[1:], &s, os.Stdout, os.Stderr)
+	_, code, done := daemon.LoadSettings(name, summary, os.Args[1:], &s, os.Stdout, os.Stderr)
 	if done {
 		os.Exit(code)
 	}
--- a/internal/adapter/daemon/daemon.go
+++ b/internal/adapter/daemon/daemon.go
@@ -59,10 +59,10 @@
 	Version  bool   `long:"version" description:"print the version and exit"`
 }
 
-// Start parses the command line and reads the settings file into out, which
+// LoadSettings parses the command line and reads the settings file into out, which
 // contains the defaults. It returns the file's path. If done is true, the
 // process must exit with the code.
-func Start(name, summary string, args []string, out any, stdout, stderr io.Writer) (path string, code int, done bool) {
+func LoadSettings(name, summary string, args []string, out any, stdout, stderr io.Writer) (path string, code int, done bool) {
 	var o options
 	parser := flags.NewNamedParser(name, flags.HelpFlag|flags.PassDoubleDash)
 	parser.LongDescription = summary
