--- a/internal/adapter/eventstream/eventstream.go
+++ b/internal/adapter/eventstream/eventstream.go
@@ -26,8 +26,8 @@
 // ErrIncompleteEvent is returned if the stream ends inside an event.
 var ErrIncompleteEvent = merry.Sentinel("eventstream: the stream ended inside an event")
 
-// Is reports whether a Content-Type value is that of an event stream.
-func Is(contentType string) bool {
+// IsEventStream reports whether a Content-Type value is that of an event stream.
+func IsEventStream(contentType string) bool {
 	media, _, _ := strings.Cut(contentType, ";")
 	return strings.EqualFold(strings.TrimSpace(media), ContentType)
 }
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -42,7 +42,7 @@
 	x.mayHaveRun++
 	x.reportLoad(p, answer)
 	observe(x.g.metrics.answerDelay, x.g.Clock().Sub(began))
-	if answer.Status == http.StatusOK && eventstream.Is(answer.Header.Get("Content-Type")) {
+	if answer.Status == http.StatusOK && eventstream.IsEventStream(answer.Header.Get("Content-Type")) {
 		return x.relayEvents(ctx, p, answer)
 	}
 	return x.relayBody(ctx, p, answer)
--- a/internal/gateway/events.go
+++ b/internal/gateway/events.go
@@ -166,7 +166,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if a.Status != x.status || !eventstream.Is(a.Header.Get("Content-Type")) {
+	if a.Status != x.status || !eventstream.IsEventStream(a.Header.Get("Content-Type")) {
 		_ = a.Body.Close()
 		return nil, errNoContinuation
 	}
