--- a/internal/adapter/grpcclaim/client.go
+++ b/internal/adapter/grpcclaim/client.go
@@ -47,10 +47,10 @@
 	Keepers func() []string
 	// Dial opens a connection to a keeper; the default is gRPC without TLS.
 	Dial func(address string) (grpc.ClientConnInterface, error)
-	// Lanes is the number of partitions of the key space. Claims are batched per
+	// Partitions is the number of partitions of the key space. Claims are batched per
 	// partition, with at most CallsPerPartition concurrent calls for each. It
 	// should equal the number of shards at the keepers.
-	Lanes             int
+	Partitions             int
 	CallsPerPartition int
 	// Timeout bounds a claim, and TryTimeout the call to one keeper. At most
 	// MaxTries keepers are called for a claim.
@@ -76,7 +76,7 @@
 	if o.Dial == nil {
 		o.Dial = dialPlain
 	}
-	setDefault(&o.Lanes, DefaultPartitions)
+	setDefault(&o.Partitions, DefaultPartitions)
 	setDefault(&o.CallsPerPartition, DefaultCallsPerPartition)
 	setDefault(&o.Timeout, DefaultTimeout)
 	setDefault(&o.TryTimeout, DefaultTryTimeout)
@@ -122,7 +122,7 @@
 	c := &Client{opts: o, stop: stop}
 	c.keepers = newKeeperPool(&c.opts)
 	c.settler = newSettler(ctx, &c.opts, c.keepers)
-	c.batchers = make([]*batcher, o.Lanes)
+	c.batchers = make([]*batcher, o.Partitions)
 	for i := range c.batchers {
 		c.batchers[i] = &batcher{client: c, ctx: ctx, partition: i}
 	}
@@ -154,7 +154,7 @@
 	ctx, cancel := context.WithTimeout(ctx, c.opts.Timeout)
 	defer cancel()
 	var reply *peerv1.LookupClaimReply
-	err := c.keepers.callInOrder(ctx, claim.ShardOf(keyHash, c.opts.Lanes), c.opts.TryTimeout, func(ctx context.Context, k peerv1.KeeperClient) error {
+	err := c.keepers.callInOrder(ctx, claim.ShardOf(keyHash, c.opts.Partitions), c.opts.TryTimeout, func(ctx context.Context, k peerv1.KeeperClient) error {
 		var err error
 		reply, err = k.LookupClaim(ctx, &peerv1.LookupClaimRequest{KeyHash: keyHash[:]})
 		return err
--- a/internal/adapter/grpcclaim/grpcclaim_test.go
+++ b/internal/adapter/grpcclaim/grpcclaim_test.go
@@ -122,7 +122,7 @@
 func newTestClient(t *testing.T, o Options, addresses ...string) *Client {
 	t.Helper()
 	o.Keepers = func() []string { return addresses }
-	o.Lanes = 1
+	o.Partitions = 1
 	setDefault(&o.Timeout, testTimeout)
 	setDefault(&o.TryTimeout, testTimeout)
 	o.SettleDelay, o.SettleRetry = time.Millisecond, time.Millisecond
--- a/internal/adapter/grpcclaim/settler.go
+++ b/internal/adapter/grpcclaim/settler.go
@@ -109,7 +109,7 @@
 	defer s.mu.Unlock()
 	groups := map[int][]*pendingOutcome{}
 	for _, p := range s.queue {
-		partition := claim.ShardOf(p.state.KeyHash, s.opts.Lanes)
+		partition := claim.ShardOf(p.state.KeyHash, s.opts.Partitions)
 		groups[partition] = append(groups[partition], p)
 	}
 	s.queue = nil
--- a/internal/tools/claimbench/system.go
+++ b/internal/tools/claimbench/system.go
@@ -73,7 +73,7 @@
 	}
 	for range c.Routers {
 		sys.clients = append(sys.clients, grpcclaim.NewClient(grpcclaim.Options{
-			Keepers: func() []string { return addresses }, Lanes: c.Shards,
+			Keepers: func() []string { return addresses }, Partitions: c.Shards,
 		}))
 	}
 	return sys, nil
