--- a/internal/adapter/grpcpeer/platformstatus.go
+++ b/internal/adapter/grpcpeer/platformstatus.go
@@ -7,9 +7,9 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/core/watchduty"
 )
 
-// FreshnessStep is how much newer the platform's last answer or the last call must be
+// MinStatusAdvance is how much newer the platform's last answer or the last call must be
 // than the status sent before, for a keeper to send it before the next heartbeat.
-const FreshnessStep = time.Second
+const MinStatusAdvance = time.Second
 
 // PlatformRelay holds a keeper's status of the platform, which keepers exchange.
 type PlatformRelay interface {
@@ -48,7 +48,7 @@
 	}
 	n := f.relay.News()
 	newer := n.Tried.After(f.lastSent.Tried) || n.Answered.After(f.lastSent.Answered)
-	if !newer || !heartbeat && !n.Adds(f.lastSent, FreshnessStep) {
+	if !newer || !heartbeat && !n.Adds(f.lastSent, MinStatusAdvance) {
 		return platformStatus{}
 	}
 	f.lastSent = n
--- a/internal/adapter/grpcpeer/platformstatus_test.go
+++ b/internal/adapter/grpcpeer/platformstatus_test.go
@@ -37,23 +37,23 @@
 	if sentAge(start, false) != 1 {
 		t.Fatal("the first answer is not sent before the next heartbeat")
 	}
-	r.recordAnswer(start.Add(FreshnessStep / 2))
-	if sentAge(start.Add(FreshnessStep/2), false) != 0 {
+	r.recordAnswer(start.Add(MinStatusAdvance / 2))
+	if sentAge(start.Add(MinStatusAdvance/2), false) != 0 {
 		t.Fatal("an answer newer by less than FreshnessStep is sent before the next heartbeat")
 	}
-	r.recordAnswer(start.Add(FreshnessStep))
-	if sentAge(start.Add(FreshnessStep), false) != 1 {
+	r.recordAnswer(start.Add(MinStatusAdvance))
+	if sentAge(start.Add(MinStatusAdvance), false) != 1 {
 		t.Fatal("an answer newer by FreshnessStep is not sent before the next heartbeat")
 	}
-	r.recordAnswer(start.Add(FreshnessStep + time.Millisecond))
+	r.recordAnswer(start.Add(MinStatusAdvance + time.Millisecond))
 	const age = 700 * time.Millisecond
-	if got := sentAge(start.Add(FreshnessStep+time.Millisecond+age), true); got != 701 {
+	if got := sentAge(start.Add(MinStatusAdvance+time.Millisecond+age), true); got != 701 {
 		t.Fatalf("got an age of %d ms in a heartbeat, want 701 ms", got)
 	}
-	if sentAge(start.Add(2*FreshnessStep+age), false) != 0 {
+	if sentAge(start.Add(2*MinStatusAdvance+age), false) != 0 {
 		t.Fatal("an answer that was already sent is sent again before the next heartbeat")
 	}
-	if sentAge(start.Add(2*FreshnessStep+age), true) != 0 {
+	if sentAge(start.Add(2*MinStatusAdvance+age), true) != 0 {
 		t.Fatal("an answer that was already sent is sent again with a heartbeat")
 	}
 }
--- a/internal/adapter/grpcpeer/probe.go
+++ b/internal/adapter/grpcpeer/probe.go
@@ -47,9 +47,9 @@
 	}
 }
 
-// AskToProbe makes a keeper probe an address and returns its result. It returns
+// ProbeVia makes a keeper probe an address and returns its result. It returns
 // ProbeUnreachable if the keeper can't be reached, which adds no evidence.
-func AskToProbe(ctx context.Context, keeper, address string, options ...grpc.DialOption) membership.ProbeResult {
+func ProbeVia(ctx context.Context, keeper, address string, options ...grpc.DialOption) membership.ProbeResult {
 	ctx, cancel := context.WithTimeout(ctx, remoteProbeTimeout)
 	defer cancel()
 	conn, err := Dial(keeper, options...)
@@ -64,8 +64,8 @@
 	return membership.ProbeResult(reply.GetResult())
 }
 
-// AskDirectory returns the members that send their heartbeats to a keeper.
-func AskDirectory(ctx context.Context, keeper string, options ...grpc.DialOption) ([]*peerv1.Member, error) {
+// FetchDirectory returns the members that send their heartbeats to a keeper.
+func FetchDirectory(ctx context.Context, keeper string, options ...grpc.DialOption) ([]*peerv1.Member, error) {
 	conn, err := Dial(keeper, options...)
 	if err != nil {
 		return nil, err
--- a/internal/adapter/grpcpeer/scheduling.go
+++ b/internal/adapter/grpcpeer/scheduling.go
@@ -36,7 +36,7 @@
 // Admitter decides, with this daemon's own limiter, whether requests may be sent to
 // endpoints that have rate limits.
 type Admitter interface {
-	AdmitHere(pool string, asks []ratelimit.Ask, patience time.Duration) ratelimit.Grant
+	AdmitLocally(pool string, asks []ratelimit.Ask, patience time.Duration) ratelimit.Grant
 }
 
 // Register registers the service with a server.
@@ -78,7 +78,7 @@
 			PerSecond: rateLimitFromWire(e.GetRateLimit()), IsCold: e.GetCold(),
 		}}
 	})
-	g := s.Admitter.AdmitHere(r.GetPool(), asks, millis(r.GetPatienceMillis()))
+	g := s.Admitter.AdmitLocally(r.GetPool(), asks, millis(r.GetPatienceMillis()))
 	return &peerv1.AdmitReply{Endpoint: g.Endpoint, WaitMicros: g.Wait.Microseconds()}, nil
 }
 
--- a/internal/adapter/grpcpeer/scheduling_test.go
+++ b/internal/adapter/grpcpeer/scheduling_test.go
@@ -50,7 +50,7 @@
 // fakeAdmitter admits requests to any pool with a single limiter.
 type fakeAdmitter struct{ *ratelimit.Limiter }
 
-func (l fakeAdmitter) AdmitHere(_ string, asks []ratelimit.Ask, patience time.Duration) ratelimit.Grant {
+func (l fakeAdmitter) AdmitLocally(_ string, asks []ratelimit.Ask, patience time.Duration) ratelimit.Grant {
 	return l.Admit(time.Now(), asks, patience)
 }
 
--- a/internal/keeper/duty.go
+++ b/internal/keeper/duty.go
@@ -69,7 +69,7 @@
 func (k *Keeper) relayNews() {
 	n := k.duty.News()
 	k.lastRelayed.mu.Lock()
-	relay := n.Adds(k.lastRelayed.news, grpcpeer.FreshnessStep)
+	relay := n.Adds(k.lastRelayed.news, grpcpeer.MinStatusAdvance)
 	if relay {
 		k.lastRelayed.news = n
 	}
--- a/internal/keeper/inforce.go
+++ b/internal/keeper/inforce.go
@@ -114,7 +114,7 @@
 			continue
 		}
 		group.Go(func() error {
-			members, err := grpcpeer.AskDirectory(ctx, o.PeerAddress, k.options.DialOptions...)
+			members, err := grpcpeer.FetchDirectory(ctx, o.PeerAddress, k.options.DialOptions...)
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
--- a/internal/keeper/members.go
+++ b/internal/keeper/members.go
@@ -275,7 +275,7 @@
 	var group errgroup.Group
 	for i := range asked {
 		group.Go(func() error {
-			results[i] = grpcpeer.AskToProbe(ctx, asked[i].PeerAddress, m.PeerAddress, k.options.DialOptions...)
+			results[i] = grpcpeer.ProbeVia(ctx, asked[i].PeerAddress, m.PeerAddress, k.options.DialOptions...)
 			return nil
 		})
 	}
