--- a/internal/adapter/httpanswer/httpanswer.go
+++ b/internal/adapter/httpanswer/httpanswer.go
@@ -25,9 +25,9 @@
 
 // Bounds are the limits of one response.
 type Bounds struct {
-	// Begin limits the wait for the start of the response, Pause the wait for
+	// StartTimeout limits the wait for the start of the response, IdleTimeout the wait for
 	// each further part of it.
-	Begin, Pause time.Duration
+	StartTimeout, IdleTimeout time.Duration
 	// MaxBytes limits the size of the body.
 	MaxBytes int64
 }
@@ -44,13 +44,13 @@
 // attempt to read a large response over a slow link would be cut off before its
 // end.
 func Do(client *http.Client, r *http.Request, b Bounds) (*Answer, error) {
-	ctx, cancel := context.WithTimeoutCause(r.Context(), b.Begin+maxBodyTime, ErrStalled)
+	ctx, cancel := context.WithTimeoutCause(r.Context(), b.StartTimeout+maxBodyTime, ErrStalled)
 	defer cancel()
 	ctx, cancelCause := context.WithCancelCause(ctx)
 	defer cancelCause(nil)
-	stalled := time.AfterFunc(b.Begin, func() { cancelCause(ErrStalled) })
+	stalled := time.AfterFunc(b.StartTimeout, func() { cancelCause(ErrStalled) })
 	defer stalled.Stop()
-	a, err := read(client, r.WithContext(ctx), b.MaxBytes, func() { stalled.Reset(b.Pause) })
+	a, err := read(client, r.WithContext(ctx), b.MaxBytes, func() { stalled.Reset(b.IdleTimeout) })
 	if cause := context.Cause(ctx); err != nil && cause != nil {
 		return nil, cause
 	}
--- a/internal/adapter/httpplatform/client.go
+++ b/internal/adapter/httpplatform/client.go
@@ -245,7 +245,7 @@
 // do sends a request and reads the answer, which must start within the given
 // time.
 func (c *Client) do(r *http.Request, startTimeout time.Duration) (int, []byte, error) {
-	a, err := httpanswer.Do(c.http, r, httpanswer.Bounds{Begin: startTimeout, Pause: c.timeout, MaxBytes: maxReplyBytes})
+	a, err := httpanswer.Do(c.http, r, httpanswer.Bounds{StartTimeout: startTimeout, IdleTimeout: c.timeout, MaxBytes: maxReplyBytes})
 	if err != nil {
 		return 0, nil, err
 	}
