--- a/internal/adapter/oncehttp/oncehttp.go
+++ b/internal/adapter/oncehttp/oncehttp.go
@@ -30,8 +30,8 @@
 	// DefaultIdleTimeout.
 	IdleConnections int
 	IdleTimeout     time.Duration
-	// Fresh disables the reuse of connections.
-	Fresh bool
+	// DisableKeepAlives disables the reuse of connections.
+	DisableKeepAlives bool
 }
 
 // DefaultIdleTimeout is how long an unused connection is kept.
@@ -63,7 +63,7 @@
 		ReadBufferSize:         bufferBytes,
 		WriteBufferSize:        bufferBytes,
 		DisableCompression:     true,
-		DisableKeepAlives:      o.Fresh,
+		DisableKeepAlives:      o.DisableKeepAlives,
 	}}
 }
 
