--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -117,17 +117,17 @@
 	Path    string
 	Method  string
 	Body    []byte
-	// Key is the idempotency key. NonIdempotent forbids running the call
+	// IdempotencyKey is the idempotency key. NonIdempotent forbids running the call
 	// twice.
-	Key           string
+	IdempotencyKey           string
 	NonIdempotent bool
 }
 
 // Service calls a plain service through the router at address.
 func (c *Client) Service(ctx context.Context, address string, call *ServiceCall) (*Reply, error) {
 	header := http.Header{}
-	if call.Key != "" {
-		header.Set(HeaderIdempotencyKey, call.Key)
+	if call.IdempotencyKey != "" {
+		header.Set(HeaderIdempotencyKey, call.IdempotencyKey)
 	}
 	if call.NonIdempotent {
 		header.Set(HeaderNonIdempotent, "true")
--- a/internal/caller/stream.go
+++ b/internal/caller/stream.go
@@ -25,8 +25,8 @@
 	MaxTokens int    `json:"max_tokens,omitempty"`
 	Stream    bool   `json:"stream"`
 	User      string `json:"user,omitempty"`
-	// Key is the idempotency key.
-	Key string `json:"-"`
+	// IdempotencyKey is the idempotency key.
+	IdempotencyKey string `json:"-"`
 	// OnToken, if set, is called for each token.
 	OnToken func(index int, text string) `json:"-"`
 }
@@ -93,8 +93,8 @@
 		return nil, merry.Prepend(err, "caller")
 	}
 	header := http.Header{}
-	if request.Key != "" {
-		header.Set(HeaderIdempotencyKey, request.Key)
+	if request.IdempotencyKey != "" {
+		header.Set(HeaderIdempotencyKey, request.IdempotencyKey)
 	}
 	res, err := c.send(ctx, http.MethodPost, addresses[0], "/v1/completions", header, raw)
 	if err != nil {
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -147,7 +147,7 @@
 		call.Body = []byte(`{"n":` + itoa(n) + `}`)
 		// Keys are unique to the run, since a key used by an earlier run would
 		// be refused.
-		call.Key = r.runID + "-" + itoa(n)
+		call.IdempotencyKey = r.runID + "-" + itoa(n)
 	}
 	start := time.Now()
 	reply, err := r.clients[a.Organisation].Service(ctx, addresses[0], call)
--- a/internal/tools/demo/show.go
+++ b/internal/tools/demo/show.go
@@ -153,7 +153,7 @@
 func (s *show) repeatLedgerCall(ctx context.Context, addresses []string) {
 	call := &caller.ServiceCall{
 		Service: s.system.Layout.ServicePool, Path: "/ledger", Method: http.MethodPost,
-		Body: []byte(`{"bar":"Olypub","kegs":2}`), Key: "ledger-" + uuid.NewString(), NonIdempotent: true,
+		Body: []byte(`{"bar":"Olypub","kegs":2}`), IdempotencyKey: "ledger-" + uuid.NewString(), NonIdempotent: true,
 	}
 	for i, address := range []string{addresses[0], addresses[len(addresses)-1]} {
 		what := fmt.Sprintf("ledger entry, try %d", i+1)
@@ -172,7 +172,7 @@
 		s.addRow(what, seen, ran && (i > 0 || reply.Status == http.StatusOK))
 	}
 	runs, err := s.system.ServiceRuns(ctx)
-	s.addRow("runs of the ledger entry", fmt.Sprint(runs[call.Key]), err == nil && runs[call.Key] == 1)
+	s.addRow("runs of the ledger entry", fmt.Sprint(runs[call.IdempotencyKey]), err == nil && runs[call.IdempotencyKey] == 1)
 }
 
 // explain runs "dragonflyctl why" for the request and adds a row for each of its
--- a/test/main_test.go
+++ b/test/main_test.go
@@ -118,7 +118,7 @@
 func ledgerCall(key string) *caller.ServiceCall {
 	return &caller.ServiceCall{
 		Service: procs.DemoService, Path: "/ledger", Method: http.MethodPost,
-		Body: []byte(`{"kegs":2}`), Key: key, NonIdempotent: true,
+		Body: []byte(`{"kegs":2}`), IdempotencyKey: key, NonIdempotent: true,
 	}
 }
 
