--- a/internal/core/admission/admission_test.go
+++ b/internal/core/admission/admission_test.go
@@ -218,7 +218,7 @@
 // seconds, and must lie within their bounds.
 func TestPromisesAreSpacedByRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var p Promises
+		var p RetryBookings
 		rate := rapid.Float64Range(0.5, 20).Draw(t, "rate")
 		now := start
 		due := map[int64]int{}
@@ -241,7 +241,7 @@
 }
 
 func TestPromisesAreRedeemedWithinGrace(t *testing.T) {
-	var p Promises
+	var p RetryBookings
 	wait := p.Book(start, 0, 10)
 	if p.Redeem(start) {
 		t.Fatal("promise redeemed before it was due")
--- a/internal/core/admission/lateness_test.go
+++ b/internal/core/admission/lateness_test.go
@@ -17,7 +17,7 @@
 	for i := range 6 {
 		q.Push(&Item{
 			ID: fmt.Sprint(i), Organisation: fmt.Sprint("o", i%2), Cost: 1,
-			Enqueued: at(time.Duration(i) * time.Second), OnTime: at(time.Duration(i+1) * time.Second),
+			Enqueued: at(time.Duration(i) * time.Second), ServeBy: at(time.Duration(i+1) * time.Second),
 		})
 	}
 	now := at(4500 * time.Millisecond)
@@ -45,7 +45,7 @@
 				Cost: 1, Enqueued: start,
 			}
 			if rapid.Bool().Draw(t, "objective") {
-				i.OnTime = at(time.Duration(rapid.IntRange(0, 5000).Draw(t, "latest time")) * time.Millisecond)
+				i.ServeBy = at(time.Duration(rapid.IntRange(0, 5000).Draw(t, "latest time")) * time.Millisecond)
 			}
 			waiting[i.ID] = i
 			q.Push(i)
--- a/internal/core/admission/promise.go
+++ b/internal/core/admission/promise.go
@@ -35,11 +35,11 @@
 	usesLeft int
 }
 
-// Promises assigns a separate retry time to each refused caller, so that callers
+// RetryBookings assigns a separate retry time to each refused caller, so that callers
 // who return at their time find capacity. With one time for all they would return
-// together, and most would be refused again. There is one Promises per
+// together, and most would be refused again. There is one RetryBookings per
 // organisation and lane at each router.
-type Promises struct {
+type RetryBookings struct {
 	// lastDue is the latest due time assigned so far.
 	lastDue time.Time
 	pending []promise
@@ -48,7 +48,7 @@
 // Book returns the Retry-After time for a refused caller. It lies after the
 // requests ahead are served at the given rate (in requests per second), and after
 // all earlier promises.
-func (p *Promises) Book(now time.Time, ahead int, rate float64) time.Duration {
+func (p *RetryBookings) Book(now time.Time, ahead int, rate float64) time.Duration {
 	p.dropExpired(now)
 	if rate <= 0 {
 		return p.record(now, unknownRetryAfter)
@@ -66,7 +66,7 @@
 	return p.record(now, wait)
 }
 
-func (p *Promises) record(now time.Time, wait time.Duration) time.Duration {
+func (p *RetryBookings) record(now time.Time, wait time.Duration) time.Duration {
 	if len(p.pending) < maxPromises {
 		p.pending = append(p.pending, promise{due: now.Add(wait), usesLeft: maxRedemptions})
 	}
@@ -75,7 +75,7 @@
 
 // Redeem uses one redemption of a promise that is due, and reports whether there
 // was one. Its caller goes before callers without a promise.
-func (p *Promises) Redeem(now time.Time) bool {
+func (p *RetryBookings) Redeem(now time.Time) bool {
 	p.dropExpired(now)
 	for i := range p.pending {
 		m := &p.pending[i]
@@ -90,7 +90,7 @@
 
 // Booked counts the unused promises that come due up to the given time. They go
 // before a caller without a promise.
-func (p *Promises) Booked(now, until time.Time) int {
+func (p *RetryBookings) Booked(now, until time.Time) int {
 	p.dropExpired(now)
 	n := 0
 	for i := range p.pending {
@@ -102,7 +102,7 @@
 }
 
 // dropExpired drops promises that are used up or past their grace period.
-func (p *Promises) dropExpired(now time.Time) {
+func (p *RetryBookings) dropExpired(now time.Time) {
 	kept := p.pending[:0]
 	for _, m := range p.pending {
 		if m.usesLeft > 0 && !m.due.Add(promiseGrace).Before(now) {
--- a/internal/core/admission/queue.go
+++ b/internal/core/admission/queue.go
@@ -26,15 +26,15 @@
 	// Cost is the requested work in tokens; it is charged when the item is served.
 	Cost     float64
 	Enqueued time.Time
-	// OnTime is the latest time at which serving the item meets its objective;
+	// ServeBy is the latest time at which serving the item meets its objective;
 	// zero means any time.
-	OnTime time.Time
+	ServeBy time.Time
 	// Owner is opaque to the queue and returned unchanged.
 	Owner any
 }
 
 // late reports whether the item can no longer be served in time.
-func (i *Item) late(now time.Time) bool { return !i.OnTime.IsZero() && now.After(i.OnTime) }
+func (i *Item) late(now time.Time) bool { return !i.ServeBy.IsZero() && now.After(i.ServeBy) }
 
 // QueueOptions configure a FairQueue.
 type QueueOptions struct {
--- a/internal/core/routing/organisation.go
+++ b/internal/core/routing/organisation.go
@@ -27,7 +27,7 @@
 	// when placed.
 	peak          float64
 	rates         [2]rate
-	retryBookings [2]admission.Promises
+	retryBookings [2]admission.RetryBookings
 	lastRequest   time.Time
 	share         float64
 }
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -105,18 +105,18 @@
 // refused because all endpoints were at their limits.
 type poolPromises struct {
 	mu sync.Mutex
-	m  map[string]*admission.Promises
+	m  map[string]*admission.RetryBookings
 }
 
 // with calls f with a pool's promises, under the lock.
-func (p *poolPromises) with(pool string, f func(*admission.Promises)) {
+func (p *poolPromises) with(pool string, f func(*admission.RetryBookings)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.m == nil {
-		p.m = make(map[string]*admission.Promises)
+		p.m = make(map[string]*admission.RetryBookings)
 	}
 	if p.m[pool] == nil {
-		p.m[pool] = &admission.Promises{}
+		p.m[pool] = &admission.RetryBookings{}
 	}
 	f(p.m[pool])
 }
@@ -250,7 +250,7 @@
 // allowedTurnWait returns how long the call may wait for its turn, and whether
 // it is retried at the time it was given.
 func (x *exchange) allowedTurnWait(now time.Time) (maxWait time.Duration, scheduledRetry bool) {
-	x.g.promises.with(x.pool, func(p *admission.Promises) { scheduledRetry = p.Redeem(now) })
+	x.g.promises.with(x.pool, func(p *admission.RetryBookings) { scheduledRetry = p.Redeem(now) })
 	maxWait = maxTurnWait
 	if scheduledRetry {
 		maxWait *= 2
@@ -276,6 +276,6 @@
 		Detail: fmt.Sprintf("at_rate_limit: the %d endpoints of pool %s take %.4g requests a second", len(limited), x.pool, perSecond),
 	}
 	share := perSecond / float64(x.g.daemonCount())
-	x.g.promises.with(x.pool, func(p *admission.Promises) { refusal.RetryAfter = p.Book(now, 0, share) })
+	x.g.promises.with(x.pool, func(p *admission.RetryBookings) { refusal.RetryAfter = p.Book(now, 0, share) })
 	return refusal
 }
