--- a/internal/adapter/grpcclaim/grpcclaim_test.go
+++ b/internal/adapter/grpcclaim/grpcclaim_test.go
@@ -28,7 +28,7 @@
 	claimOverride func(ctx context.Context, entries []port.ClaimEntry) []claim.Result
 }
 
-var limits = claim.Limits{MaxBytes: 1 << 20, Retention: time.Hour, TombstoneRetention: time.Hour, NotRunMemory: time.Hour}
+var limits = claim.Limits{MaxBytes: 1 << 20, Retention: time.Hour, TombstoneRetention: time.Hour, NotRunRetention: time.Hour}
 
 func newFakeStore() *fakeStore { return &fakeStore{shard: claim.NewShard()} }
 
--- a/internal/claimstore/seal.go
+++ b/internal/claimstore/seal.go
@@ -19,7 +19,7 @@
 // sealedPart is the content of a slot's object and the object's version.
 type sealedPart struct {
 	version uint64
-	content *claim.Sealed
+	content *claim.PartContent
 }
 
 func (s *shard) partName(slot int) string { return fmt.Sprintf("%s-sealed-%02d", s.name, slot) }
@@ -53,7 +53,7 @@
 	case err == nil:
 		s.cachePart(slot, sealedPart{version: object.Version, content: next.Seal(slot, object.Version)})
 	case errors.Is(err, port.ErrConflict) && object.Version > 0:
-		next.MoveSlot(slot, object.Version)
+		next.SetSlotVersion(slot, object.Version)
 	default:
 		// If the write took effect, the next try fails with a conflict.
 		s.store.recordFailure(s.partName(slot), err)
--- a/internal/claimstore/stateful_seal_test.go
+++ b/internal/claimstore/stateful_seal_test.go
@@ -19,7 +19,7 @@
 var expirySetup = setup{
 	keys: 10, actions: sealingActions, timeStep: 2 * time.Minute, keysExpire: true,
 	limits: claim.Limits{
-		Retention: 4 * time.Minute, TombstoneRetention: 8 * time.Minute, NotRunMemory: 24 * time.Hour, SealBytes: 1,
+		Retention: 4 * time.Minute, TombstoneRetention: 8 * time.Minute, NotRunRetention: 24 * time.Hour, SealBytes: 1,
 	},
 }
 
--- a/internal/claimstore/stateful_test.go
+++ b/internal/claimstore/stateful_test.go
@@ -38,7 +38,7 @@
 	// Longer than any freeze in a run: after this time, a frozen keeper that
 	// doesn't know that the claim's context has ended can leave its key
 	// claimed forever.
-	limits: claim.Limits{NotRunMemory: time.Hour},
+	limits: claim.Limits{NotRunRetention: time.Hour},
 }
 
 // attempt is one try of a call at one router.
--- a/internal/claimstore/store.go
+++ b/internal/claimstore/store.go
@@ -80,7 +80,7 @@
 	setDefault(&o.Limits.MaxBytes, DefaultMaxBytes)
 	setDefault(&o.Limits.Retention, DefaultRetention)
 	setDefault(&o.Limits.TombstoneRetention, DefaultTombstoneRetention)
-	setDefault(&o.Limits.NotRunMemory, DefaultNotRunMemory)
+	setDefault(&o.Limits.NotRunRetention, DefaultNotRunMemory)
 	setDefault(&o.Limits.SealBytes, DefaultSealBytes)
 	setDefault(&o.CallTimeout, DefaultCallTimeout)
 	setDefault(&o.WritesPerSecond, DefaultWritesPerSecond)
--- a/internal/core/claim/codec.go
+++ b/internal/core/claim/codec.go
@@ -88,7 +88,7 @@
 		return nil, err
 	}
 	s.sealed = *stored.Sealed
-	s.sealed.loaded = make([]*Sealed, len(s.sealed.Parts))
+	s.sealed.loaded = make([]*PartContent, len(s.sealed.Parts))
 	return s, nil
 }
 
--- a/internal/core/claim/sealed.go
+++ b/internal/core/claim/sealed.go
@@ -28,13 +28,13 @@
 	Count int `json:"count"`
 }
 
-// Sealed is the content of a sealed part. It is immutable.
-type Sealed struct {
+// PartContent is the content of a sealed part. It is immutable.
+type PartContent struct {
 	// prefixes are the prefixes of the key hashes in ascending order.
 	prefixes []uint64
 }
 
-func (p *Sealed) has(key KeyHash) bool {
+func (p *PartContent) has(key KeyHash) bool {
 	_, found := slices.BinarySearch(p.prefixes, prefixOf(key))
 	return found
 }
@@ -48,7 +48,7 @@
 	Versions []uint64 `json:"versions"`
 	// loaded holds the contents in the order of Parts; nil for a part that has
 	// not been read.
-	loaded []*Sealed
+	loaded []*PartContent
 }
 
 func (r *partList) clone() partList {
@@ -73,7 +73,7 @@
 }
 
 func (r *partList) has(key KeyHash) bool {
-	return slices.ContainsFunc(r.loaded, func(p *Sealed) bool { return p.has(key) })
+	return slices.ContainsFunc(r.loaded, func(p *PartContent) bool { return p.has(key) })
 }
 
 func (r *partList) count() int {
@@ -105,7 +105,7 @@
 
 // Attach adds the content of the sealed part in a slot. It does nothing if the
 // shard has no part in that slot.
-func (s *Shard) Attach(slot int, content *Sealed) error {
+func (s *Shard) Attach(slot int, content *PartContent) error {
 	for i, p := range s.sealed.Parts {
 		if p.Slot != slot {
 			continue
@@ -148,7 +148,7 @@
 }
 
 // DecodeSealed decodes a value encoded by EncodeTombstones.
-func DecodeSealed(value json.RawMessage) (*Sealed, error) {
+func DecodeSealed(value json.RawMessage) (*PartContent, error) {
 	part, err := DecodeValue(value)
 	if err != nil {
 		return nil, err
@@ -156,18 +156,18 @@
 	return part.tombstones.sealed(), nil
 }
 
-func (t *tombstones) sealed() *Sealed {
+func (t *tombstones) sealed() *PartContent {
 	prefixes := make([]uint64, 0, len(t.index))
 	for p := range t.index {
 		prefixes = append(prefixes, p)
 	}
 	slices.Sort(prefixes)
-	return &Sealed{prefixes: prefixes}
+	return &PartContent{prefixes: prefixes}
 }
 
 // Seal replaces the head's tombstones by a reference to the sealed part that now
 // holds them, and returns the content of the part.
-func (s *Shard) Seal(slot int, version uint64) *Sealed {
+func (s *Shard) Seal(slot int, version uint64) *PartContent {
 	content := s.tombstones.sealed()
 	p := Part{Slot: slot, Version: version, Count: len(s.tombstones.index)}
 	for bucket := range s.tombstones.buckets {
@@ -176,14 +176,14 @@
 	s.sealed.Parts = append(s.sealed.Parts, p)
 	s.sealed.loaded = append(s.sealed.loaded, content)
 	s.tombstones = newTombstones()
-	s.MoveSlot(slot, version)
+	s.SetSlotVersion(slot, version)
 	return content
 }
 
-// MoveSlot records the version of a slot's object. It differs from the recorded
+// SetSlotVersion records the version of a slot's object. It differs from the recorded
 // one if a keeper wrote the object and did not go on to write a head that refers
 // to it. Recording the version first makes that keeper's write of the head fail.
-func (s *Shard) MoveSlot(slot int, version uint64) {
+func (s *Shard) SetSlotVersion(slot int, version uint64) {
 	for len(s.sealed.Versions) <= slot {
 		s.sealed.Versions = append(s.sealed.Versions, 0)
 	}
--- a/internal/core/claim/sealed_test.go
+++ b/internal/core/claim/sealed_test.go
@@ -54,7 +54,7 @@
 func TestAttachRejectsWrongCount(t *testing.T) {
 	s := withTombstone(t, 1)
 	s.Seal(0, 7)
-	if err := reload(t, s).Attach(0, &Sealed{}); !errors.Is(err, ErrCorrupt) {
+	if err := reload(t, s).Attach(0, &PartContent{}); !errors.Is(err, ErrCorrupt) {
 		t.Fatalf("got %v", err)
 	}
 }
--- a/internal/core/claim/shard.go
+++ b/internal/core/claim/shard.go
@@ -51,8 +51,8 @@
 	Retention time.Duration
 	// TombstoneRetention is how long after Retention the key is still refused.
 	TombstoneRetention time.Duration
-	// NotRunMemory is how long an attempt that was settled as not_run is barred.
-	NotRunMemory time.Duration
+	// NotRunRetention is how long an attempt that was settled as not_run is barred.
+	NotRunRetention time.Duration
 	// SealBytes is the size of the tombstones in the head from which on they
 	// are moved to a sealed part; zero or less keeps them in the head.
 	SealBytes int
@@ -220,7 +220,7 @@
 // time bucket, so that the cost does not arise at every write.
 func (s *Shard) Prune(now time.Time, l *Limits) {
 	s.dropOldTombstones(now, l)
-	if s.barred.dropBefore(now.Add(-l.NotRunMemory).UnixMilli()) {
+	if s.barred.dropBefore(now.Add(-l.NotRunRetention).UnixMilli()) {
 		s.changed = true
 	}
 	slack := time.Duration(l.bucketMillis()) * time.Millisecond
@@ -257,7 +257,7 @@
 
 func retentionOf(c *port.ClaimState, l *Limits) time.Duration {
 	if c.Outcome == port.ClaimNotRun {
-		return l.NotRunMemory
+		return l.NotRunRetention
 	}
 	return l.Retention
 }
--- a/internal/core/claim/shard_test.go
+++ b/internal/core/claim/shard_test.go
@@ -18,7 +18,7 @@
 	MaxBytes:           1 << 20,
 	Retention:          time.Hour,
 	TombstoneRetention: 24 * time.Hour,
-	NotRunMemory:       5 * time.Minute,
+	NotRunRetention:       5 * time.Minute,
 }
 
 var start = time.UnixMilli(1_800_000_000_000)
@@ -115,7 +115,7 @@
 		s = reload(t, s)
 		wantVerdict(t, s.Claim(start, entry(1, "a"), &testLimits), port.ClaimHeld)
 		wantVerdict(t, s.Claim(start, entry(1, "c"), &testLimits), port.ClaimGranted)
-		s.Prune(start.Add(2*testLimits.NotRunMemory), &testLimits)
+		s.Prune(start.Add(2*testLimits.NotRunRetention), &testLimits)
 		if len(s.barred) != 0 {
 			t.Fatal("the expired barred attempt was not dropped")
 		}
--- a/internal/tools/claimbench/sizes.go
+++ b/internal/tools/claimbench/sizes.go
@@ -17,7 +17,7 @@
 	Sizes []int `long:"claims" default:"500" default:"1000" default:"2000" default:"4000" default:"8000" description:"claims in the shard"`
 }
 
-var limits = claim.Limits{MaxBytes: 1 << 30, Retention: time.Hour, TombstoneRetention: 24 * time.Hour, NotRunMemory: time.Minute}
+var limits = claim.Limits{MaxBytes: 1 << 30, Retention: time.Hour, TombstoneRetention: 24 * time.Hour, NotRunRetention: time.Minute}
 
 // Execute measures shards of several sizes, first filled with claims and then
 // with the tombstones of the expired claims.
