--- a/internal/adapter/grpcpeer/convert.go
+++ b/internal/adapter/grpcpeer/convert.go
@@ -202,5 +202,5 @@
 // coldFromWire limits a received cold time to the range from zero to
 // coldstart.Longest.
 func coldFromWire(millis int64) time.Duration {
-	return time.Duration(min(coldstart.Longest.Milliseconds(), max(0, millis))) * time.Millisecond
+	return time.Duration(min(coldstart.MaxColdTime.Milliseconds(), max(0, millis))) * time.Millisecond
 }
--- a/internal/core/coldstart/coldstart.go
+++ b/internal/core/coldstart/coldstart.go
@@ -11,9 +11,9 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// Longest bounds how long one announcement marks an endpoint as cold. An endpoint
+// MaxColdTime bounds how long one announcement marks an endpoint as cold. An endpoint
 // that stays cold for longer announces it again.
-const Longest = time.Minute
+const MaxColdTime = time.Minute
 
 // Tracker tracks the cold endpoints. It is safe for concurrent use.
 type Tracker struct {
@@ -57,7 +57,7 @@
 	default:
 		updated := t.entry(e)
 		updated.revision, updated.announced = e.Revision, e.ColdFor
-		updated.coldUntil, updated.reportedWarm = now.Add(min(Longest, e.ColdFor)), false
+		updated.coldUntil, updated.reportedWarm = now.Add(min(MaxColdTime, e.ColdFor)), false
 	}
 }
 
@@ -86,7 +86,7 @@
 		return wasCold
 	}
 	updated := t.entry(e)
-	updated.coldUntil, updated.reportedWarm = now.Add(min(Longest, *remaining)), false
+	updated.coldUntil, updated.reportedWarm = now.Add(min(MaxColdTime, *remaining)), false
 	return !wasCold
 }
 
--- a/internal/core/coldstart/coldstart_test.go
+++ b/internal/core/coldstart/coldstart_test.go
@@ -50,7 +50,7 @@
 	for _, remaining := range []time.Duration{24 * time.Hour, -time.Second} {
 		tr.Listed(start, listed(1, 5, remaining))
 		tr.Answered(start, listed(1, 5, 0), &remaining)
-		if tr.IsCold(start.Add(Longest), listed(1, 5, 0)) {
+		if tr.IsCold(start.Add(MaxColdTime), listed(1, 5, 0)) {
 			t.Errorf("a cold time of %v is not bounded", remaining)
 		}
 	}
@@ -88,7 +88,7 @@
 				t.Fatalf("cold is %v, %v before the latest stated end", got, until.Sub(now))
 			}
 		}
-		if tr.Warmed(now.Add(Longest)); len(tr.Warmed(now.Add(Longest))) != 0 {
+		if tr.Warmed(now.Add(MaxColdTime)); len(tr.Warmed(now.Add(MaxColdTime))) != 0 {
 			t.Fatal("the endpoint is reported warm twice")
 		}
 	})
--- a/internal/scheduling/admit.go
+++ b/internal/scheduling/admit.go
@@ -38,13 +38,13 @@
 		}
 		c.handlePeerFailure(coordinator, err)
 	}
-	return Admission{Grant: c.AdmitHere(pool, asks, maxWait), Coordinator: c.opts.Self}
+	return Admission{Grant: c.AdmitLocally(pool, asks, maxWait), Coordinator: c.opts.Self}
 }
 
-// AdmitHere admits a request at this daemon. If this daemon is not the pool's
+// AdmitLocally admits a request at this daemon. If this daemon is not the pool's
 // coordinator, it keeps to its share of the limits, because the coordinator and
 // the daemons that cannot reach it admit requests as well.
-func (c *Client) AdmitHere(pool string, asks []ratelimit.Ask, maxWait time.Duration) ratelimit.Grant {
+func (c *Client) AdmitLocally(pool string, asks []ratelimit.Ask, maxWait time.Duration) ratelimit.Grant {
 	now := c.opts.Clock()
 	if c.isListedCoordinator(pool) {
 		return c.limiter.Admit(now, asks, maxWait)
--- a/internal/scheduling/scheduling_test.go
+++ b/internal/scheduling/scheduling_test.go
@@ -140,7 +140,7 @@
 		return ratelimit.Grant{}, ErrNotAdmitting
 	}
 	var g ratelimit.Grant
-	err := l.call(func() { g = l.fleet.clients[l.to].AdmitHere(pool, asks, maxWait) })
+	err := l.call(func() { g = l.fleet.clients[l.to].AdmitLocally(pool, asks, maxWait) })
 	return g, err
 }
 
