--- a/internal/adapter/grpcpeer/identity.go
+++ b/internal/adapter/grpcpeer/identity.go
@@ -55,18 +55,18 @@
 	i.mu.Unlock()
 }
 
-// SetBlind sets whether later heartbeats report that the platform is unreachable.
-func (i *Identity) SetBlind(blind bool) {
+// SetPlatformUnreachable sets whether later heartbeats report that the platform is unreachable.
+func (i *Identity) SetPlatformUnreachable(blind bool) {
 	i.mu.Lock()
 	i.member.Blind = blind
 	i.mu.Unlock()
 }
 
-// Outlive raises the incarnation above one that other daemons hold for this id, and
+// ExceedIncarnation raises the incarnation above one that other daemons hold for this id, and
 // reports whether it did. A larger incarnation comes from an earlier process whose
 // clock was ahead. If it were not exceeded, other daemons would treat the heartbeats
 // of this process as late messages of the earlier one.
-func (i *Identity) Outlive(seen uint64) bool {
+func (i *Identity) ExceedIncarnation(seen uint64) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if seen <= i.member.Incarnation {
--- a/internal/adapter/grpcpeer/keeper.go
+++ b/internal/adapter/grpcpeer/keeper.go
@@ -24,10 +24,10 @@
 
 // Listener handles the members that subscribe to a keeper.
 type Listener interface {
-	// Heard handles a heartbeat; first is set for the first one of a stream.
-	Heard(m membership.Member, b membership.Beat, first bool)
-	// Closed handles the end of a member's stream; b is its last heartbeat.
-	Closed(b membership.Beat)
+	// HandleHeartbeat handles a heartbeat; first is set for the first one of a stream.
+	HandleHeartbeat(m membership.Member, b membership.Beat, first bool)
+	// HandleStreamEnd handles the end of a member's stream; b is its last heartbeat.
+	HandleStreamEnd(b membership.Beat)
 	// SendsEndpoints reports whether endpoints are sent on the link to a member.
 	SendsEndpoints(to *membership.Member) bool
 	// Directory returns the members that send their heartbeats to this keeper.
@@ -141,7 +141,7 @@
 }
 
 func (s *session) receiveAll(stream peerv1.Keeper_SubscribeServer) error {
-	defer func() { s.listener.Closed(s.lastBeat) }()
+	defer func() { s.listener.HandleStreamEnd(s.lastBeat) }()
 	for {
 		h, err := stream.Recv()
 		if err != nil {
@@ -164,7 +164,7 @@
 	m := heartbeatFromWire(h)
 	s.link.Receive(&m)
 	if s.relay != nil {
-		s.relay.HeardNews(statusFromWire(time.Now(), h.GetPlatformAgeMillis(), h.GetPlatformTry()))
+		s.relay.ReceiveStatus(statusFromWire(time.Now(), h.GetPlatformAgeMillis(), h.GetPlatformTry()))
 	}
 	// Between heartbeats a subscriber also sends changes. Such a message has no
 	// sequence and does not count as a heartbeat.
@@ -176,7 +176,7 @@
 	}
 	s.member.Sequence = h.GetSequence()
 	s.lastBeat.ID, s.lastBeat.Incarnation, s.lastBeat.Sequence = s.member.ID, s.member.Incarnation, s.member.Sequence
-	s.listener.Heard(s.member, s.lastBeat, !s.started)
+	s.listener.HandleHeartbeat(s.member, s.lastBeat, !s.started)
 	s.started = true
 }
 
--- a/internal/adapter/grpcpeer/peer_test.go
+++ b/internal/adapter/grpcpeer/peer_test.go
@@ -31,13 +31,13 @@
 	return &fakeListener{members: map[string]membership.Member{}, beats: map[string]membership.Beat{}, closed: map[string]int{}}
 }
 
-func (f *fakeListener) Heard(m membership.Member, b membership.Beat, _ bool) {
+func (f *fakeListener) HandleHeartbeat(m membership.Member, b membership.Beat, _ bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.members[m.ID], f.beats[m.ID] = m, b
 }
 
-func (f *fakeListener) Closed(b membership.Beat) {
+func (f *fakeListener) HandleStreamEnd(b membership.Beat) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.closed[b.ID]++
--- a/internal/adapter/grpcpeer/platformstatus.go
+++ b/internal/adapter/grpcpeer/platformstatus.go
@@ -13,11 +13,11 @@
 
 // PlatformRelay holds a keeper's status of the platform, which keepers exchange.
 type PlatformRelay interface {
-	// News returns the status to send.
-	News() watchduty.News
-	// HeardNews merges a status received from a peer. Times that the message does
+	// Status returns the status to send.
+	Status() watchduty.News
+	// ReceiveStatus merges a status received from a peer. Times that the message does
 	// not contain are zero.
-	HeardNews(n watchduty.News)
+	ReceiveStatus(n watchduty.News)
 }
 
 // platformStatus holds the fields of a message that contain the status.
@@ -46,7 +46,7 @@
 	if f.relay == nil {
 		return platformStatus{}
 	}
-	n := f.relay.News()
+	n := f.relay.Status()
 	newer := n.Tried.After(f.lastSent.Tried) || n.Answered.After(f.lastSent.Answered)
 	if !newer || !heartbeat && !n.Adds(f.lastSent, MinStatusAdvance) {
 		return platformStatus{}
--- a/internal/adapter/grpcpeer/platformstatus_test.go
+++ b/internal/adapter/grpcpeer/platformstatus_test.go
@@ -10,8 +10,8 @@
 // fakeRelay is a PlatformRelay that merges all statuses it receives.
 type fakeRelay struct{ news watchduty.News }
 
-func (r *fakeRelay) News() watchduty.News       { return r.news }
-func (r *fakeRelay) HeardNews(n watchduty.News) { r.news = r.news.Join(n) }
+func (r *fakeRelay) Status() watchduty.News       { return r.news }
+func (r *fakeRelay) ReceiveStatus(n watchduty.News) { r.news = r.news.Join(n) }
 
 // recordAnswer replaces the status by an answer of the platform.
 func (r *fakeRelay) recordAnswer(at time.Time) {
--- a/internal/adapter/grpcpeer/subscriber.go
+++ b/internal/adapter/grpcpeer/subscriber.go
@@ -131,7 +131,7 @@
 		m := updateFromWire(update)
 		link.Receive(&m)
 		if s.Relay != nil {
-			s.Relay.HeardNews(statusFromWire(time.Now(), update.GetPlatformAgeMillis(), update.GetPlatformTry()))
+			s.Relay.ReceiveStatus(statusFromWire(time.Now(), update.GetPlatformAgeMillis(), update.GetPlatformTry()))
 		}
 		s.raiseIncarnation()
 	}
@@ -141,7 +141,7 @@
 // larger one.
 func (s *Subscriber) raiseIncarnation() {
 	if known, ok := s.Node.Members.Get(s.Identity.ID()); ok {
-		s.Identity.Outlive(known.Incarnation)
+		s.Identity.ExceedIncarnation(known.Incarnation)
 	}
 }
 
--- a/internal/adapter/grpcpeer/traffic.go
+++ b/internal/adapter/grpcpeer/traffic.go
@@ -37,8 +37,8 @@
 // Received returns the number of bytes received.
 func (t *Traffic) Received() int64 { return t.received.Load() }
 
-// Quiet returns the time since bytes last arrived. It is negative if none arrived.
-func (t *Traffic) Quiet(now time.Time) time.Duration {
+// SinceReceived returns the time since bytes last arrived. It is negative if none arrived.
+func (t *Traffic) SinceReceived(now time.Time) time.Duration {
 	last := t.lastReceived.Load()
 	if last == 0 {
 		return -1
--- a/internal/keeper/duty.go
+++ b/internal/keeper/duty.go
@@ -51,11 +51,11 @@
 	k.relayNews()
 }
 
-// News implements grpcpeer.PlatformRelay.
-func (k *Keeper) News() watchduty.News { return k.duty.News() }
+// Status implements grpcpeer.PlatformRelay.
+func (k *Keeper) Status() watchduty.News { return k.duty.News() }
 
-// HeardNews implements grpcpeer.PlatformRelay.
-func (k *Keeper) HeardNews(n watchduty.News) {
+// ReceiveStatus implements grpcpeer.PlatformRelay.
+func (k *Keeper) ReceiveStatus(n watchduty.News) {
 	k.lastPeerMessage.Store(time.Now().UnixNano())
 	if n.Tried.IsZero() {
 		return
--- a/internal/keeper/links.go
+++ b/internal/keeper/links.go
@@ -130,7 +130,7 @@
 	k.bytesReceived.Inc(traffic.Received())
 	if ctx.Err() == nil {
 		k.options.Logger.Info().Str("event", "keeper_link_lost").Str("keeper", address).
-			Int64("after_ms", now.Sub(began).Milliseconds()).Int64("quiet_ms", *port.AgeMillis(traffic.Quiet(now))).
+			Int64("after_ms", now.Sub(began).Milliseconds()).Int64("quiet_ms", *port.AgeMillis(traffic.SinceReceived(now))).
 			Int64("bytes_sent", traffic.Sent()).Int64("bytes_received", traffic.Received()).Err(err).Msg("")
 	}
 }
--- a/internal/keeper/members.go
+++ b/internal/keeper/members.go
@@ -96,7 +96,7 @@
 // failed, which it refutes.
 func (k *Keeper) putSelf() {
 	known, held := k.node.Members.Get(k.identity.ID())
-	if held && k.identity.Outlive(known.Incarnation) {
+	if held && k.identity.ExceedIncarnation(known.Incarnation) {
 		k.options.Logger.Warn().Str("event", "incarnation_raised").Uint64("seen", known.Incarnation).Msg("")
 	}
 	own := k.identity.Current()
@@ -112,8 +112,8 @@
 	k.node.PutMember(own)
 }
 
-// Heard processes a member's heartbeat.
-func (k *Keeper) Heard(m membership.Member, b membership.Beat, first bool) {
+// HandleHeartbeat processes a member's heartbeat.
+func (k *Keeper) HandleHeartbeat(m membership.Member, b membership.Beat, first bool) {
 	k.heartbeats.Beat(time.Now(), b)
 	k.failures.removeOrphan(m.ID)
 	known, held := k.node.Members.Get(m.ID)
@@ -131,8 +131,8 @@
 	}
 }
 
-// Closed processes the end of a member's stream.
-func (k *Keeper) Closed(b membership.Beat) {
+// HandleStreamEnd processes the end of a member's stream.
+func (k *Keeper) HandleStreamEnd(b membership.Beat) {
 	k.heartbeats.Closed(b.ID, b.Incarnation, b.Sequence)
 }
 
@@ -171,7 +171,7 @@
 			return err
 		}
 		now := time.Now()
-		k.identity.SetBlind(k.duty.Blind(now))
+		k.identity.SetPlatformUnreachable(k.duty.Blind(now))
 		k.putSelf()
 		k.forgetDepartedEndpoints()
 		k.heldVersion.since(now, k.node.HighestHeld())
