--- a/internal/core/admission/admission_test.go
+++ b/internal/core/admission/admission_test.go
@@ -121,7 +121,7 @@
 				}
 			},
 			"expire": func(t *rapid.T) {
-				for _, i := range q.Expired(func(i *Item) bool { return now.Sub(i.Enqueued) > 2*time.Second }) {
+				for _, i := range q.RemoveExpired(func(i *Item) bool { return now.Sub(i.Enqueued) > 2*time.Second }) {
 					delete(held, i.ID)
 				}
 			},
--- a/internal/core/admission/queue.go
+++ b/internal/core/admission/queue.go
@@ -262,8 +262,8 @@
 	}
 }
 
-// Expired removes and returns the items for which expired is true.
-func (q *FairQueue) Expired(expired func(*Item) bool) []*Item {
+// RemoveExpired removes and returns the items for which expired is true.
+func (q *FairQueue) RemoveExpired(expired func(*Item) bool) []*Item {
 	var removed []*Item
 	for _, f := range slices.Clone(q.order) {
 		for index := 0; index < len(f.items); {
--- a/internal/core/routing/held.go
+++ b/internal/core/routing/held.go
@@ -443,7 +443,7 @@
 }
 
 func (s *shard) refuseOverdue(now time.Time) {
-	overdue := s.queue.Expired(func(i *admission.Item) bool {
+	overdue := s.queue.RemoveExpired(func(i *admission.Item) bool {
 		e := i.Owner.(*entry)
 		w := s.scheduler.weights(e.request.Model)
 		late := !e.request.Deadline.IsZero() && !now.Before(e.request.Deadline)
