--- a/internal/core/balance/balance.go
+++ b/internal/core/balance/balance.go
@@ -87,8 +87,8 @@
 	l.reportedAt = now
 }
 
-// Keep drops all endpoints except the known ones and those with open calls.
-func (b *Balancer) Keep(known map[string]bool) {
+// Retain drops all endpoints except the known ones and those with open calls.
+func (b *Balancer) Retain(known map[string]bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for id, l := range b.loads {
--- a/internal/core/balance/balance_test.go
+++ b/internal/core/balance/balance_test.go
@@ -96,12 +96,12 @@
 	now := time.Unix(0, 0)
 	b.Report(now, &port.LoadReport{EndpointID: "idle"})
 	e, _, _ := b.Choose(now, []port.Endpoint{{ID: "busy"}})
-	b.Keep(nil)
+	b.Retain(nil)
 	if len(b.loads) != 1 {
 		t.Fatalf("%d endpoints are tracked", len(b.loads))
 	}
 	b.End(e.ID)
-	b.Keep(nil)
+	b.Retain(nil)
 	if len(b.loads) != 0 {
 		t.Fatalf("%d endpoints are tracked", len(b.loads))
 	}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -272,7 +272,7 @@
 	t.runners = reachable(t.runners)
 	r.eligible.Store(t)
 	r.Scheduler.SetEndpoints(r.Clock(), t.runners)
-	r.balancer.Keep(known)
+	r.balancer.Retain(known)
 	r.departures.Keep(known)
 }
 
