--- a/internal/core/coldstart/coldstart.go
+++ b/internal/core/coldstart/coldstart.go
@@ -40,10 +40,10 @@
 // NewTracker returns a tracker without endpoints.
 func NewTracker() *Tracker { return &Tracker{endpoints: make(map[string]*endpointState)} }
 
-// Listed applies the registry entry of an endpoint. The cold time counts from when
+// ApplyEntry applies the registry entry of an endpoint. The cold time counts from when
 // the entry was first received, as the age of an entry is unknown; an endpoint that
 // is taken for cold too long only gets fewer requests.
-func (t *Tracker) Listed(now time.Time, e *port.Endpoint) {
+func (t *Tracker) ApplyEntry(now time.Time, e *port.Endpoint) {
 	if e.ColdFor <= 0 && t.count.Load() == 0 {
 		return
 	}
@@ -66,9 +66,9 @@
 	return k.incarnation == e.Incarnation && k.revision == e.Revision && k.announced == e.ColdFor
 }
 
-// Answered applies the remaining cold time that an endpoint states with an answer,
+// ApplyAnswer applies the remaining cold time that an endpoint states with an answer,
 // nil for none. It reports whether the endpoint changed between cold and warm.
-func (t *Tracker) Answered(now time.Time, e *port.Endpoint, remaining *time.Duration) (changed bool) {
+func (t *Tracker) ApplyAnswer(now time.Time, e *port.Endpoint, remaining *time.Duration) (changed bool) {
 	if remaining == nil || *remaining <= 0 && t.count.Load() == 0 {
 		return false
 	}
--- a/internal/core/coldstart/coldstart_test.go
+++ b/internal/core/coldstart/coldstart_test.go
@@ -22,7 +22,7 @@
 	e := listed(1, 5, time.Second)
 	now := start
 	for now.Before(start.Add(3 * time.Second)) {
-		tr.Listed(now, e)
+		tr.ApplyEntry(now, e)
 		if cold := tr.IsCold(now, e); cold != now.Before(start.Add(time.Second)) {
 			t.Fatalf("cold %v after %v", cold, now.Sub(start))
 		}
@@ -31,11 +31,11 @@
 	if got := tr.Warmed(now); len(got) != 1 {
 		t.Fatalf("Warmed returned %v, want one endpoint", got)
 	}
-	tr.Listed(now, e)
+	tr.ApplyEntry(now, e)
 	if got := tr.Warmed(now); len(got) != 0 || tr.IsCold(now, e) {
 		t.Fatalf("Warmed returned %v again, or the endpoint is cold again", got)
 	}
-	tr.Listed(now, listed(2, 5, time.Second))
+	tr.ApplyEntry(now, listed(2, 5, time.Second))
 	if !tr.IsCold(now, listed(2, 5, time.Second)) {
 		t.Fatal("the new incarnation is not cold")
 	}
@@ -48,8 +48,8 @@
 func TestColdTimeIsBounded(t *testing.T) {
 	tr := NewTracker()
 	for _, remaining := range []time.Duration{24 * time.Hour, -time.Second} {
-		tr.Listed(start, listed(1, 5, remaining))
-		tr.Answered(start, listed(1, 5, 0), &remaining)
+		tr.ApplyEntry(start, listed(1, 5, remaining))
+		tr.ApplyAnswer(start, listed(1, 5, 0), &remaining)
 		if tr.IsCold(start.Add(MaxColdTime), listed(1, 5, 0)) {
 			t.Errorf("a cold time of %v is not bounded", remaining)
 		}
@@ -72,12 +72,12 @@
 				revision++
 				e = listed(1, revision, remaining)
 				until = now.Add(remaining)
-				tr.Listed(now, e)
+				tr.ApplyEntry(now, e)
 			case 1:
-				tr.Listed(now, e)
+				tr.ApplyEntry(now, e)
 			case 2:
 				until = now.Add(remaining)
-				tr.Answered(now, e, &remaining)
+				tr.ApplyAnswer(now, e, &remaining)
 			default:
 				warmed := tr.Warmed(now)
 				if len(warmed) > 0 && now.Before(until) {
--- a/internal/gateway/coldness.go
+++ b/internal/gateway/coldness.go
@@ -10,7 +10,7 @@
 // withColdness sets the request rate that an endpoint accepts while it is cold;
 // zero if it is not cold.
 func (g *Gateway) withColdness(now time.Time, e port.Endpoint) port.Endpoint {
-	g.coldTracker.Listed(now, &e)
+	g.coldTracker.ApplyEntry(now, &e)
 	e.ColdRate = 0
 	if !g.coldTracker.IsCold(now, &e) {
 		return e
@@ -26,7 +26,7 @@
 // observeColdness applies the time for which an endpoint reports that it stays
 // cold.
 func (g *Gateway) observeColdness(at port.Endpoint, coldFor *time.Duration) {
-	if coldFor == nil || !g.coldTracker.Answered(g.Clock(), &at, coldFor) {
+	if coldFor == nil || !g.coldTracker.ApplyAnswer(g.Clock(), &at, coldFor) {
 		return
 	}
 	g.refreshEndpoints(at.ID)
