--- a/internal/core/continuity/move.go
+++ b/internal/core/continuity/move.go
@@ -32,8 +32,8 @@
 	StepCopy Step = iota + 1
 	// StepStop stops the run and copies its last part.
 	StepStop
-	// StepElsewhere chooses another destination and copies everything.
-	StepElsewhere
+	// StepNextDestination chooses another destination and copies everything.
+	StepNextDestination
 	// StepStay leaves the run at its runner.
 	StepStay
 )
@@ -95,7 +95,7 @@
 	}
 	m.destinations++
 	m.passes = 0
-	return StepElsewhere
+	return StepNextDestination
 }
 
 // maxFailures bounds the copies without an answer.
--- a/internal/core/continuity/move_test.go
+++ b/internal/core/continuity/move_test.go
@@ -41,10 +41,10 @@
 			{Copied, 0, 800, StepStop},
 		}},
 		{"destination without room: the next one gets a full copy", 1500, []pass{
-			{Full, 0, 1, StepElsewhere}, {Copied, 1, 10, StepCopy}, {Copied, 10, 12, StepStop},
+			{Full, 0, 1, StepNextDestination}, {Copied, 1, 10, StepCopy}, {Copied, 10, 12, StepStop},
 		}},
 		{"three destinations without room", 1500, []pass{
-			{Full, 0, 1, StepElsewhere}, {Full, 1, 2, StepElsewhere}, {Full, 2, 3, StepStay},
+			{Full, 0, 1, StepNextDestination}, {Full, 1, 2, StepNextDestination}, {Full, 2, 3, StepStay},
 		}},
 		{"the run has ended", 1500, []pass{{Ended, 0, 1, StepStay}}},
 		{"one lost answer, then copies succeed", 1500, []pass{
--- a/internal/gateway/moves.go
+++ b/internal/gateway/moves.go
@@ -56,10 +56,10 @@
 	defer m.state.cancel()
 	defer m.finish()
 	defer m.run.x.recoverMove()
-	step := continuity.StepElsewhere
+	step := continuity.StepNextDestination
 	for ctx.Err() == nil {
 		switch step {
-		case continuity.StepElsewhere:
+		case continuity.StepNextDestination:
 			if !m.chooseDestination(ctx) {
 				return
 			}
@@ -120,7 +120,7 @@
 func (m *mover) rejectDestination() continuity.Step {
 	m.excluded = append(m.excluded, m.to.ID)
 	m.excluded = append(m.excluded, m.g.endpointTable.evacuatedIDs(m.run.x.pool)...)
-	return continuity.StepElsewhere
+	return continuity.StepNextDestination
 }
 
 // copy copies once and returns the next step of the move.
