--- a/internal/core/lease/lease.go
+++ b/internal/core/lease/lease.go
@@ -174,9 +174,9 @@
 	return Write{Action: a, Expect: l.version, Record: rec}
 }
 
-// Wrote records a write that took effect and returned the given version. sent is a
+// RecordWrite records a write that took effect and returned the given version. sent is a
 // time before the write was sent; the duration of the lease counts from it.
-func (l *Lease) Wrote(sent, now time.Time, w *Write, version uint64) {
+func (l *Lease) RecordWrite(sent, now time.Time, w *Write, version uint64) {
 	hadPredecessor := l.lastSeen != nil
 	l.setLastSeen(now, version, &w.Record)
 	switch w.Action {
@@ -196,8 +196,8 @@
 	}
 }
 
-// Recognise reports whether rec is the result of write w, whose reply was lost.
-func (l *Lease) Recognise(w *Write, rec *Record) bool {
+// IsResultOf reports whether rec is the result of write w, whose reply was lost.
+func (l *Lease) IsResultOf(w *Write, rec *Record) bool {
 	return l.isOwn(rec) && rec.Renewal == w.Record.Renewal && rec.Released == w.Record.Released
 }
 
@@ -222,13 +222,13 @@
 	RefusalFormerHolder Refusal = "former_holder_may_be_heard"
 )
 
-// MayOrder returns RefusalNone if an order may be sent now. An order ends, answered or
+// OrderRefusal returns RefusalNone if an order may be sent now. An order ends, answered or
 // abandoned, before the lease does. A successor waits for another order timeout and
 // margin before it sends an order to an endpoint that does not check fencing numbers,
 // as bytes of the last order of its predecessor may still be in transit. One case is
 // not covered: if a holder pauses for longer than the margin between this check and
 // the sending of the order, such an endpoint may execute the order too late.
-func (l *Lease) MayOrder(now time.Time, endpointFences bool) Refusal {
+func (l *Lease) OrderRefusal(now time.Time, endpointFences bool) Refusal {
 	if !l.Holds(now) {
 		return RefusalNotHeld
 	}
--- a/internal/core/lease/lease_test.go
+++ b/internal/core/lease/lease_test.go
@@ -23,7 +23,7 @@
 	if w.Action != ActionAcquire {
 		t.Fatalf("got %+v", w)
 	}
-	l.Wrote(now, now, &w, 1)
+	l.RecordWrite(now, now, &w, 1)
 	return l
 }
 
@@ -46,7 +46,7 @@
 	if w.Action != ActionRenew || w.Expect != 1 || w.Record.Fence != 1 {
 		t.Fatalf("got %+v", w)
 	}
-	l.Wrote(start.Add(5*time.Second), start.Add(6*time.Second), &w, 2)
+	l.RecordWrite(start.Add(5*time.Second), start.Add(6*time.Second), &w, 2)
 	if !l.Holds(start.Add(19*time.Second)) || l.Holds(start.Add(20*time.Second)) {
 		t.Fatal("the renewed lease is not valid for its duration from when the renewal was sent")
 	}
@@ -59,13 +59,13 @@
 // holder could overtake it.
 func TestNoOrderThatCouldOutlastTheLease(t *testing.T) {
 	l := acquiredLease(t, start)
-	if got := l.MayOrder(start.Add(9*time.Second), true); got != RefusalNone {
+	if got := l.OrderRefusal(start.Add(9*time.Second), true); got != RefusalNone {
 		t.Fatalf("got %q", got)
 	}
-	if got := l.MayOrder(start.Add(11*time.Second), true); got != RefusalTooShort {
+	if got := l.OrderRefusal(start.Add(11*time.Second), true); got != RefusalTooShort {
 		t.Fatalf("got %q", got)
 	}
-	if got := l.MayOrder(start.Add(15*time.Second), true); got != RefusalNotHeld {
+	if got := l.OrderRefusal(start.Add(15*time.Second), true); got != RefusalNotHeld {
 		t.Fatalf("got %q", got)
 	}
 }
@@ -74,7 +74,7 @@
 // monotonic clock the lease is no longer valid.
 func TestSuspendedHolderMayNotOrder(t *testing.T) {
 	l := acquiredLease(t, start)
-	if l.MayOrder(start.Add(time.Minute), true) != RefusalNotHeld {
+	if l.OrderRefusal(start.Add(time.Minute), true) != RefusalNotHeld {
 		t.Fatal("a holder may order after it was suspended for longer than its lease")
 	}
 }
@@ -84,7 +84,7 @@
 func TestLateRenewalDoesNotRestoreLease(t *testing.T) {
 	l := acquiredLease(t, start)
 	w := l.Next(start.Add(5*time.Second), true)
-	l.Wrote(start.Add(5*time.Second), start.Add(16*time.Second), &w, 2)
+	l.RecordWrite(start.Add(5*time.Second), start.Add(16*time.Second), &w, 2)
 	if l.Holds(start.Add(17 * time.Second)) {
 		t.Fatal("a late renewal restored the lease")
 	}
@@ -126,14 +126,14 @@
 	l.Observe(start, 1, &rec)
 	now := start.Add(16 * time.Second)
 	w := l.Next(now, true)
-	l.Wrote(now, now, &w, 2)
-	if got := l.MayOrder(now, true); got != RefusalNone {
+	l.RecordWrite(now, now, &w, 2)
+	if got := l.OrderRefusal(now, true); got != RefusalNone {
 		t.Fatalf("endpoint that checks fencing numbers: got %q", got)
 	}
-	if got := l.MayOrder(now.Add(4*time.Second), false); got != RefusalFormerHolder {
+	if got := l.OrderRefusal(now.Add(4*time.Second), false); got != RefusalFormerHolder {
 		t.Fatalf("got %q", got)
 	}
-	if got := l.MayOrder(now.Add(5*time.Second), false); got != RefusalNone {
+	if got := l.OrderRefusal(now.Add(5*time.Second), false); got != RefusalNone {
 		t.Fatalf("got %q", got)
 	}
 }
@@ -146,12 +146,12 @@
 	if w.Action != ActionAcquire || w.Expect != 7 {
 		t.Fatalf("got %+v", w)
 	}
-	l.Wrote(start, start, &w, 8)
-	if got := l.MayOrder(start, true); got != RefusalNone {
+	l.RecordWrite(start, start, &w, 8)
+	if got := l.OrderRefusal(start, true); got != RefusalNone {
 		t.Fatalf("got %q", got)
 	}
 	// The former holder may have abandoned an order just before.
-	if got := l.MayOrder(start, false); got != RefusalFormerHolder {
+	if got := l.OrderRefusal(start, false); got != RefusalFormerHolder {
 		t.Fatalf("got %q", got)
 	}
 }
@@ -163,7 +163,7 @@
 	if w := l.Next(start, false); w.Action != ActionRelease {
 		t.Fatalf("got %+v", w)
 	}
-	if l.MayOrder(start, true) != RefusalNotHeld {
+	if l.OrderRefusal(start, true) != RefusalNotHeld {
 		t.Fatal("orders are allowed after a release was sent")
 	}
 }
@@ -173,7 +173,7 @@
 func TestStopsWhenAnotherHolderIsSeen(t *testing.T) {
 	l := acquiredLease(t, start)
 	l.Observe(start.Add(time.Second), 2, &Record{FormatVersion: 1, Holder: "b", Session: "1", Renewal: 1, DurationMillis: 15000})
-	if l.MayOrder(start.Add(time.Second), true) != RefusalNotHeld {
+	if l.OrderRefusal(start.Add(time.Second), true) != RefusalNotHeld {
 		t.Fatal("orders are allowed although another daemon holds the lease")
 	}
 }
@@ -345,7 +345,7 @@
 	case lose:
 		w.handleLostReply(d, sent, &next)
 	case applied:
-		d.lease.Wrote(sent, d.clock(w.now), &next, w.stored.version)
+		d.lease.RecordWrite(sent, d.clock(w.now), &next, w.stored.version)
 	default:
 		d.lease.Observe(d.clock(w.now), w.stored.version, w.stored.rec)
 	}
@@ -356,8 +356,8 @@
 		return
 	}
 	now := d.clock(w.now)
-	if w.stored.rec != nil && d.lease.Recognise(next, w.stored.rec) {
-		d.lease.Wrote(sent, now, next, w.stored.version)
+	if w.stored.rec != nil && d.lease.IsResultOf(next, w.stored.rec) {
+		d.lease.RecordWrite(sent, now, next, w.stored.version)
 		return
 	}
 	d.lease.Observe(now, w.stored.version, w.stored.rec)
@@ -390,7 +390,7 @@
 
 func (w *simulation) order(i int) {
 	d := w.daemons[i]
-	if d.frozen || w.orderPending(i) || d.lease.MayOrder(d.clock(w.now), false) != RefusalNone {
+	if d.frozen || w.orderPending(i) || d.lease.OrderRefusal(d.clock(w.now), false) != RefusalNone {
 		return
 	}
 	w.pending = append(w.pending, order{d.lease.Fence(), i, w.now})
@@ -411,7 +411,7 @@
 func (w *simulation) check() {
 	permitted := 0
 	for _, d := range w.daemons {
-		if !d.frozen && d.lease.MayOrder(d.clock(w.now), true) == RefusalNone {
+		if !d.frozen && d.lease.OrderRefusal(d.clock(w.now), true) == RefusalNone {
 			permitted++
 		}
 	}
--- a/internal/placement/leases.go
+++ b/internal/placement/leases.go
@@ -234,7 +234,7 @@
 	switch {
 	case err == nil:
 		l.mu.Lock()
-		l.shards[shard].Wrote(sent, l.opts.Now(), &w, object.Version)
+		l.shards[shard].RecordWrite(sent, l.opts.Now(), &w, object.Version)
 		l.mu.Unlock()
 	case errors.Is(err, port.ErrConflict):
 		l.observeObject(shard, &object)
@@ -261,8 +261,8 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.opts.Now()
-	if l.shards[shard].Recognise(w, rec) {
-		l.shards[shard].Wrote(sent, now, w, object.Version)
+	if l.shards[shard].IsResultOf(w, rec) {
+		l.shards[shard].RecordWrite(sent, now, w, object.Version)
 		return
 	}
 	l.shards[shard].Observe(now, object.Version, rec)
@@ -311,7 +311,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.shards[shard]
-	return s.Fence(), s.MayOrder(l.opts.Now(), e.FencesOrders)
+	return s.Fence(), s.OrderRefusal(l.opts.Now(), e.FencesOrders)
 }
 
 func (l *leases) holdsAny() bool {
@@ -327,7 +327,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.shards[shard]
-	refusal := s.MayOrder(l.opts.Now(), e.FencesOrders)
+	refusal := s.OrderRefusal(l.opts.Now(), e.FencesOrders)
 	if refusal == lease.RefusalNone {
 		l.openOrders[shard]++
 	}
