--- a/internal/adapter/grpcpeer/convert.go
+++ b/internal/adapter/grpcpeer/convert.go
@@ -50,7 +50,7 @@
 		FailureDomain: e.FailureDomain, Incarnation: e.Incarnation, State: string(e.State),
 		FencesOrders: e.FencesOrders, Models: e.Models,
 		Version: e.Observation, Unreachable: e.Unreachable, Confirmed: e.Confirmed,
-		Revision: uint64(e.Revision), Said: string(e.Said), Slots: uint32(e.Slots),
+		Revision: uint64(e.Revision), Said: string(e.ReportedState), Slots: uint32(e.Slots),
 		RateLimit: e.RateLimit, LimitChanges: e.LimitChanges, ColdMillis: e.ColdFor.Milliseconds(),
 	}
 	if e.EntryRevision != e.Revision {
@@ -74,7 +74,7 @@
 			RateLimit: rateLimitFromWire(e.GetRateLimit()), ColdFor: coldFromWire(e.GetColdMillis()),
 		},
 		EntryRevision: entry,
-		Said:          port.EndpointState(e.GetSaid()),
+		ReportedState:          port.EndpointState(e.GetSaid()),
 		Observation:   e.GetVersion(), Confirmed: e.GetConfirmed(), LimitChanges: e.GetLimitChanges(),
 	}
 }
@@ -91,8 +91,8 @@
 	return &peerv1.Member{
 		Id: m.ID, Role: string(m.Role), Incarnation: m.Incarnation, FailureDomain: m.FailureDomain,
 		Host: m.Host, CallerAddress: m.CallerAddress, AdminAddress: m.AdminAddress, PeerAddress: m.PeerAddress,
-		State: string(m.State), Sequence: m.Sequence, HeardBy: m.HeardBy,
-		Condition: string(m.Condition), Left: m.Left, Blind: m.Blind,
+		State: string(m.State), Sequence: m.Sequence, HeardBy: m.DecidedBy,
+		Condition: string(m.Condition), Left: m.Left, Blind: m.PlatformUnreachable,
 	}
 }
 
@@ -101,8 +101,8 @@
 		ID: m.GetId(), Role: port.MemberRole(m.GetRole()), Incarnation: m.GetIncarnation(),
 		FailureDomain: m.GetFailureDomain(), Host: m.GetHost(), CallerAddress: m.GetCallerAddress(),
 		AdminAddress: m.GetAdminAddress(), PeerAddress: m.GetPeerAddress(),
-		State: port.MemberState(m.GetState()), Sequence: m.GetSequence(), HeardBy: m.GetHeardBy(),
-		Condition: membership.Condition(m.GetCondition()), Left: m.GetLeft(), Blind: m.GetBlind(),
+		State: port.MemberState(m.GetState()), Sequence: m.GetSequence(), DecidedBy: m.GetHeardBy(),
+		Condition: membership.Condition(m.GetCondition()), Left: m.GetLeft(), PlatformUnreachable: m.GetBlind(),
 	}
 }
 
--- a/internal/adapter/grpcpeer/identity.go
+++ b/internal/adapter/grpcpeer/identity.go
@@ -58,7 +58,7 @@
 // SetPlatformUnreachable sets whether later heartbeats report that the platform is unreachable.
 func (i *Identity) SetPlatformUnreachable(blind bool) {
 	i.mu.Lock()
-	i.member.Blind = blind
+	i.member.PlatformUnreachable = blind
 	i.mu.Unlock()
 }
 
--- a/internal/adapter/grpcpeer/keeper.go
+++ b/internal/adapter/grpcpeer/keeper.go
@@ -25,9 +25,9 @@
 // Listener handles the members that subscribe to a keeper.
 type Listener interface {
 	// HandleHeartbeat handles a heartbeat; first is set for the first one of a stream.
-	HandleHeartbeat(m membership.Member, b membership.Beat, first bool)
+	HandleHeartbeat(m membership.Member, b membership.Heartbeat, first bool)
 	// HandleStreamEnd handles the end of a member's stream; b is its last heartbeat.
-	HandleStreamEnd(b membership.Beat)
+	HandleStreamEnd(b membership.Heartbeat)
 	// SendsEndpoints reports whether endpoints are sent on the link to a member.
 	SendsEndpoints(to *membership.Member) bool
 	// Directory returns the members that send their heartbeats to this keeper.
@@ -134,7 +134,7 @@
 	listener Listener
 	link     *node.Link
 	member   membership.Member
-	lastBeat membership.Beat
+	lastBeat membership.Heartbeat
 	started  bool
 	// relay is nil if the member is not a keeper.
 	relay PlatformRelay
--- a/internal/adapter/grpcpeer/peer_test.go
+++ b/internal/adapter/grpcpeer/peer_test.go
@@ -23,21 +23,21 @@
 type fakeListener struct {
 	mu      sync.Mutex
 	members map[string]membership.Member
-	beats   map[string]membership.Beat
+	beats   map[string]membership.Heartbeat
 	closed  map[string]int
 }
 
 func newFakeListener() *fakeListener {
-	return &fakeListener{members: map[string]membership.Member{}, beats: map[string]membership.Beat{}, closed: map[string]int{}}
+	return &fakeListener{members: map[string]membership.Member{}, beats: map[string]membership.Heartbeat{}, closed: map[string]int{}}
 }
 
-func (f *fakeListener) HandleHeartbeat(m membership.Member, b membership.Beat, _ bool) {
+func (f *fakeListener) HandleHeartbeat(m membership.Member, b membership.Heartbeat, _ bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.members[m.ID], f.beats[m.ID] = m, b
 }
 
-func (f *fakeListener) HandleStreamEnd(b membership.Beat) {
+func (f *fakeListener) HandleStreamEnd(b membership.Heartbeat) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.closed[b.ID]++
@@ -49,7 +49,7 @@
 	return membership.ProbeAnswered
 }
 
-func (f *fakeListener) get(id string) (membership.Member, membership.Beat) {
+func (f *fakeListener) get(id string) (membership.Member, membership.Heartbeat) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.members[id], f.beats[id]
--- a/internal/adapter/grpcpeer/view.go
+++ b/internal/adapter/grpcpeer/view.go
@@ -328,5 +328,5 @@
 	if !ok {
 		return
 	}
-	v.node.PutEndpoint(membership.Said(known, r))
+	v.node.PutEndpoint(membership.WithReport(known, r))
 }
--- a/internal/core/membership/departures.go
+++ b/internal/core/membership/departures.go
@@ -32,8 +32,8 @@
 	return true
 }
 
-// Keep removes the endpoints that are not in the given set.
-func (d *Departures) Keep(known map[string]bool) {
+// Retain removes the endpoints that are not in the given set.
+func (d *Departures) Retain(known map[string]bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for id := range d.incarnations {
--- a/internal/core/membership/endpoint.go
+++ b/internal/core/membership/endpoint.go
@@ -20,9 +20,9 @@
 	EntryRevision port.StoreRevision
 	// Confirmed is set once the endpoint itself has reported the incarnation.
 	Confirmed bool
-	// Said is the state that the endpoint itself reported; it never moves
+	// ReportedState is the state that the endpoint itself reported; it never moves
 	// backwards.
-	Said port.EndpointState
+	ReportedState port.EndpointState
 	// Observation counts the changes of Unreachable and Models within the
 	// incarnation; the larger is newer.
 	Observation uint64
@@ -64,9 +64,9 @@
 	if compareListings(&a, &b) < 0 {
 		out = b
 	}
-	out.Said = laterState(a.Said, b.Said)
+	out.ReportedState = laterState(a.ReportedState, b.ReportedState)
 	out.Revision, out.State = joinStates(&a, &b)
-	out.State = laterState(out.State, out.Said)
+	out.State = laterState(out.State, out.ReportedState)
 	out.Confirmed = a.Confirmed || b.Confirmed
 	observed := &a
 	if compareObservations(&a, &b) < 0 {
@@ -162,7 +162,7 @@
 	h.Bool(e.FencesOrders)
 	h.Bool(e.Confirmed)
 	h.Uint64(uint64(e.Revision))
-	h.Uint64(uint64(endpointRank(e.Said)))
+	h.Uint64(uint64(endpointRank(e.ReportedState)))
 	h.Uint64(uint64(e.Slots))
 	h.Uint64(e.Observation)
 	h.Bool(e.Unreachable)
@@ -195,11 +195,11 @@
 	return Endpoint{Endpoint: normalised(e), EntryRevision: e.Revision}
 }
 
-// FromCopy returns the state of an endpoint whose registry entry may come from a
+// FromRestoredEntry returns the state of an endpoint whose registry entry may come from a
 // restored backup. Such an entry may be older than the known state despite its
 // larger revision: "live" doesn't cancel a shutdown notice that the backup lacks.
 // "Leaving" is accepted, since no entry returns from it to live.
-func FromCopy(e port.Endpoint) Endpoint {
+func FromRestoredEntry(e port.Endpoint) Endpoint {
 	out := Listed(e)
 	if out.State == port.EndpointLive {
 		out.Revision = 0
@@ -207,17 +207,17 @@
 	return out
 }
 
-// Unproven reports whether the registry entry may be older than the known
+// StateMayBeStale reports whether the registry entry may be older than the known
 // state, see FromCopy.
-func (e *Endpoint) Unproven() bool { return e.Revision < e.EntryRevision }
+func (e *Endpoint) StateMayBeStale() bool { return e.Revision < e.EntryRevision }
 
-// StillListed returns the state of an endpoint that is still listed after the
+// WithRenewedEntry returns the state of an endpoint that is still listed after the
 // time for which the registry keeps entries that aren't renewed. The entry must
 // have been renewed since the restore, so its "live" is accepted now.
-func StillListed(known Endpoint) Endpoint {
+func WithRenewedEntry(known Endpoint) Endpoint {
 	next := known
 	next.Revision = known.EntryRevision
-	next.State = laterState(port.EndpointLive, known.Said)
+	next.State = laterState(port.EndpointLive, known.ReportedState)
 	return next
 }
 
@@ -229,21 +229,21 @@
 	return e
 }
 
-// Said returns the state after a report from the endpoint itself. A report of a
+// WithReport returns the state after a report from the endpoint itself. A report of a
 // larger incarnation resets the state; one of a smaller incarnation is late and
 // changes nothing.
-func Said(known Endpoint, r *port.LoadReport) Endpoint {
+func WithReport(known Endpoint, r *port.LoadReport) Endpoint {
 	if r.Incarnation < known.Incarnation {
 		return known
 	}
 	next := known
 	if r.Incarnation > known.Incarnation {
 		next.Incarnation = r.Incarnation
-		next.State, next.Said = port.EndpointLive, ""
+		next.State, next.ReportedState = port.EndpointLive, ""
 		next.Observation, next.LimitChanges = 0, 0
 		next.Unreachable, next.RateLimit = false, 0
 	}
-	next.Said = laterState(next.Said, r.State)
+	next.ReportedState = laterState(next.ReportedState, r.State)
 	next.State = laterState(next.State, r.State)
 	next.Confirmed = true
 	models := slices.Sorted(slices.Values(r.Models))
@@ -255,9 +255,9 @@
 	return next
 }
 
-// Limited returns the state after the endpoint reported a rate limit, in
+// WithRateLimit returns the state after the endpoint reported a rate limit, in
 // requests per second; zero is no limit.
-func Limited(known Endpoint, perSecond float64) Endpoint {
+func WithRateLimit(known Endpoint, perSecond float64) Endpoint {
 	next := known
 	if next.RateLimit != perSecond {
 		next.LimitChanges++
@@ -266,9 +266,9 @@
 	return next
 }
 
-// Missed returns the state after the number of consecutive failed probes that
+// WithUnreachable returns the state after the number of consecutive failed probes that
 // makes an endpoint unreachable.
-func Missed(known Endpoint) Endpoint {
+func WithUnreachable(known Endpoint) Endpoint {
 	next := known
 	if !next.Unreachable {
 		next.Observation++
--- a/internal/core/membership/eras.go
+++ b/internal/core/membership/eras.go
@@ -9,15 +9,15 @@
 const (
 	// EraInForce: the response has the current era.
 	EraInForce EraVerdict = iota
-	// EraBegun: the response confirms a new era; the store was restored from a
+	// EraConfirmed: the response confirms a new era; the store was restored from a
 	// backup.
-	EraBegun
+	EraConfirmed
 	// EraAnnounced: the response is the first with this later era. The era takes
 	// effect only when the next response has it too, since revisions of a wrong,
 	// too large era would take precedence over all later data of the store.
 	EraAnnounced
-	// EraFell: the response has an earlier era than the current one.
-	EraFell
+	// EraRegressed: the response has an earlier era than the current one.
+	EraRegressed
 )
 
 // Eras tracks the era of the platform's store, a number that increases when the
@@ -39,9 +39,9 @@
 	return e.current
 }
 
-// Answer classifies the era of one response of the store. changed is false for
+// Observe classifies the era of one response of the store. changed is false for
 // EraInForce, and for EraFell directly after another EraFell.
-func (e *Eras) Answer(era uint64) (verdict EraVerdict, changed bool) {
+func (e *Eras) Observe(era uint64) (verdict EraVerdict, changed bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	announced, fell := e.announced, e.fell
@@ -51,19 +51,19 @@
 		return EraInForce, false
 	case era < e.current:
 		e.fell = true
-		return EraFell, !fell
+		return EraRegressed, !fell
 	case era == announced:
 		e.current = era
-		return EraBegun, true
+		return EraConfirmed, true
 	default:
 		e.announced = era
 		return EraAnnounced, true
 	}
 }
 
-// Heard adopts an era received from another daemon if it is later than the
+// Adopt adopts an era received from another daemon if it is later than the
 // current one, and reports whether it is.
-func (e *Eras) Heard(era uint64) bool {
+func (e *Eras) Adopt(era uint64) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if era <= e.current {
--- a/internal/core/membership/eras_test.go
+++ b/internal/core/membership/eras_test.go
@@ -30,13 +30,13 @@
 	e := Listed(listing)
 	switch rapid.IntRange(0, 4).Draw(t, "source") {
 	case 0:
-		e = FromCopy(listing)
+		e = FromRestoredEntry(listing)
 	case 1:
-		e = StillListed(FromCopy(listing))
+		e = WithRenewedEntry(FromRestoredEntry(listing))
 	case 2:
 		e = Removed(e, revision)
 	case 3:
-		e = Said(e, &port.LoadReport{EndpointID: "e", Incarnation: listing.Incarnation, State: port.EndpointLeaving})
+		e = WithReport(e, &port.LoadReport{EndpointID: "e", Incarnation: listing.Incarnation, State: port.EndpointLeaving})
 	}
 	return e
 })
@@ -53,7 +53,7 @@
 		known := Removed(Listed(port.Endpoint{ID: "e", Incarnation: 1}), storeRevision(t, 1, rapid.Uint64Range(1, 9).Draw(t, "notice")))
 		merged := known
 		for range rapid.IntRange(1, 4).Draw(t, "lists") {
-			restored := FromCopy(port.Endpoint{
+			restored := FromRestoredEntry(port.Endpoint{
 				ID: "e", Incarnation: 1, State: port.EndpointLive, Revision: storeRevision(t, rapid.Uint64Range(2, 4).Draw(t, "era"), rapid.Uint64Range(1, 9).Draw(t, "revision")),
 			})
 			merged = EndpointOrder{}.Join(merged, restored)
@@ -65,7 +65,7 @@
 		if got := (EndpointOrder{}).Join(merged, reregistered).State; got != port.EndpointLive {
 			t.Fatalf("state %s although the endpoint registered after the restore", got)
 		}
-		if got := (EndpointOrder{}).Join(known, StillListed(merged)).State; got != port.EndpointLive {
+		if got := (EndpointOrder{}).Join(known, WithRenewedEntry(merged)).State; got != port.EndpointLive {
 			t.Fatalf("state %s although the registry still lists the endpoint", got)
 		}
 	})
@@ -86,23 +86,23 @@
 		{0, EraInForce, false, 0},
 		{900, EraAnnounced, true, 0},
 		{1, EraAnnounced, true, 0},
-		{1, EraBegun, true, 1},
+		{1, EraConfirmed, true, 1},
 		{1, EraInForce, false, 1},
-		{0, EraFell, true, 1},
-		{0, EraFell, false, 1},
+		{0, EraRegressed, true, 1},
+		{0, EraRegressed, false, 1},
 		{1, EraInForce, false, 1},
 		{3, EraAnnounced, true, 1},
-		{3, EraBegun, true, 3},
+		{3, EraConfirmed, true, 3},
 	} {
-		verdict, changed := e.Answer(step.era)
+		verdict, changed := e.Observe(step.era)
 		if verdict != step.verdict || changed != step.changed || e.Current() != step.current {
 			t.Fatalf("era %d: verdict %v, news %v, current %d; want %+v", step.era, verdict, changed, e.Current(), step)
 		}
 	}
-	if e.Heard(2) || !e.Heard(4) || e.Current() != 4 {
+	if e.Adopt(2) || !e.Adopt(4) || e.Current() != 4 {
 		t.Fatal("an era received from a peer must be adopted if and only if it is later")
 	}
-	if verdict, _ := e.Answer(4); verdict != EraInForce {
+	if verdict, _ := e.Observe(4); verdict != EraInForce {
 		t.Fatal("an era adopted from a peer must be in force without a second response")
 	}
 }
--- a/internal/core/membership/heartbeats.go
+++ b/internal/core/membership/heartbeats.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Beat is one heartbeat of a member.
-type Beat struct {
+// Heartbeat is one heartbeat of a member.
+type Heartbeat struct {
 	ID          string
 	Incarnation uint64
 	Sequence    uint64
@@ -18,9 +18,9 @@
 	RecordsDigest  uint64
 }
 
-// Heard is the last heartbeat that a keeper received from a member directly.
-type Heard struct {
-	Beat
+// LastHeartbeat is the last heartbeat that a keeper received from a member directly.
+type LastHeartbeat struct {
+	Heartbeat
 	// At is when the heartbeat arrived.
 	At time.Time
 	// InForceSince is when a heartbeat first reported HighestVersion.
@@ -29,26 +29,26 @@
 	Closed bool
 }
 
-// Hearing holds the last heartbeats of the members connected to this keeper. It
+// Heartbeats holds the last heartbeats of the members connected to this keeper. It
 // isn't replicated: only the member states derived from it are.
-type Hearing struct {
+type Heartbeats struct {
 	mu    sync.Mutex
-	heard map[string]Heard
+	heard map[string]LastHeartbeat
 }
 
-// NewHearing returns an empty Hearing.
-func NewHearing() *Hearing { return &Hearing{heard: map[string]Heard{}} }
+// NewHeartbeats returns an empty Hearing.
+func NewHeartbeats() *Heartbeats { return &Heartbeats{heard: map[string]LastHeartbeat{}} }
 
 // Beat records a heartbeat. One with an older incarnation, or with a smaller
 // sequence of the same incarnation, is late and ignored.
-func (h *Hearing) Beat(now time.Time, b Beat) {
+func (h *Heartbeats) Beat(now time.Time, b Heartbeat) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	old, known := h.heard[b.ID]
 	if known && (b.Incarnation < old.Incarnation || b.Incarnation == old.Incarnation && b.Sequence < old.Sequence) {
 		return
 	}
-	next := Heard{Beat: b, At: now, InForceSince: now}
+	next := LastHeartbeat{Heartbeat: b, At: now, InForceSince: now}
 	if known && old.Incarnation == b.Incarnation && old.HighestVersion == b.HighestVersion {
 		next.InForceSince = old.InForceSince
 	}
@@ -57,7 +57,7 @@
 
 // Closed records that the stream of an incarnation has ended. It is ignored if a
 // heartbeat with a larger sequence than the stream's last has arrived.
-func (h *Hearing) Closed(id string, incarnation, sequence uint64) {
+func (h *Heartbeats) Closed(id string, incarnation, sequence uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	old, known := h.heard[id]
@@ -69,14 +69,14 @@
 
 // Forget removes a member that is connected to another keeper now, or whose
 // state has been decided.
-func (h *Hearing) Forget(id string) {
+func (h *Heartbeats) Forget(id string) {
 	h.mu.Lock()
 	delete(h.heard, id)
 	h.mu.Unlock()
 }
 
 // Get returns the last heartbeat of a member.
-func (h *Hearing) Get(id string) (Heard, bool) {
+func (h *Heartbeats) Get(id string) (LastHeartbeat, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	v, ok := h.heard[id]
@@ -84,21 +84,21 @@
 }
 
 // All returns the last heartbeats of all members, sorted by id.
-func (h *Hearing) All() []Heard {
+func (h *Heartbeats) All() []LastHeartbeat {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	out := make([]Heard, 0, len(h.heard))
+	out := make([]LastHeartbeat, 0, len(h.heard))
 	for _, v := range h.heard {
 		out = append(out, v)
 	}
-	slices.SortFunc(out, func(a, b Heard) int { return strings.Compare(a.ID, b.ID) })
+	slices.SortFunc(out, func(a, b LastHeartbeat) int { return strings.Compare(a.ID, b.ID) })
 	return out
 }
 
 // Overdue returns the members whose last heartbeat is at least limit old, or at
 // least grace old with a closed stream. Their state has to be determined.
-func (h *Hearing) Overdue(now time.Time, limit, grace time.Duration) []Heard {
-	var out []Heard
+func (h *Heartbeats) Overdue(now time.Time, limit, grace time.Duration) []LastHeartbeat {
+	var out []LastHeartbeat
 	for _, v := range h.All() {
 		age := now.Sub(v.At)
 		if age >= limit || v.Closed && age >= grace {
--- a/internal/core/membership/lattice_test.go
+++ b/internal/core/membership/lattice_test.go
@@ -40,9 +40,9 @@
 		Sequence:  oneOf[uint64](1, 2).Draw(t, "sequence"),
 		State:     oneOf(port.MemberJoining, port.MemberLive, port.MemberSuspect, port.MemberDead).Draw(t, "state"),
 		Condition: oneOf(ConditionNone, ConditionFrozen, ConditionRefused).Draw(t, "condition"),
-		HeardBy:   oneOf("", "k1", "k2").Draw(t, "heard by"),
+		DecidedBy:   oneOf("", "k1", "k2").Draw(t, "heard by"),
 		Left:      rapid.Bool().Draw(t, "left"),
-		Blind:     rapid.Bool().Draw(t, "blind"),
+		PlatformUnreachable:     rapid.Bool().Draw(t, "blind"),
 		Host:      oneOf("h1", "h2").Draw(t, "host"),
 	}
 })
@@ -105,9 +105,9 @@
 			case 1:
 				e = EndpointOrder{}.Join(e, Listed(port.Endpoint{ID: "e", Incarnation: incarnation, State: port.EndpointLive}))
 			case 2:
-				e = Missed(e)
+				e = WithUnreachable(e)
 			case 3:
-				e = Said(e, &port.LoadReport{EndpointID: "e", Incarnation: incarnation, State: port.EndpointLive})
+				e = WithReport(e, &port.LoadReport{EndpointID: "e", Incarnation: incarnation, State: port.EndpointLive})
 			}
 			if e.State == port.EndpointLive {
 				t.Fatalf("live after leaving: %+v", e)
@@ -120,11 +120,11 @@
 // late messages about the former incarnation change nothing.
 func TestNewIncarnationResetsState(t *testing.T) {
 	old := Endpoint{Endpoint: port.Endpoint{ID: "e", Incarnation: 1, State: port.EndpointGone, Unreachable: true}, Observation: 4}
-	e := Said(old, &port.LoadReport{EndpointID: "e", Incarnation: 2, State: port.EndpointLive})
+	e := WithReport(old, &port.LoadReport{EndpointID: "e", Incarnation: 2, State: port.EndpointLive})
 	if e.State != port.EndpointLive || e.Unreachable || e.Incarnation != 2 {
 		t.Fatalf("state not reset for the new incarnation: %+v", e)
 	}
-	if late := Said(e, &port.LoadReport{EndpointID: "e", Incarnation: 1, State: port.EndpointGone}); late.State != port.EndpointLive || late.Incarnation != 2 {
+	if late := WithReport(e, &port.LoadReport{EndpointID: "e", Incarnation: 1, State: port.EndpointGone}); late.State != port.EndpointLive || late.Incarnation != 2 {
 		t.Fatalf("a late report of the former incarnation changed the state: %+v", late)
 	}
 	if joined := (EndpointOrder{}).Join(e, old); joined.State != port.EndpointLive {
@@ -137,11 +137,11 @@
 // keeper must not undo that.
 func TestReportClearsUnreachable(t *testing.T) {
 	live := Endpoint{Endpoint: port.Endpoint{ID: "e", Incarnation: 1, State: port.EndpointLive}}
-	missed := Missed(live)
+	missed := WithUnreachable(live)
 	if !missed.Unreachable || missed.State != port.EndpointLive {
 		t.Fatalf("after failed probes: %+v", missed)
 	}
-	recovered := Said(missed, &port.LoadReport{EndpointID: "e", Incarnation: 1, State: port.EndpointLive})
+	recovered := WithReport(missed, &port.LoadReport{EndpointID: "e", Incarnation: 1, State: port.EndpointLive})
 	if joined := (EndpointOrder{}).Join(missed, recovered); joined.Unreachable {
 		t.Fatalf("still unreachable: %+v", joined)
 	}
@@ -154,7 +154,7 @@
 	if e := Delisted(live); e.State != port.EndpointLive {
 		t.Fatalf("not live although it answers probes: %+v", e)
 	}
-	if e := Delisted(Missed(live)); e.State != port.EndpointGone {
+	if e := Delisted(WithUnreachable(live)); e.State != port.EndpointGone {
 		t.Fatalf("not gone although neither listed nor reachable: %+v", e)
 	}
 }
@@ -192,18 +192,18 @@
 // Guards against daemons with different rate limits after concurrent changes.
 func TestStricterOfConcurrentLimitsWins(t *testing.T) {
 	known := Listed(port.Endpoint{ID: "e", Incarnation: 1})
-	a, b := Limited(known, 4), Limited(known, 2.5)
+	a, b := WithRateLimit(known, 4), WithRateLimit(known, 2.5)
 	both := EndpointOrder{}.Join(a, b)
 	if both.RateLimit != 2.5 {
 		t.Fatalf("limit %v, want the stricter one, 2.5", both.RateLimit)
 	}
-	if lifted := (EndpointOrder{}).Join(both, Limited(both, 0)); lifted.RateLimit != 0 {
+	if lifted := (EndpointOrder{}).Join(both, WithRateLimit(both, 0)); lifted.RateLimit != 0 {
 		t.Fatalf("limit %v after it was removed", lifted.RateLimit)
 	}
 	if relisted := (EndpointOrder{}).Join(both, Listed(port.Endpoint{ID: "e", Incarnation: 1, Revision: 9})); relisted.RateLimit != 2.5 {
 		t.Fatalf("limit %v after the registry listed the endpoint again", relisted.RateLimit)
 	}
-	if next := Said(both, &port.LoadReport{EndpointID: "e", Incarnation: 2}); next.RateLimit != 0 {
+	if next := WithReport(both, &port.LoadReport{EndpointID: "e", Incarnation: 2}); next.RateLimit != 0 {
 		t.Fatalf("the next incarnation has limit %v", next.RateLimit)
 	}
 }
--- a/internal/core/membership/member.go
+++ b/internal/core/membership/member.go
@@ -47,10 +47,10 @@
 	Sequence  uint64
 	State     port.MemberState
 	Condition Condition
-	// HeardBy is the keeper that determined State.
-	HeardBy string
-	// Blind is set by a keeper that can't reach the platform.
-	Blind bool
+	// DecidedBy is the keeper that determined State.
+	DecidedBy string
+	// PlatformUnreachable is set by a keeper that can't reach the platform.
+	PlatformUnreachable bool
 }
 
 func stateRank(s port.MemberState) int {
@@ -96,8 +96,8 @@
 		cmp.Compare(stateRank(a.State), stateRank(b.State)),
 		cmp.Compare(a.State, b.State),
 		cmp.Compare(a.Condition, b.Condition),
-		cmp.Compare(a.HeardBy, b.HeardBy),
-		compareBools(a.Blind, b.Blind),
+		cmp.Compare(a.DecidedBy, b.DecidedBy),
+		compareBools(a.PlatformUnreachable, b.PlatformUnreachable),
 		cmp.Compare(a.PeerAddress, b.PeerAddress),
 		cmp.Compare(a.CallerAddress, b.CallerAddress),
 		cmp.Compare(a.AdminAddress, b.AdminAddress),
@@ -122,8 +122,8 @@
 	h.Uint64(m.Sequence)
 	h.String(string(m.State))
 	h.String(string(m.Condition))
-	h.String(m.HeardBy)
-	h.Bool(m.Blind)
+	h.String(m.DecidedBy)
+	h.Bool(m.PlatformUnreachable)
 	return h.Sum()
 }
 
--- a/internal/core/membership/membership_test.go
+++ b/internal/core/membership/membership_test.go
@@ -14,22 +14,22 @@
 	const short = 3 * time.Second
 	cases := []struct {
 		name      string
-		evidence  Evidence
+		evidence  ProbeEvidence
 		state     port.MemberState
 		condition Condition
 	}{
-		{"link cut, other probes answered", Evidence{ProbeUnreachable, []ProbeResult{ProbeAnswered}, DeadAfter}, port.MemberLive, ConditionLinkCut},
-		{"host refuses", Evidence{ProbeRefused, nil, short}, port.MemberDead, ConditionRefused},
-		{"link cut, host refuses another probe", Evidence{ProbeUnreachable, []ProbeResult{ProbeRefused}, short}, port.MemberDead, ConditionRefused},
-		{"frozen", Evidence{ProbeAccepted, []ProbeResult{ProbeAccepted}, short}, port.MemberSuspect, ConditionFrozen},
-		{"link cut, frozen for another probe", Evidence{ProbeUnreachable, []ProbeResult{ProbeAccepted}, short}, port.MemberSuspect, ConditionFrozen},
-		{"frozen for DeadAfter", Evidence{ProbeAccepted, nil, DeadAfter}, port.MemberDead, ConditionFrozen},
-		{"unreachable", Evidence{ProbeUnreachable, []ProbeResult{ProbeUnreachable}, short}, port.MemberSuspect, ConditionUnreachable},
-		{"unreachable for DeadAfter", Evidence{ProbeUnreachable, nil, DeadAfter}, port.MemberDead, ConditionUnreachable},
+		{"link cut, other probes answered", ProbeEvidence{ProbeUnreachable, []ProbeResult{ProbeAnswered}, DeadAfter}, port.MemberLive, ConditionLinkCut},
+		{"host refuses", ProbeEvidence{ProbeRefused, nil, short}, port.MemberDead, ConditionRefused},
+		{"link cut, host refuses another probe", ProbeEvidence{ProbeUnreachable, []ProbeResult{ProbeRefused}, short}, port.MemberDead, ConditionRefused},
+		{"frozen", ProbeEvidence{ProbeAccepted, []ProbeResult{ProbeAccepted}, short}, port.MemberSuspect, ConditionFrozen},
+		{"link cut, frozen for another probe", ProbeEvidence{ProbeUnreachable, []ProbeResult{ProbeAccepted}, short}, port.MemberSuspect, ConditionFrozen},
+		{"frozen for DeadAfter", ProbeEvidence{ProbeAccepted, nil, DeadAfter}, port.MemberDead, ConditionFrozen},
+		{"unreachable", ProbeEvidence{ProbeUnreachable, []ProbeResult{ProbeUnreachable}, short}, port.MemberSuspect, ConditionUnreachable},
+		{"unreachable for DeadAfter", ProbeEvidence{ProbeUnreachable, nil, DeadAfter}, port.MemberDead, ConditionUnreachable},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			state, condition := Judge(c.evidence)
+			state, condition := DetermineState(c.evidence)
 			if state != c.state || condition != c.condition {
 				t.Fatalf("got %s %s, want %s %s", state, condition, c.state, c.condition)
 			}
@@ -38,15 +38,15 @@
 }
 
 func TestHeartbeats(t *testing.T) {
-	h := NewHearing()
+	h := NewHeartbeats()
 	start := time.Unix(1000, 0)
 	at := func(s int) time.Time { return start.Add(time.Duration(s) * time.Second) }
-	h.Beat(at(0), Beat{ID: "m", Incarnation: 1, Sequence: 1, HighestVersion: 5})
-	h.Beat(at(1), Beat{ID: "m", Incarnation: 1, Sequence: 2, HighestVersion: 5})
+	h.Beat(at(0), Heartbeat{ID: "m", Incarnation: 1, Sequence: 1, HighestVersion: 5})
+	h.Beat(at(1), Heartbeat{ID: "m", Incarnation: 1, Sequence: 2, HighestVersion: 5})
 	if v, _ := h.Get("m"); !v.InForceSince.Equal(at(0)) || !v.At.Equal(at(1)) {
 		t.Fatalf("got %+v", v)
 	}
-	h.Beat(at(9), Beat{ID: "m", Incarnation: 1, Sequence: 1})
+	h.Beat(at(9), Heartbeat{ID: "m", Incarnation: 1, Sequence: 1})
 	if v, _ := h.Get("m"); !v.At.Equal(at(1)) {
 		t.Fatal("a late heartbeat changed the time of the last heartbeat")
 	}
@@ -57,7 +57,7 @@
 	if got := h.Overdue(at(2), 3*time.Second, time.Second); len(got) != 1 {
 		t.Fatal("member with a closed stream is not overdue after the grace period")
 	}
-	h.Beat(at(2), Beat{ID: "m", Incarnation: 1, Sequence: 3})
+	h.Beat(at(2), Heartbeat{ID: "m", Incarnation: 1, Sequence: 3})
 	h.Closed("m", 1, 2)
 	if got := h.Overdue(at(3), 3*time.Second, time.Second); len(got) != 0 {
 		t.Fatal("the end of the old stream marked the new one as closed")
@@ -91,7 +91,7 @@
 			for _, n := range opened {
 				links[k.ID] = append(links[k.ID], n.ID)
 				links[n.ID] = append(links[n.ID], k.ID)
-				if !ring.Joins(k.ID, n.ID) {
+				if !ring.Connects(k.ID, n.ID) {
 					t.Fatalf("%s is a neighbour that %s connects to, but Joins is false", n.ID, k.ID)
 				}
 			}
@@ -127,14 +127,14 @@
 	keepers := makeKeepers(5, 5)
 	before := Watchers(keepers, 2)
 	for i := range keepers {
-		keepers[i].Blind = keepers[i].ID == before[0]
+		keepers[i].PlatformUnreachable = keepers[i].ID == before[0]
 	}
 	after := Watchers(keepers, 2)
 	if len(after) != 2 || after[0] != before[1] || after[1] == before[0] {
 		t.Fatalf("watchers %v; after %s became blind: %v", before, before[0], after)
 	}
 	for i := range keepers {
-		keepers[i].Blind = true
+		keepers[i].PlatformUnreachable = true
 	}
 	if got := Watchers(keepers, 2); len(got) != 2 {
 		t.Fatalf("watchers %v with all keepers blind, want 2", got)
--- a/internal/core/membership/probe.go
+++ b/internal/core/membership/probe.go
@@ -22,8 +22,8 @@
 	ProbeUnreachable ProbeResult = "unreachable"
 )
 
-// Evidence is the input of Judge for one member without heartbeats.
-type Evidence struct {
+// ProbeEvidence is the input of Judge for one member without heartbeats.
+type ProbeEvidence struct {
 	// Direct is the result of the keeper's own probe. Others are the results of
 	// probes by other keepers, in other failure domains where there are any.
 	Direct ProbeResult
@@ -36,10 +36,10 @@
 // member is declared dead. A later heartbeat overrides that.
 const DeadAfter = 30 * time.Second
 
-// Judge derives a member's state from probes: it distinguishes a dead process, a
+// DetermineState derives a member's state from probes: it distinguishes a dead process, a
 // frozen process and a broken link. A host that drops packets looks like a broken
 // link to all probes; then only the time without heartbeats decides.
-func Judge(e Evidence) (port.MemberState, Condition) {
+func DetermineState(e ProbeEvidence) (port.MemberState, Condition) {
 	results := append([]ProbeResult{e.Direct}, e.Others...)
 	switch {
 	case slices.Contains(results, ProbeAnswered):
--- a/internal/core/membership/prune.go
+++ b/internal/core/membership/prune.go
@@ -18,11 +18,11 @@
 	departureChunkRevisions = 1024
 )
 
-// Forgettable returns the ids of the endpoints that departed so long ago that
+// PrunableDepartures returns the ids of the endpoints that departed so long ago that
 // they can be removed. The result depends on the entries alone, so daemons with
 // equal entries remove the same ones. Endpoints without a revision are never
 // returned.
-func Forgettable(all iter.Seq[Endpoint]) []string {
+func PrunableDepartures(all iter.Seq[Endpoint]) []string {
 	var departed []Endpoint
 	for e := range all {
 		if e.State != port.EndpointLive && e.Revision > 0 {
--- a/internal/core/membership/prune_test.go
+++ b/internal/core/membership/prune_test.go
@@ -40,7 +40,7 @@
 			all = append(all, departedEndpoint(fmt.Sprint("left-", i), revision(i)))
 		}
 		shuffled := rapid.Permutation(all).Draw(t, "order")
-		ids := Forgettable(slices.Values(shuffled))
+		ids := PrunableDepartures(slices.Values(shuffled))
 		forgotten := map[string]bool{}
 		for _, id := range ids {
 			forgotten[id] = true
--- a/internal/core/membership/registry_test.go
+++ b/internal/core/membership/registry_test.go
@@ -14,7 +14,7 @@
 	e := Listed(port.Endpoint{ID: "e", Incarnation: rapid.Uint64Range(1, 2).Draw(t, "incarnation"), State: states.Draw(t, "listed")})
 	e.Revision = port.StoreRevision(rapid.Uint64Range(1, 4).Draw(t, "revision"))
 	if rapid.Bool().Draw(t, "reports leaving") {
-		e = Said(e, &port.LoadReport{EndpointID: "e", Incarnation: e.Incarnation, State: port.EndpointLeaving})
+		e = WithReport(e, &port.LoadReport{EndpointID: "e", Incarnation: e.Incarnation, State: port.EndpointLeaving})
 	}
 	return e
 }
@@ -38,7 +38,7 @@
 		}
 		joined := join(a, b)
 		for _, e := range []Endpoint{a, b} {
-			if e.Incarnation == joined.Incarnation && e.Said == port.EndpointLeaving && joined.State != port.EndpointLeaving {
+			if e.Incarnation == joined.Incarnation && e.ReportedState == port.EndpointLeaving && joined.State != port.EndpointLeaving {
 				t.Fatal("the endpoint reported leaving, but the joined state isn't leaving")
 			}
 		}
--- a/internal/core/membership/ring.go
+++ b/internal/core/membership/ring.go
@@ -55,9 +55,9 @@
 	return out
 }
 
-// Joins reports whether keeper "from" connects to keeper "to" as a neighbour. If
+// Connects reports whether keeper "from" connects to keeper "to" as a neighbour. If
 // "from" isn't on the ring yet, it is treated as if it were.
-func (r Ring) Joins(from, to string) bool {
+func (r Ring) Connects(from, to string) bool {
 	at, found := r.find(from)
 	n := len(r.members)
 	if !found {
@@ -78,9 +78,9 @@
 	return slices.BinarySearchFunc(r.members, id, func(m Member, id string) int { return compareOnRing(m.ID, id) })
 }
 
-// Place returns a keeper's index on the ring, or the index at which it would be
+// Index returns a keeper's index on the ring, or the index at which it would be
 // inserted.
-func (r Ring) Place(id string) int {
+func (r Ring) Index(id string) int {
 	at, _ := r.find(id)
 	return at
 }
@@ -118,7 +118,7 @@
 // the number of keepers. Keepers that can't reach the platform are excluded while
 // there are others.
 func Watchers(keepers []Member, count int) []string {
-	candidates := slices.DeleteFunc(slices.Clone(keepers), func(m Member) bool { return m.Blind })
+	candidates := slices.DeleteFunc(slices.Clone(keepers), func(m Member) bool { return m.PlatformUnreachable })
 	if len(candidates) == 0 || len(keepers)-len(candidates) >= blindPerWatcherInOutage*count {
 		candidates = keepers
 	}
@@ -165,6 +165,6 @@
 	return Owners{ring: rendezvous.New(ids, spread.HashKey)}
 }
 
-// Of returns the id of the keeper that owns the subject, "" if there are no
+// Owner returns the id of the keeper that owns the subject, "" if there are no
 // keepers.
-func (o Owners) Of(subject string) string { return o.ring.Lookup(subject) }
+func (o Owners) Owner(subject string) string { return o.ring.Lookup(subject) }
--- a/internal/core/spread/node/node.go
+++ b/internal/core/spread/node/node.go
@@ -166,7 +166,7 @@
 // ForgetDeparted removes the endpoints that departed so long ago that their state
 // needn't be replicated any more, and returns their ids.
 func (n *Node) ForgetDeparted() []string {
-	ids := membership.Forgettable(n.Endpoints.All())
+	ids := membership.PrunableDepartures(n.Endpoints.All())
 	if len(ids) == 0 {
 		return nil
 	}
--- a/internal/keeper/eras.go
+++ b/internal/keeper/eras.go
@@ -18,14 +18,14 @@
 // so it only changes what no other source has reported.
 func (k *Keeper) checkEra(kind string, at port.StoreRevision) error {
 	before := k.eras.Current()
-	verdict, isNew := k.eras.Answer(at.Era())
+	verdict, isNew := k.eras.Observe(at.Era())
 	switch verdict {
-	case membership.EraBegun:
+	case membership.EraConfirmed:
 		k.logEraBegan(before, at, "")
 	case membership.EraAnnounced:
 		k.logEraAnomaly("store_era_announced", kind, before, at)
 		return errEraUnconfirmed
-	case membership.EraFell:
+	case membership.EraRegressed:
 		if isNew {
 			k.logEraAnomaly("store_era_fell", kind, before, at)
 		}
@@ -50,7 +50,7 @@
 // which the platform hasn't answered this keeper yet.
 func (k *Keeper) EraHeard(at port.StoreRevision, from string) {
 	before := k.eras.Current()
-	if k.eras.Heard(at.Era()) {
+	if k.eras.Adopt(at.Era()) {
 		k.logEraBegan(before, at, from)
 	}
 }
--- a/internal/keeper/hosts.go
+++ b/internal/keeper/hosts.go
@@ -79,7 +79,7 @@
 func (k *Keeper) TellLimit(endpoint string, incarnation uint64, perSecond float64) {
 	known, ok := k.node.Endpoints.Get(endpoint)
 	if ok && known.Incarnation == incarnation {
-		k.node.PutEndpoint(membership.Limited(known, perSecond))
+		k.node.PutEndpoint(membership.WithRateLimit(known, perSecond))
 	}
 }
 
--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -184,7 +184,7 @@
 	// cachedMemberView is accessed through memberView.
 	cachedMemberView atomic.Pointer[memberView]
 	identity         *grpcpeer.Identity
-	heartbeats       *membership.Hearing
+	heartbeats       *membership.Heartbeats
 	listed           listedKinds
 	failures         failureDetector
 	probeFailures    probeFailures
@@ -231,7 +231,7 @@
 		options:    o,
 		node:       node.New(),
 		identity:   grpcpeer.NewIdentity(o.Self),
-		heartbeats: membership.NewHearing(),
+		heartbeats: membership.NewHeartbeats(),
 	}
 	k.bytesSent = gometrics.GetOrRegisterCounter("keeper_links_sent_bytes_total", o.Registry)
 	k.bytesReceived = gometrics.GetOrRegisterCounter("keeper_links_received_bytes_total", o.Registry)
--- a/internal/keeper/links.go
+++ b/internal/keeper/links.go
@@ -97,7 +97,7 @@
 // each other; their neighbours on the ring then send them the endpoints.
 func (k *Keeper) SendsEndpoints(to *membership.Member) bool {
 	ring := k.memberView().ring
-	return to.Role != port.RoleKeeper || ring.Len() <= smallFleetSize || ring.Joins(to.ID, k.options.Self.ID)
+	return to.Role != port.RoleKeeper || ring.Len() <= smallFleetSize || ring.Connects(to.ID, k.options.Self.ID)
 }
 
 // maintainLink keeps a subscription to one keeper until the context ends.
--- a/internal/keeper/members.go
+++ b/internal/keeper/members.go
@@ -101,38 +101,38 @@
 	}
 	own := k.identity.Current()
 	if held && known.Incarnation == own.Incarnation && known.Left == own.Left &&
-		known.Blind == own.Blind && known.State == port.MemberLive {
+		known.PlatformUnreachable == own.PlatformUnreachable && known.State == port.MemberLive {
 		return
 	}
 	if held {
 		k.identity.Refute(known.Incarnation, known.Sequence)
 	}
 	own = k.identity.Next()
-	own.HeardBy = own.ID
+	own.DecidedBy = own.ID
 	k.node.PutMember(own)
 }
 
 // HandleHeartbeat processes a member's heartbeat.
-func (k *Keeper) HandleHeartbeat(m membership.Member, b membership.Beat, first bool) {
+func (k *Keeper) HandleHeartbeat(m membership.Member, b membership.Heartbeat, first bool) {
 	k.heartbeats.Beat(time.Now(), b)
 	k.failures.removeOrphan(m.ID)
 	known, held := k.node.Members.Get(m.ID)
 	// An entry whose only source is the member itself is taken over by this
 	// keeper; otherwise no keeper would notice that the member falls silent.
 	current := held && known.Incarnation == m.Incarnation && known.Left == m.Left &&
-		known.Blind == m.Blind && known.State == port.MemberLive && known.Condition == membership.ConditionNone &&
-		known.HeardBy != m.ID
+		known.PlatformUnreachable == m.PlatformUnreachable && known.State == port.MemberLive && known.Condition == membership.ConditionNone &&
+		known.DecidedBy != m.ID
 	if current && !first {
 		return
 	}
-	m.State, m.Condition, m.HeardBy = port.MemberLive, membership.ConditionNone, k.options.Self.ID
+	m.State, m.Condition, m.DecidedBy = port.MemberLive, membership.ConditionNone, k.options.Self.ID
 	if k.node.PutMember(m) {
 		k.recordVerdict("member", m.ID, string(m.Effective()), "heartbeat", b.HighestVersion)
 	}
 }
 
 // HandleStreamEnd processes the end of a member's stream.
-func (k *Keeper) HandleStreamEnd(b membership.Beat) {
+func (k *Keeper) HandleStreamEnd(b membership.Heartbeat) {
 	k.heartbeats.Closed(b.ID, b.Incarnation, b.Sequence)
 }
 
@@ -140,8 +140,8 @@
 // keeper itself.
 func (k *Keeper) Directory() []*peerv1.Member {
 	now := time.Now()
-	out := []*peerv1.Member{k.directoryEntry(now, membership.Heard{
-		Beat: membership.Beat{
+	out := []*peerv1.Member{k.directoryEntry(now, membership.LastHeartbeat{
+		Heartbeat: membership.Heartbeat{
 			ID: k.options.Self.ID, HighestVersion: k.node.HighestHeld(), RecordsDigest: k.node.Records.Digest(),
 		},
 		At: now, InForceSince: k.heldVersion.since(now, k.node.HighestHeld()),
@@ -152,7 +152,7 @@
 	return out
 }
 
-func (k *Keeper) directoryEntry(now time.Time, h membership.Heard) *peerv1.Member {
+func (k *Keeper) directoryEntry(now time.Time, h membership.LastHeartbeat) *peerv1.Member {
 	return &peerv1.Member{
 		Id: h.ID, Incarnation: h.Incarnation, Sequence: h.Sequence,
 		HighestVersion: h.HighestVersion, RecordsDigest: h.RecordsDigest,
@@ -196,7 +196,7 @@
 	var out []suspect
 	for _, h := range k.heartbeats.Overdue(now, k.options.SilenceAfter, reconnectGrace) {
 		m, held := k.node.Members.Get(h.ID)
-		if !held || m.HeardBy != k.options.Self.ID || m.Incarnation != h.Incarnation || m.State == port.MemberDead {
+		if !held || m.DecidedBy != k.options.Self.ID || m.Incarnation != h.Incarnation || m.State == port.MemberDead {
 			k.heartbeats.Forget(h.ID)
 			continue
 		}
@@ -216,8 +216,8 @@
 	}
 	var out []suspect
 	for m := range k.node.Members.All() {
-		hasKeeper := live[m.HeardBy] && m.HeardBy != m.ID
-		if hasKeeper || m.State == port.MemberDead || m.ID == k.options.Self.ID || owners.Of(m.ID) != k.options.Self.ID {
+		hasKeeper := live[m.DecidedBy] && m.DecidedBy != m.ID
+		if hasKeeper || m.State == port.MemberDead || m.ID == k.options.Self.ID || owners.Owner(m.ID) != k.options.Self.ID {
 			k.failures.removeOrphan(m.ID)
 			continue
 		}
@@ -230,14 +230,14 @@
 }
 
 func (k *Keeper) checkSuspect(ctx context.Context, s suspect) {
-	e := membership.Evidence{Direct: k.Probe(ctx, s.member.PeerAddress), SilentFor: s.silentFor}
+	e := membership.ProbeEvidence{Direct: k.Probe(ctx, s.member.PeerAddress), SilentFor: s.silentFor}
 	if e.Direct != membership.ProbeAnswered && e.Direct != membership.ProbeRefused {
 		e.Others = k.probeIndirectly(ctx, &s.member)
 	}
 	if ctx.Err() != nil {
 		return
 	}
-	state, condition := membership.Judge(e)
+	state, condition := membership.DetermineState(e)
 	next := s.member
 	next.State, next.Condition, next.Sequence = state, condition, s.sequence
 	// HeardBy isn't changed, so that a check of an orphan doesn't make it look
--- a/internal/keeper/memberview.go
+++ b/internal/keeper/memberview.go
@@ -75,7 +75,7 @@
 	s.isSeed = slices.Contains(*k.seeds.Load(), k.options.Self.PeerAddress)
 	s.pollsHosts = s.watcherIndex >= 0 && s.watcherIndex < hostPollers
 	s.ring = membership.NewRing(s.live)
-	s.ringPosition = s.ring.Place(self)
+	s.ringPosition = s.ring.Index(self)
 	for _, m := range s.ring.Neighbours(self) {
 		s.neighbours = append(s.neighbours, m.PeerAddress)
 	}
--- a/internal/keeper/probes.go
+++ b/internal/keeper/probes.go
@@ -85,7 +85,7 @@
 	owners := k.memberView().owners
 	var out []membership.Endpoint
 	for e := range k.node.Endpoints.All() {
-		if k.probeUseful(&e) && owners.Of(e.ID) == k.options.Self.ID {
+		if k.probeUseful(&e) && owners.Owner(e.ID) == k.options.Self.ID {
 			out = append(out, e)
 		}
 	}
@@ -130,7 +130,7 @@
 	k.probeFailures.reset(e.ID)
 	// Read again, because the entry may have changed during the probe.
 	if known, ok := k.node.Endpoints.Get(e.ID); ok {
-		k.putEndpoint(membership.Said(known, &report), "own_word")
+		k.putEndpoint(membership.WithReport(known, &report), "own_word")
 	}
 	return true
 }
@@ -155,7 +155,7 @@
 			continue
 		}
 		if known, ok := k.node.Endpoints.Get(share[i].ID); ok {
-			k.putEndpoint(membership.Missed(known), "probes_failed")
+			k.putEndpoint(membership.WithUnreachable(known), "probes_failed")
 		}
 	}
 }
--- a/internal/keeper/registry.go
+++ b/internal/keeper/registry.go
@@ -107,8 +107,8 @@
 		return
 	}
 	for e := range k.node.Endpoints.All() {
-		if e.EntryRevision.Era() == first.Era() && e.Unproven() {
-			k.putEndpoint(membership.StillListed(e), "still_registered")
+		if e.EntryRevision.Era() == first.Era() && e.StateMayBeStale() {
+			k.putEndpoint(membership.WithRenewedEntry(e), "still_registered")
 		}
 	}
 }
@@ -144,7 +144,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if e.Revision <= s.restoredAt && e.Revision.Era() == s.restoredAt.Era() {
-		return membership.FromCopy(e)
+		return membership.FromRestoredEntry(e)
 	}
 	return membership.Listed(e)
 }
@@ -159,7 +159,7 @@
 	}
 	var out []string
 	for e := range s.keeper.node.Endpoints.All() {
-		relevant := e.State == port.EndpointLive || e.Unproven()
+		relevant := e.State == port.EndpointLive || e.StateMayBeStale()
 		if relevant && !listed[e.ID] && e.EntryRevision <= revision {
 			out = append(out, e.ID)
 		}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -273,7 +273,7 @@
 	r.eligible.Store(t)
 	r.Scheduler.SetEndpoints(r.Clock(), t.runners)
 	r.balancer.Retain(known)
-	r.departures.Keep(known)
+	r.departures.Retain(known)
 }
 
 // applyEvacuations updates the active evacuations from the records and records a
--- a/internal/tools/spreadbench/memory.go
+++ b/internal/tools/spreadbench/memory.go
@@ -72,6 +72,6 @@
 		CallerAddress: fmt.Sprintf("10.1.%d.%d:7101", i/250, i%250),
 		AdminAddress:  fmt.Sprintf("10.1.%d.%d:7102", i/250, i%250),
 		PeerAddress:   fmt.Sprintf("10.1.%d.%d:7103", i/250, i%250),
-		State:         port.MemberLive, Sequence: 7, HeardBy: "keeper-1",
+		State:         port.MemberLive, Sequence: 7, DecidedBy: "keeper-1",
 	})
 }
