--- a/internal/core/placement/ledger.go
+++ b/internal/core/placement/ledger.go
@@ -70,9 +70,9 @@
 	return l.Permits[i], true
 }
 
-// Disturbed reports whether a permit disrupts the model on the runner, so that it
+// Disrupted reports whether a permit disrupts the model on the runner, so that it
 // does not count as ready there.
-func (l *Ledger) Disturbed(endpoint, model string) bool {
+func (l *Ledger) Disrupted(endpoint, model string) bool {
 	p, found := l.Find(endpoint)
 	return found && slices.Contains(p.Models, model)
 }
@@ -97,25 +97,25 @@
 
 // Budget limits concurrent steps.
 type Budget struct {
-	// Loads is the maximum number of concurrent loads from the weight store.
-	Loads int
+	// MaxLoads is the maximum number of concurrent loads from the weight store.
+	MaxLoads int
 }
 
-// Take records a permit for the step, or returns the reason for refusing it.
+// Acquire records a permit for the step, or returns the reason for refusing it.
 // Serving returns the number of runners, without that of the step, that serve a
 // model and have no permit that disrupts it. Its data must have been read after the
 // ledger.
-func (l *Ledger) Take(s *Step, fence uint64, b Budget, serving func(model string) int) (refusal string) {
-	if s.Loads && l.countLoads(s.Endpoint.ID) >= b.Loads {
-		return fmt.Sprintf("the weight store's budget of %d loads is spent", b.Loads)
+func (l *Ledger) Acquire(s *Step, fence uint64, b Budget, serving func(model string) int) (refusal string) {
+	if s.ReadsWeights && l.countLoads(s.Endpoint.ID) >= b.MaxLoads {
+		return fmt.Sprintf("the weight store's budget of %d loads is spent", b.MaxLoads)
 	}
 	for _, d := range s.Disrupts {
-		if n := serving(d.Model); n < d.Keep {
+		if n := serving(d.Model); n < d.MinReady {
 			return disruptionRefusal(&d, n)
 		}
 	}
 	l.Release(s.Endpoint.ID)
-	p := Permit{Endpoint: s.Endpoint.ID, Incarnation: s.Endpoint.Incarnation, Loads: s.Loads, Fence: fence}
+	p := Permit{Endpoint: s.Endpoint.ID, Incarnation: s.Endpoint.Incarnation, Loads: s.ReadsWeights, Fence: fence}
 	for _, d := range s.Disrupts {
 		p.Models = append(p.Models, d.Model)
 	}
@@ -127,7 +127,7 @@
 	if others == 0 {
 		return "it is the last ready runner of " + d.Model
 	}
-	return fmt.Sprintf("only %d other runners serve %s and %d must", others, d.Model, d.Keep)
+	return fmt.Sprintf("only %d other runners serve %s and %d must", others, d.Model, d.MinReady)
 }
 
 func (l *Ledger) countLoads(except string) int {
--- a/internal/core/placement/placement.go
+++ b/internal/core/placement/placement.go
@@ -69,16 +69,16 @@
 // permanently.
 type Disruption struct {
 	Model string
-	// Keep is the number of other runners that must have the model ready.
-	Keep int
+	// MinReady is the number of other runners that must have the model ready.
+	MinReady int
 }
 
 // Step is the next order for one runner, without its id and fencing number.
 type Step struct {
 	Endpoint port.Endpoint
 	Order    port.Order
-	// Loads: the step reads from the weight store.
-	Loads    bool
+	// ReadsWeights: the step reads from the weight store.
+	ReadsWeights    bool
 	Disrupts []Disruption
 	// Deployment and ConfigurationVersion are the name and the version of the
 	// deployment record.
--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -121,25 +121,25 @@
 }
 
 func TestLedger(t *testing.T) {
-	load := Step{Endpoint: port.Endpoint{ID: "a1", Incarnation: 1}, Loads: true}
-	other := Step{Endpoint: port.Endpoint{ID: "b1", Incarnation: 1}, Loads: true}
+	load := Step{Endpoint: port.Endpoint{ID: "a1", Incarnation: 1}, ReadsWeights: true}
+	other := Step{Endpoint: port.Endpoint{ID: "b1", Incarnation: 1}, ReadsWeights: true}
 	disrupt := Step{Endpoint: port.Endpoint{ID: "c1", Incarnation: 1}, Disrupts: []Disruption{{"m", 1}}}
 	none := func(string) int { return 0 }
 	one := func(string) int { return 1 }
 	l := &Ledger{}
-	if r := l.Take(&load, 5, Budget{Loads: 1}, none); r != "" {
+	if r := l.Acquire(&load, 5, Budget{MaxLoads: 1}, none); r != "" {
 		t.Fatal(r)
 	}
-	if r := l.Take(&load, 6, Budget{Loads: 1}, none); r != "" {
+	if r := l.Acquire(&load, 6, Budget{MaxLoads: 1}, none); r != "" {
 		t.Fatalf("refused because of the runner's own permit: %s", r)
 	}
-	if r := l.Take(&other, 5, Budget{Loads: 1}, none); !strings.Contains(r, "budget") {
+	if r := l.Acquire(&other, 5, Budget{MaxLoads: 1}, none); !strings.Contains(r, "budget") {
 		t.Fatalf("got %q", r)
 	}
-	if r := l.Take(&disrupt, 5, Budget{Loads: 1}, none); !strings.Contains(r, "last ready runner") {
+	if r := l.Acquire(&disrupt, 5, Budget{MaxLoads: 1}, none); !strings.Contains(r, "last ready runner") {
 		t.Fatalf("got %q", r)
 	}
-	if r := l.Take(&disrupt, 5, Budget{Loads: 1}, one); r != "" || !l.Disturbed("c1", "m") {
+	if r := l.Acquire(&disrupt, 5, Budget{MaxLoads: 1}, one); r != "" || !l.Disrupted("c1", "m") {
 		t.Fatalf("got %q", r)
 	}
 	value, err := l.Encode()
@@ -168,7 +168,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		runners := drawRunners(t)
 		deployments := drawDeployments(t, len(runners))
-		budget := Budget{Loads: rapid.IntRange(1, 3).Draw(t, "budget")}
+		budget := Budget{MaxLoads: rapid.IntRange(1, 3).Draw(t, "budget")}
 		for pass := 0; ; pass++ {
 			if pass == 60 {
 				t.Fatalf("not converged after 60 passes, remaining steps: %v", text(Make(deployments, runners)))
@@ -226,13 +226,13 @@
 			n := 0
 			for i := range runners {
 				id := runners[i].Endpoint.ID
-				if id != s.Endpoint.ID && runners[i].Serves(model) && !ledger.Disturbed(id, model) {
+				if id != s.Endpoint.ID && runners[i].Serves(model) && !ledger.Disrupted(id, model) {
 					n++
 				}
 			}
 			return n
 		}
-		if ledger.Take(&s, 1, b, serving) == "" {
+		if ledger.Acquire(&s, 1, b, serving) == "" {
 			executed = append(executed, s)
 		}
 	}
@@ -241,7 +241,7 @@
 		model := deployments[i].Model
 		n := 0
 		for j := range runners {
-			if runners[j].Serves(model) && !ledger.Disturbed(runners[j].Endpoint.ID, model) {
+			if runners[j].Serves(model) && !ledger.Disrupted(runners[j].Endpoint.ID, model) {
 				n++
 			}
 		}
--- a/internal/core/placement/plan.go
+++ b/internal/core/placement/plan.go
@@ -122,7 +122,7 @@
 		}
 		s := p.newStep(d, r, port.OrderLoadAdapter, "adapter "+adapter+" is missing")
 		s.Order.Adapter = adapter
-		s.Loads = true
+		s.ReadsWeights = true
 		p.addStep(s)
 		return
 	}
@@ -141,7 +141,7 @@
 
 func (p *planner) loadStep(d *record.Deployment, r *Runner, reason string) Step {
 	s := p.newStep(d, r, port.OrderLoadModel, reason)
-	s.Loads = true
+	s.ReadsWeights = true
 	return s
 }
 
--- a/internal/placement/ledger.go
+++ b/internal/placement/ledger.go
@@ -35,12 +35,12 @@
 	defer s.mu.Unlock()
 	required := map[string]int{}
 	for _, d := range step.Disrupts {
-		required[d.Model] = d.Keep
+		required[d.Model] = d.MinReady
 	}
 	refusal := ""
 	err := s.update(ctx, func(l *placement.Ledger) bool {
 		count := func(model string) int { return serving(l, model, required[model]) }
-		refusal = l.Take(step, fence, b, count)
+		refusal = l.Acquire(step, fence, b, count)
 		return refusal == ""
 	})
 	if err != nil {
--- a/internal/placement/pass.go
+++ b/internal/placement/pass.go
@@ -161,7 +161,7 @@
 		l.recorder.recordRefusedStep(s, fence, string(refusal))
 		return false
 	}
-	if s.Loads || len(s.Disrupts) > 0 {
+	if s.ReadsWeights || len(s.Disrupts) > 0 {
 		if reason := l.takePermit(ctx, s, fence, runners); reason != "" {
 			l.recorder.recordRefusedStep(s, fence, reason)
 			return false
@@ -191,7 +191,7 @@
 	serving := 0
 	for i := range runners {
 		r := runners[i]
-		if r.Endpoint.ID == s.Endpoint.ID || !r.Serves(model) || ledger.Disturbed(r.Endpoint.ID, model) {
+		if r.Endpoint.ID == s.Endpoint.ID || !r.Serves(model) || ledger.Disrupted(r.Endpoint.ID, model) {
 			continue
 		}
 		r.Known = false
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -204,4 +204,4 @@
 	return found
 }
 
-func (l *Loop) budget() placement.Budget { return placement.Budget{Loads: l.opts.MaxLoads} }
+func (l *Loop) budget() placement.Budget { return placement.Budget{MaxLoads: l.opts.MaxLoads} }
