--- a/internal/adapter/grpcpeer/suspects.go
+++ b/internal/adapter/grpcpeer/suspects.go
@@ -15,7 +15,7 @@
 		return &peerv1.Suspect{
 			Fingerprint: s.Fingerprint[:], Cleared: s.Cleared, Renewals: s.Renewals,
 			Crashes:        mapSlice(s.Crashes, func(c quarantine.CrashID) uint64 { return uint64(c) }),
-			HeardAgeMillis: ageMillis(now, s.Heard),
+			HeardAgeMillis: ageMillis(now, s.UpdatedAt),
 		}
 	})
 }
@@ -28,13 +28,13 @@
 	for _, s := range ss {
 		age := time.Duration(max(0, s.GetHeardAgeMillis())) * time.Millisecond
 		var f quarantine.Fingerprint
-		if copy(f[:], s.GetFingerprint()) < len(f) || !quarantine.Acceptable(age) {
+		if copy(f[:], s.GetFingerprint()) < len(f) || !quarantine.AcceptsAge(age) {
 			continue
 		}
 		out = append(out, quarantine.Suspect{
 			Fingerprint: f, Cleared: s.GetCleared(), Renewals: s.GetRenewals(),
 			Crashes: quarantine.Union(mapSlice(s.GetCrashes(), func(c uint64) quarantine.CrashID { return quarantine.CrashID(c) }), nil),
-			Heard:   now.Add(-age),
+			UpdatedAt:   now.Add(-age),
 		})
 	}
 	return out
--- a/internal/core/quarantine/evaluate_test.go
+++ b/internal/core/quarantine/evaluate_test.go
@@ -140,7 +140,7 @@
 			Renewals: rapid.Uint32Range(0, 2).Draw(t, "renewals"),
 		}
 	})
-	order := Order{}
+	order := SuspectOrder{}
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := draw.Draw(t, "a"), draw.Draw(t, "b"), draw.Draw(t, "c")
 		for property, sides := range map[string][2]Suspect{
--- a/internal/core/quarantine/flights.go
+++ b/internal/core/quarantine/flights.go
@@ -15,17 +15,17 @@
 // whose connections have not broken yet.
 const endedRetention = 5 * time.Second
 
-// Flights tracks the attempts of one daemon that are in flight, by endpoint. It
+// Attempts tracks the attempts of one daemon that are in flight, by endpoint. It
 // tells apart an endpoint that ended, with all requests running there, and a single
 // broken connection. It is safe for concurrent use.
-type Flights struct {
+type Attempts struct {
 	mu        sync.Mutex
 	endpoints map[EndpointKey]*endpointAttempts
 }
 
 // endpointAttempts are the attempts at one endpoint.
 type endpointAttempts struct {
-	open map[*Flight]struct{}
+	open map[*Attempt]struct{}
 	// lost are the attempts whose connection broke for an unknown reason so far.
 	lost []lostFlight
 	// probing is set while a caller finds out whether the endpoint has ended.
@@ -39,39 +39,39 @@
 	at          time.Time
 }
 
-// Flight is one attempt in flight.
-type Flight struct {
+// Attempt is one attempt in flight.
+type Attempt struct {
 	fingerprint Fingerprint
 	endpoint    EndpointKey
 	started     time.Time
 }
 
 // NewFlights returns an empty Flights.
-func NewFlights() *Flights { return &Flights{endpoints: make(map[EndpointKey]*endpointAttempts)} }
+func NewFlights() *Attempts { return &Attempts{endpoints: make(map[EndpointKey]*endpointAttempts)} }
 
 // Begin records an attempt that is sent to an endpoint.
-func (f *Flights) Begin(now time.Time, e EndpointKey, p Fingerprint) *Flight {
+func (f *Attempts) Begin(now time.Time, e EndpointKey, p Fingerprint) *Attempt {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	attempts := f.endpoints[e]
 	if attempts == nil {
-		attempts = &endpointAttempts{open: make(map[*Flight]struct{})}
+		attempts = &endpointAttempts{open: make(map[*Attempt]struct{})}
 		f.endpoints[e] = attempts
 	}
-	flight := &Flight{fingerprint: p, endpoint: e, started: now}
+	flight := &Attempt{fingerprint: p, endpoint: e, started: now}
 	attempts.open[flight] = struct{}{}
 	return flight
 }
 
 // End records that an attempt is over for a reason unrelated to the health of its
 // endpoint. A second call for the same attempt has no effect.
-func (f *Flights) End(flight *Flight) {
+func (f *Attempts) End(flight *Attempt) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.end(flight)
 }
 
-func (f *Flights) end(flight *Flight) *endpointAttempts {
+func (f *Attempts) end(flight *Attempt) *endpointAttempts {
 	attempts := f.endpoints[flight.endpoint]
 	if attempts == nil {
 		return nil
@@ -86,7 +86,7 @@
 
 // dropIfEmpty removes the state of an endpoint without any information left; f.mu
 // is held.
-func (f *Flights) dropIfEmpty(e EndpointKey, attempts *endpointAttempts) {
+func (f *Attempts) dropIfEmpty(e EndpointKey, attempts *endpointAttempts) {
 	if len(attempts.open) == 0 && len(attempts.lost) == 0 && !attempts.probing && attempts.endedAt.IsZero() {
 		delete(f.endpoints, e)
 	}
@@ -95,7 +95,7 @@
 // Lost records that the connection of an attempt broke. If probe is set, the caller
 // must find out whether the endpoint has ended, and call Gone or Alive. If ended is
 // set, the endpoint is already known to have ended.
-func (f *Flights) Lost(now time.Time, flight *Flight) (probe, ended bool) {
+func (f *Attempts) Lost(now time.Time, flight *Attempt) (probe, ended bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	at := f.end(flight)
@@ -114,7 +114,7 @@
 }
 
 // Alive records that an endpoint still runs after the losses so far.
-func (f *Flights) Alive(e EndpointKey) {
+func (f *Attempts) Alive(e EndpointKey) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	attempts := f.endpoints[e]
@@ -125,11 +125,11 @@
 	f.dropIfEmpty(e, attempts)
 }
 
-// Gone records that an endpoint was found to have ended, and returns the requests
+// Ended records that an endpoint was found to have ended, and returns the requests
 // that were lost with it. If an attempt older than the losses is still open,
 // although its connection should have broken too, the result is uncertain: nothing
 // is recorded, and the caller must probe again.
-func (f *Flights) Gone(now time.Time, e EndpointKey) (lost []Fingerprint, uncertain bool) {
+func (f *Attempts) Ended(now time.Time, e EndpointKey) (lost []Fingerprint, uncertain bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	attempts := f.endpoints[e]
@@ -157,8 +157,8 @@
 	return false
 }
 
-// Looking returns the number of endpoints that are being probed.
-func (f *Flights) Looking() int {
+// Probing returns the number of endpoints that are being probed.
+func (f *Attempts) Probing() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := 0
@@ -171,7 +171,7 @@
 }
 
 // Tick forgets ended endpoints after endedRetention; call it about once a second.
-func (f *Flights) Tick(now time.Time) {
+func (f *Attempts) Tick(now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for e, attempts := range f.endpoints {
--- a/internal/core/quarantine/flights_test.go
+++ b/internal/core/quarantine/flights_test.go
@@ -17,14 +17,14 @@
 	if probe, ended := f.Lost(now, first); !probe || ended {
 		t.Fatalf("first loss: probe %v, ended %v", probe, ended)
 	}
-	if _, uncertain := f.Gone(now, e); !uncertain {
+	if _, uncertain := f.Ended(now, e); !uncertain {
 		t.Fatal("the end is not uncertain although an older attempt is still open")
 	}
 	if probe, ended := f.Lost(now, second); probe || ended {
 		t.Fatalf("second loss: probe %v, ended %v", probe, ended)
 	}
 	f.End(late)
-	lost, uncertain := f.Gone(now, e)
+	lost, uncertain := f.Ended(now, e)
 	if uncertain || !slices.Equal(lost, []Fingerprint{fingerprint(1), fingerprint(2)}) {
 		t.Fatalf("lost %v, uncertain %v", lost, uncertain)
 	}
@@ -41,7 +41,7 @@
 	f.Lost(now, f.Begin(now, e, fingerprint(1)))
 	f.Alive(e)
 	probe, _ := f.Lost(now.Add(time.Second), f.Begin(now, e, fingerprint(2)))
-	lost, _ := f.Gone(now.Add(time.Second), e)
+	lost, _ := f.Ended(now.Add(time.Second), e)
 	if !probe || !slices.Equal(lost, []Fingerprint{fingerprint(2)}) {
 		t.Fatalf("probe %v, lost %v", probe, lost)
 	}
@@ -53,10 +53,10 @@
 	rapid.Check(t, func(t *rapid.T) {
 		f, now := NewFlights(), time.Unix(1000, 0)
 		e := EndpointKey{ID: "e", Incarnation: 1}
-		var open []*Flight
+		var open []*Attempt
 		var unexplained []Fingerprint
 		probing, next := false, 0
-		takeOpen := func() *Flight {
+		takeOpen := func() *Attempt {
 			i := rapid.IntRange(0, len(open)-1).Draw(t, "attempt")
 			flight := open[i]
 			open = slices.Delete(open, i, i+1)
@@ -82,7 +82,7 @@
 				}
 				probing = true
 			case event == "gone" && probing:
-				lost, uncertain := f.Gone(now, e)
+				lost, uncertain := f.Ended(now, e)
 				if uncertain {
 					break
 				}
--- a/internal/core/quarantine/register.go
+++ b/internal/core/quarantine/register.go
@@ -24,9 +24,9 @@
 	maxSuspects = 4096
 )
 
-// Acceptable reports whether an update of the given age is accepted from another
+// AcceptsAge reports whether an update of the given age is accepted from another
 // daemon.
-func Acceptable(age time.Duration) bool { return age < maxAcceptedAge }
+func AcceptsAge(age time.Duration) bool { return age < maxAcceptedAge }
 
 // SharedState is the state that daemons replicate among each other.
 type SharedState interface {
@@ -95,12 +95,12 @@
 	if !held {
 		return 0, false
 	}
-	if now.Sub(s.Heard) >= renewalInterval {
+	if now.Sub(s.UpdatedAt) >= renewalInterval {
 		s.Renewals++
-		s.Heard = now
+		s.UpdatedAt = now
 		r.shared.PutSuspect(s)
 	}
-	return max(0, SuspectRetention-now.Sub(s.Heard)), true
+	return max(0, SuspectRetention-now.Sub(s.UpdatedAt)), true
 }
 
 // Completed records that a request completed at an endpoint that kept running.
@@ -128,7 +128,7 @@
 	}
 	crashes := len(s.Crashes)
 	s.Cleared++
-	s.Crashes, s.Heard = nil, now
+	s.Crashes, s.UpdatedAt = nil, now
 	if r.shared.PutSuspect(s) {
 		r.onChange(Change{Fingerprint: f, Verdict: Cleared, Crashes: crashes, Reason: reason})
 	}
@@ -145,7 +145,7 @@
 		if !held {
 			s = Suspect{Fingerprint: f}
 		}
-		s.Crashes, s.Heard = Union(s.Crashes, []CrashID{crash}), now
+		s.Crashes, s.UpdatedAt = Union(s.Crashes, []CrashID{crash}), now
 		if r.shared.PutSuspect(s) {
 			r.onChange(Change{Fingerprint: f, Verdict: Suspected, Crashes: len(s.Crashes), Reason: "an endpoint crashed while it ran"})
 		}
@@ -156,7 +156,7 @@
 // Restore adds suspects from persistent storage.
 func (r *Register) Restore(now time.Time, suspects []Suspect) {
 	for _, s := range suspects {
-		s.Heard = now
+		s.UpdatedAt = now
 		r.shared.PutSuspect(s)
 	}
 	r.Refresh(now)
@@ -196,7 +196,7 @@
 	for _, s := range changed {
 		if len(s.Crashes) > 0 && r.completed.has(now, s.Fingerprint) {
 			s.Cleared++
-			s.Crashes, s.Heard = nil, now
+			s.Crashes, s.UpdatedAt = nil, now
 			r.shared.PutSuspect(s)
 		}
 	}
@@ -235,7 +235,7 @@
 	slices.SortFunc(all, compareRetention)
 	removed := false
 	for i := range all {
-		if i < maxSuspects && now.Sub(all[i].Heard) < SuspectRetention {
+		if i < maxSuspects && now.Sub(all[i].UpdatedAt) < SuspectRetention {
 			continue
 		}
 		table.Remove(string(all[i].Fingerprint[:]))
--- a/internal/core/quarantine/register_test.go
+++ b/internal/core/quarantine/register_test.go
@@ -53,12 +53,12 @@
 	for _, at := range []int{0, 1} {
 		m := ends[at].Next()
 		m.Suspects.Entries = slices.DeleteFunc(m.Suspects.Entries, func(s quarantine.Suspect) bool {
-			return !quarantine.Acceptable(d.now.Sub(s.Heard))
+			return !quarantine.AcceptsAge(d.now.Sub(s.UpdatedAt))
 		})
 		for i := range m.Suspects.Entries {
 			// The transit time of a message is not part of the age that it carries.
 			s := &m.Suspects.Entries[i]
-			s.Heard = s.Heard.Add(min(d.transitTime, d.now.Sub(s.Heard)))
+			s.UpdatedAt = s.UpdatedAt.Add(min(d.transitTime, d.now.Sub(s.UpdatedAt)))
 		}
 		ends[1-at].Receive(&m)
 	}
--- a/internal/core/quarantine/suspect.go
+++ b/internal/core/quarantine/suspect.go
@@ -13,8 +13,8 @@
 // CrashID identifies one crash: an incarnation of an endpoint ends only once.
 type CrashID uint64
 
-// CrashOf returns the ID of the crash of an incarnation.
-func CrashOf(endpointID string, incarnation uint64) CrashID {
+// NewCrashID returns the ID of the crash of an incarnation.
+func NewCrashID(endpointID string, incarnation uint64) CrashID {
 	h := xxhash.NewWithSeed(incarnation)
 	// A Digest's Write never fails.
 	_, _ = h.WriteString(endpointID)
@@ -37,20 +37,20 @@
 	// Renewals increases while the request keeps being sent, which extends how long
 	// it is remembered.
 	Renewals uint32
-	// Heard is when this daemon last received an update of the suspect, by its
+	// UpdatedAt is when this daemon last received an update of the suspect, by its
 	// monotonic clock. It is not part of the replicated state.
-	Heard time.Time
+	UpdatedAt time.Time
 }
 
-// Order is the join semilattice of suspects: the higher Cleared wins and discards
+// SuspectOrder is the join semilattice of suspects: the higher Cleared wins and discards
 // the crashes of the lower one; with equal Cleared the crashes are united.
-type Order struct{}
+type SuspectOrder struct{}
 
 // Key returns the bytes of the fingerprint.
-func (Order) Key(s Suspect) string { return string(s.Fingerprint[:]) }
+func (SuspectOrder) Key(s Suspect) string { return string(s.Fingerprint[:]) }
 
 // Join returns the least upper bound of two states of a suspect.
-func (Order) Join(a, b Suspect) Suspect {
+func (SuspectOrder) Join(a, b Suspect) Suspect {
 	out := a
 	if b.Cleared > a.Cleared {
 		out = b
@@ -59,10 +59,10 @@
 		out.Crashes = Union(a.Crashes, b.Crashes)
 	}
 	out.Renewals = max(a.Renewals, b.Renewals)
-	if a.Heard.After(b.Heard) {
-		out.Heard = a.Heard
+	if a.UpdatedAt.After(b.UpdatedAt) {
+		out.UpdatedAt = a.UpdatedAt
 	} else {
-		out.Heard = b.Heard
+		out.UpdatedAt = b.UpdatedAt
 	}
 	return out
 }
@@ -78,7 +78,7 @@
 }
 
 // Hash covers all fields that daemons agree on.
-func (Order) Hash(s Suspect) uint64 {
+func (SuspectOrder) Hash(s Suspect) uint64 {
 	h := spread.NewHasher()
 	h.Bytes(s.Fingerprint[:])
 	h.Uint64(uint64(s.Cleared))
@@ -91,7 +91,7 @@
 
 // NewTable returns an empty table of suspects.
 func NewTable() *spread.Table[Suspect] {
-	return spread.NewTable[Suspect](Order{}, func(key string) uint64 {
+	return spread.NewTable[Suspect](SuspectOrder{}, func(key string) uint64 {
 		return binary.LittleEndian.Uint64([]byte(key))
 	})
 }
--- a/internal/core/spread/node/link.go
+++ b/internal/core/spread/node/link.go
@@ -181,7 +181,7 @@
 		l.node.queueForLinks(l, func(o *Link) { o.members.Queue(v.ID) })
 	}
 	for _, v := range l.suspects.Receive(&m.Suspects) {
-		l.node.queueForLinks(l, func(o *Link) { o.suspects.Queue(quarantine.Order{}.Key(v)) })
+		l.node.queueForLinks(l, func(o *Link) { o.suspects.Queue(quarantine.SuspectOrder{}.Key(v)) })
 	}
 	if len(m.Records.BucketDigests) > 0 {
 		l.bucketsCompared.Store(true)
--- a/internal/core/spread/node/node.go
+++ b/internal/core/spread/node/node.go
@@ -187,7 +187,7 @@
 func (n *Node) PutSuspect(s quarantine.Suspect) bool {
 	changed := n.suspects.Merge(s)
 	if changed {
-		n.queueForLinks(nil, func(l *Link) { l.suspects.Queue(quarantine.Order{}.Key(s)) })
+		n.queueForLinks(nil, func(l *Link) { l.suspects.Queue(quarantine.SuspectOrder{}.Key(s)) })
 	}
 	return changed
 }
--- a/internal/crashwatch/crashwatch.go
+++ b/internal/crashwatch/crashwatch.go
@@ -55,7 +55,7 @@
 // Watch tracks the attempts of one daemon. It is safe for concurrent use.
 type Watch struct {
 	o       Options
-	flights *quarantine.Flights
+	flights *quarantine.Attempts
 }
 
 // New returns a Watch that tracks no attempts yet.
@@ -65,7 +65,7 @@
 type Attempt struct {
 	endpoint    port.Endpoint
 	fingerprint quarantine.Fingerprint
-	flight      *quarantine.Flight
+	flight      *quarantine.Attempt
 }
 
 func keyOf(e port.Endpoint) quarantine.EndpointKey {
@@ -98,9 +98,9 @@
 func (w *Watch) Tick() { w.flights.Tick(w.o.Clock()) }
 
 // Looking returns the number of endpoints that are being checked.
-func (w *Watch) Looking() int { return w.flights.Looking() }
+func (w *Watch) Looking() int { return w.flights.Probing() }
 
-func crashOf(e port.Endpoint) quarantine.CrashID { return quarantine.CrashOf(e.ID, e.Incarnation) }
+func crashOf(e port.Endpoint) quarantine.CrashID { return quarantine.NewCrashID(e.ID, e.Incarnation) }
 
 // checkEndpoint determines whether an endpoint at which a connection broke has
 // ended.
@@ -138,7 +138,7 @@
 // still open, as the endpoint may then still run.
 func (w *Watch) reportEnd(e port.Endpoint, reason string) bool {
 	now := w.o.Clock()
-	lost, uncertain := w.flights.Gone(now, keyOf(e))
+	lost, uncertain := w.flights.Ended(now, keyOf(e))
 	if uncertain {
 		return false
 	}
