--- a/internal/adapter/grpcpeer/scheduling.go
+++ b/internal/adapter/grpcpeer/scheduling.go
@@ -36,7 +36,7 @@
 // Admitter decides, with this daemon's own limiter, whether requests may be sent to
 // endpoints that have rate limits.
 type Admitter interface {
-	AdmitLocally(pool string, asks []ratelimit.Ask, patience time.Duration) ratelimit.Grant
+	AdmitLocally(pool string, asks []ratelimit.Candidate, patience time.Duration) ratelimit.Grant
 }
 
 // Register registers the service with a server.
@@ -73,8 +73,8 @@
 
 // Admit decides where and when one request may be sent.
 func (s *SchedulingService) Admit(_ context.Context, r *peerv1.AdmitRequest) (*peerv1.AdmitReply, error) {
-	asks := mapSlice(r.GetEndpoints(), func(e *peerv1.LimitedEndpoint) ratelimit.Ask {
-		return ratelimit.Ask{Endpoint: e.GetId(), Limit: ratelimit.Limit{
+	asks := mapSlice(r.GetEndpoints(), func(e *peerv1.LimitedEndpoint) ratelimit.Candidate {
+		return ratelimit.Candidate{Endpoint: e.GetId(), Limit: ratelimit.Limit{
 			PerSecond: rateLimitFromWire(e.GetRateLimit()), IsCold: e.GetCold(),
 		}}
 	})
@@ -175,7 +175,7 @@
 
 // Admit requests permission to send one request. It returns
 // scheduling.ErrNotAdmitting if the peer's build does not support the call.
-func (p *SchedulingPeer) Admit(ctx context.Context, pool string, asks []ratelimit.Ask, patience time.Duration) (ratelimit.Grant, error) {
+func (p *SchedulingPeer) Admit(ctx context.Context, pool string, asks []ratelimit.Candidate, patience time.Duration) (ratelimit.Grant, error) {
 	if p.err != nil {
 		return ratelimit.Grant{}, p.err
 	}
@@ -183,7 +183,7 @@
 	defer cancel()
 	reply, err := peerv1.NewSchedulingClient(p.conn).Admit(ctx, &peerv1.AdmitRequest{
 		Pool: pool,
-		Endpoints: mapSlice(asks, func(a ratelimit.Ask) *peerv1.LimitedEndpoint {
+		Endpoints: mapSlice(asks, func(a ratelimit.Candidate) *peerv1.LimitedEndpoint {
 			return &peerv1.LimitedEndpoint{Id: a.Endpoint, RateLimit: a.PerSecond, Cold: a.IsCold}
 		}),
 		PatienceMillis: patience.Milliseconds(),
--- a/internal/adapter/grpcpeer/scheduling_test.go
+++ b/internal/adapter/grpcpeer/scheduling_test.go
@@ -50,7 +50,7 @@
 // fakeAdmitter admits requests to any pool with a single limiter.
 type fakeAdmitter struct{ *ratelimit.Limiter }
 
-func (l fakeAdmitter) AdmitLocally(_ string, asks []ratelimit.Ask, patience time.Duration) ratelimit.Grant {
+func (l fakeAdmitter) AdmitLocally(_ string, asks []ratelimit.Candidate, patience time.Duration) ratelimit.Grant {
 	return l.Admit(time.Now(), asks, patience)
 }
 
@@ -58,7 +58,7 @@
 // refused with the time after which to try again.
 func TestAdmitOverGRPC(t *testing.T) {
 	_, peer := startScheduler(t)
-	asks := []ratelimit.Ask{{Endpoint: "e", Limit: ratelimit.Limit{PerSecond: 0.5}}}
+	asks := []ratelimit.Candidate{{Endpoint: "e", Limit: ratelimit.Limit{PerSecond: 0.5}}}
 	g, err := peer.Admit(t.Context(), "pool", asks, 0)
 	if err != nil || g.Endpoint != "e" || g.Wait != 0 {
 		t.Fatalf("first request: got grant %+v, error %v, want endpoint e at once", g, err)
--- a/internal/core/ratelimit/bench_test.go
+++ b/internal/core/ratelimit/bench_test.go
@@ -17,9 +17,9 @@
 
 func benchAdmit(b *testing.B, size, perRequest int) {
 	l := NewLimiter()
-	asks := make([]Ask, size)
+	asks := make([]Candidate, size)
 	for i := range asks {
-		asks[i] = Ask{Endpoint: fmt.Sprint("runner-", i), Limit: Limit{PerSecond: 3}}
+		asks[i] = Candidate{Endpoint: fmt.Sprint("runner-", i), Limit: Limit{PerSecond: 3}}
 	}
 	l.Admit(start, asks, 0)
 	now := start
@@ -40,7 +40,7 @@
 		runtime.ReadMemStats(&before)
 		l = NewLimiter()
 		for i := range endpoints {
-			l.Admit(start, []Ask{{Endpoint: fmt.Sprint("runner-", i), Limit: Limit{PerSecond: 3}}}, 0)
+			l.Admit(start, []Candidate{{Endpoint: fmt.Sprint("runner-", i), Limit: Limit{PerSecond: 3}}}, 0)
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
--- a/internal/core/ratelimit/limiter.go
+++ b/internal/core/ratelimit/limiter.go
@@ -24,8 +24,8 @@
 	endpointRetention = time.Minute
 )
 
-// Ask is an endpoint to which a request could be sent.
-type Ask struct {
+// Candidate is an endpoint to which a request could be sent.
+type Candidate struct {
 	Endpoint string
 	// Limit is the current limit of the endpoint.
 	Limit
@@ -67,12 +67,12 @@
 
 // Admit admits one request to the endpoint that accepts it first, if that is within
 // the patience, which is capped at MaxPatience.
-func (l *Limiter) Admit(now time.Time, asks []Ask, patience time.Duration) Grant {
+func (l *Limiter) Admit(now time.Time, asks []Candidate, patience time.Duration) Grant {
 	patience = min(patience, MaxPatience)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var best *endpointMeter
-	var chosen Ask
+	var chosen Candidate
 	soonest := maxPostponement
 	for _, a := range asks {
 		m := l.meter(now, a)
@@ -110,7 +110,7 @@
 }
 
 // meter returns the meter of an endpoint, or nil if too many endpoints are tracked.
-func (l *Limiter) meter(now time.Time, a Ask) *endpointMeter {
+func (l *Limiter) meter(now time.Time, a Candidate) *endpointMeter {
 	m := l.m[a.Endpoint]
 	if m != nil {
 		return m
--- a/internal/core/ratelimit/limiter_test.go
+++ b/internal/core/ratelimit/limiter_test.go
@@ -43,10 +43,10 @@
 				l = NewLimiter()
 				takeovers++
 			}
-			var asks []Ask
+			var asks []Candidate
 			for i := range limits {
 				if rapid.Bool().Draw(t, "is candidate") {
-					asks = append(asks, Ask{Endpoint: fmt.Sprint(i), Limit: Limit{PerSecond: limits[i]}})
+					asks = append(asks, Candidate{Endpoint: fmt.Sprint(i), Limit: Limit{PerSecond: limits[i]}})
 				}
 			}
 			patience := time.Duration(rapid.IntRange(0, 3000).Draw(t, "patience")) * time.Millisecond
@@ -99,7 +99,7 @@
 			if now.Before(next[d]) {
 				continue
 			}
-			g := l.Admit(now, []Ask{{Endpoint: "e", Limit: Limit{PerSecond: limit}}}, patience)
+			g := l.Admit(now, []Candidate{{Endpoint: "e", Limit: Limit{PerSecond: limit}}}, patience)
 			asked++
 			if g.Endpoint != "" {
 				admitted++
@@ -122,7 +122,7 @@
 	if allowed := limit * (duration + burst).Seconds(); float64(admitted) > allowed {
 		t.Errorf("%d requests admitted, at most %v allowed", admitted, allowed)
 	}
-	if g := NewShareLimiter().Admit(start, []Ask{{Endpoint: "e", Limit: Limit{PerSecond: limit}}}, 0); g.Endpoint != "" {
+	if g := NewShareLimiter().Admit(start, []Candidate{{Endpoint: "e", Limit: Limit{PerSecond: limit}}}, 0); g.Endpoint != "" {
 		t.Error("a new share limiter admits a request at once")
 	}
 }
@@ -133,7 +133,7 @@
 		l := NewLimiter()
 		for i := range 5 {
 			now := start.Add(time.Duration(i) * pause)
-			if g := l.Admit(now, []Ask{{Endpoint: "e", Limit: Limit{PerSecond: 3}}}, 0); g.Endpoint == "" {
+			if g := l.Admit(now, []Candidate{{Endpoint: "e", Limit: Limit{PerSecond: 3}}}, 0); g.Endpoint == "" {
 				t.Errorf("one request every %v: request %d is refused for %v", pause, i, g.Wait)
 			}
 			l.Expire(now)
@@ -148,15 +148,15 @@
 func TestLimiterIsBounded(t *testing.T) {
 	l := NewLimiter()
 	for i := range maxMeters + 10 {
-		l.Admit(start, []Ask{{Endpoint: fmt.Sprint(i), Limit: Limit{PerSecond: 3}}}, 0)
+		l.Admit(start, []Candidate{{Endpoint: fmt.Sprint(i), Limit: Limit{PerSecond: 3}}}, 0)
 	}
 	if l.Len() != maxMeters {
 		t.Fatalf("%d endpoints are remembered", l.Len())
 	}
-	if g := l.Admit(start, []Ask{{Endpoint: "another", Limit: Limit{PerSecond: 3}}}, 0); g.Endpoint != "" || g.Wait != maxPostponement {
+	if g := l.Admit(start, []Candidate{{Endpoint: "another", Limit: Limit{PerSecond: 3}}}, 0); g.Endpoint != "" || g.Wait != maxPostponement {
 		t.Fatalf("%+v", g)
 	}
-	if g := l.Admit(start.Add(2*endpointRetention), []Ask{{Endpoint: "another", Limit: Limit{PerSecond: 3}}}, 0); g.Endpoint == "" {
+	if g := l.Admit(start.Add(2*endpointRetention), []Candidate{{Endpoint: "another", Limit: Limit{PerSecond: 3}}}, 0); g.Endpoint == "" {
 		t.Fatalf("%+v", g)
 	}
 }
@@ -170,7 +170,7 @@
 		var sent []time.Time
 		for range rapid.IntRange(1, 400).Draw(t, "calls") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 40).Draw(t, "pause")) * time.Millisecond)
-			if g := l.Admit(now, []Ask{{Endpoint: "e", Limit: limit}}, 0); g.Endpoint != "" {
+			if g := l.Admit(now, []Candidate{{Endpoint: "e", Limit: limit}}, 0); g.Endpoint != "" {
 				sent = append(sent, now)
 			}
 		}
@@ -201,7 +201,7 @@
 		{3, 4, Limit{PerSecond: 3, IsCold: true}},
 		{5, 4, Limit{PerSecond: 4, IsCold: true}},
 	} {
-		if got := Of(&port.Endpoint{RateLimit: c.stated, ColdRate: c.cold}); got != c.want {
+		if got := LimitOf(&port.Endpoint{RateLimit: c.stated, ColdRate: c.cold}); got != c.want {
 			t.Errorf("stated limit %v, cold limit %v: got %+v", c.stated, c.cold, got)
 		}
 	}
--- a/internal/core/ratelimit/meter.go
+++ b/internal/core/ratelimit/meter.go
@@ -24,9 +24,9 @@
 	IsCold bool
 }
 
-// Of returns the limit of an endpoint: the rate that it states, the rate of a cold
+// LimitOf returns the limit of an endpoint: the rate that it states, the rate of a cold
 // endpoint, or the lower of both.
-func Of(e *port.Endpoint) Limit {
+func LimitOf(e *port.Endpoint) Limit {
 	l := Limit{PerSecond: e.RateLimit, IsCold: e.ColdRate > 0}
 	if l.IsCold && (l.PerSecond <= 0 || e.ColdRate < l.PerSecond) {
 		l.PerSecond = e.ColdRate
--- a/internal/core/ratelimit/observer.go
+++ b/internal/core/ratelimit/observer.go
@@ -42,10 +42,10 @@
 // NewObserver returns an observer without endpoints.
 func NewObserver() *Observer { return &Observer{limited: make(map[string]*limitState)} }
 
-// Answered applies the limit that an answer of an endpoint states, nil for none. It
+// ObserveAnswer applies the limit that an answer of an endpoint states, nil for none. It
 // returns the limit of the endpoint from now on, zero for none, and whether it
 // differs from the current one in e.
-func (o *Observer) Answered(now time.Time, e *port.Endpoint, stated *float64) (perSecond float64, changed bool) {
+func (o *Observer) ObserveAnswer(now time.Time, e *port.Endpoint, stated *float64) (perSecond float64, changed bool) {
 	if stated == nil && e.RateLimit == 0 {
 		return 0, false
 	}
--- a/internal/core/ratelimit/observer_test.go
+++ b/internal/core/ratelimit/observer_test.go
@@ -42,7 +42,7 @@
 			o, e := NewObserver(), port.Endpoint{ID: "e", Incarnation: 1}
 			for i, a := range c.answers {
 				before := e.RateLimit
-				limit, changed := o.Answered(start.Add(a.at), &e, a.stated)
+				limit, changed := o.ObserveAnswer(start.Add(a.at), &e, a.stated)
 				if e.RateLimit = limit; limit != a.want || changed != (limit != before) {
 					t.Fatalf("answer %d: limit %v, changed %v, want limit %v", i, limit, changed, a.want)
 				}
@@ -69,7 +69,7 @@
 				}
 			}
 			o := observers[rapid.IntRange(0, len(observers)-1).Draw(t, "daemon")]
-			limit, changed := o.Answered(now, &e, stated)
+			limit, changed := o.ObserveAnswer(now, &e, stated)
 			if e.RateLimit = limit; changed {
 				changes++
 			}
--- a/internal/core/routing/relocate.go
+++ b/internal/core/routing/relocate.go
@@ -47,7 +47,7 @@
 		return d
 	}
 	e.destination = c.runner
-	e.destination.meter.Take(now, ratelimit.Of(&e.destination.endpoint))
+	e.destination.meter.Take(now, ratelimit.LimitOf(&e.destination.endpoint))
 	e.destination.addRun(now, e)
 	d := s.placement(e, &k, ReasonRelocated)
 	d.Endpoint = e.destination.endpoint
--- a/internal/core/routing/shard.go
+++ b/internal/core/routing/shard.go
@@ -154,7 +154,7 @@
 	e.org.work.add(now, e.cost)
 	e.org.rates[e.item.Lane].add(now, 1)
 	c.runner.breaker.dispatched()
-	c.runner.meter.Take(now, ratelimit.Of(&c.runner.endpoint))
+	c.runner.meter.Take(now, ratelimit.LimitOf(&c.runner.endpoint))
 	s.dispatchRate.add(now, e.print.peak())
 	s.prefixes.record(now, e.request.PrefixHashes, c.runner)
 }
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -26,7 +26,7 @@
 // Admitter grants permission to send requests to endpoints with rate limits.
 type Admitter interface {
 	// Admit requests permission to send one request to one of the endpoints.
-	Admit(ctx context.Context, pool string, asks []ratelimit.Ask, maxWait time.Duration) scheduling.Admission
+	Admit(ctx context.Context, pool string, asks []ratelimit.Candidate, maxWait time.Duration) scheduling.Admission
 }
 
 // observeLimit evaluates the rate limit reported with an endpoint's answer and
@@ -36,7 +36,7 @@
 	if !found || h.Incarnation != at.Incarnation || h.State == port.EndpointGone {
 		return
 	}
-	perSecond, changed := g.limitObserver.Answered(g.Clock(), &h.Endpoint, reported)
+	perSecond, changed := g.limitObserver.ObserveAnswer(g.Clock(), &h.Endpoint, reported)
 	if changed {
 		g.Limits.TellLimit(at.ID, at.Incarnation, perSecond)
 	}
@@ -129,7 +129,7 @@
 	return slices.DeleteFunc(slices.Clone(es), isLimited)
 }
 
-func isLimited(e port.Endpoint) bool { return ratelimit.Of(&e).PerSecond > 0 }
+func isLimited(e port.Endpoint) bool { return ratelimit.LimitOf(&e).PerSecond > 0 }
 
 // placeWithinLimits chooses an endpoint that accepts a call now. Admission to
 // an endpoint with a rate limit is requested only after the balancer has chosen
@@ -184,10 +184,10 @@
 	return p
 }
 
-func asksOf(es []port.Endpoint) []ratelimit.Ask {
-	asks := make([]ratelimit.Ask, len(es))
+func asksOf(es []port.Endpoint) []ratelimit.Candidate {
+	asks := make([]ratelimit.Candidate, len(es))
 	for i := range es {
-		asks[i] = ratelimit.Ask{Endpoint: es[i].ID, Limit: ratelimit.Of(&es[i])}
+		asks[i] = ratelimit.Candidate{Endpoint: es[i].ID, Limit: ratelimit.LimitOf(&es[i])}
 	}
 	return asks
 }
@@ -269,7 +269,7 @@
 	x.g.metrics.limitHits.Inc(1)
 	perSecond := 0.0
 	for i := range limited {
-		perSecond += ratelimit.Of(&limited[i]).PerSecond
+		perSecond += ratelimit.LimitOf(&limited[i]).PerSecond
 	}
 	refusal := &Refusal{
 		Cause:  CauseOverloaded,
--- a/internal/gateway/limits_test.go
+++ b/internal/gateway/limits_test.go
@@ -59,11 +59,11 @@
 type fakeAdmitter struct {
 	Placer
 	mu    sync.Mutex
-	admit func(asks []ratelimit.Ask, maxWait time.Duration) ratelimit.Grant
+	admit func(asks []ratelimit.Candidate, maxWait time.Duration) ratelimit.Grant
 	calls int
 }
 
-func (a *fakeAdmitter) Admit(_ context.Context, _ string, asks []ratelimit.Ask, maxWait time.Duration) scheduling.Admission {
+func (a *fakeAdmitter) Admit(_ context.Context, _ string, asks []ratelimit.Candidate, maxWait time.Duration) scheduling.Admission {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.calls++
@@ -72,7 +72,7 @@
 
 // newLimitedHarness returns a gateway that knows the given limits of its
 // endpoints and whose coordinator answers with admit.
-func newLimitedHarness(t *testing.T, limits []float64, admit func([]ratelimit.Ask, time.Duration) ratelimit.Grant) (*harness, *fakeAdmitter) {
+func newLimitedHarness(t *testing.T, limits []float64, admit func([]ratelimit.Candidate, time.Duration) ratelimit.Grant) (*harness, *fakeAdmitter) {
 	t.Helper()
 	b := newHarness(t)
 	a := &fakeAdmitter{Placer: b.Placer, admit: admit}
@@ -89,12 +89,12 @@
 	return b, a
 }
 
-func denyAll(wait time.Duration) func([]ratelimit.Ask, time.Duration) ratelimit.Grant {
-	return func([]ratelimit.Ask, time.Duration) ratelimit.Grant { return ratelimit.Grant{Wait: wait} }
+func denyAll(wait time.Duration) func([]ratelimit.Candidate, time.Duration) ratelimit.Grant {
+	return func([]ratelimit.Candidate, time.Duration) ratelimit.Grant { return ratelimit.Grant{Wait: wait} }
 }
 
-func admitFirst(wait time.Duration) func([]ratelimit.Ask, time.Duration) ratelimit.Grant {
-	return func(asks []ratelimit.Ask, _ time.Duration) ratelimit.Grant {
+func admitFirst(wait time.Duration) func([]ratelimit.Candidate, time.Duration) ratelimit.Grant {
+	return func(asks []ratelimit.Candidate, _ time.Duration) ratelimit.Grant {
 		return ratelimit.Grant{Endpoint: asks[0].Endpoint, Wait: wait}
 	}
 }
@@ -122,7 +122,7 @@
 // show why it was excluded.
 func TestLimitedEndpointGetsAdmittedCallsOnly(t *testing.T) {
 	remaining := 5
-	b, _ := newLimitedHarness(t, []float64{3, 0, 0}, func(asks []ratelimit.Ask, _ time.Duration) ratelimit.Grant {
+	b, _ := newLimitedHarness(t, []float64{3, 0, 0}, func(asks []ratelimit.Candidate, _ time.Duration) ratelimit.Grant {
 		if remaining == 0 {
 			return ratelimit.Grant{Wait: time.Hour}
 		}
@@ -187,7 +187,7 @@
 // retry times that are not honoured.
 func TestRefusedCallersGetSpacedRetryTimes(t *testing.T) {
 	var waits []time.Duration
-	b, a := newLimitedHarness(t, []float64{3, 3, 3}, func(_ []ratelimit.Ask, p time.Duration) ratelimit.Grant {
+	b, a := newLimitedHarness(t, []float64{3, 3, 3}, func(_ []ratelimit.Candidate, p time.Duration) ratelimit.Grant {
 		waits = append(waits, p)
 		return ratelimit.Grant{Wait: 2 * time.Second}
 	})
@@ -204,7 +204,7 @@
 	}
 	now := time.Now()
 	b.Clock = func() time.Time { return now.Add(1100 * time.Millisecond) }
-	a.admit = func(asks []ratelimit.Ask, p time.Duration) ratelimit.Grant {
+	a.admit = func(asks []ratelimit.Candidate, p time.Duration) ratelimit.Grant {
 		waits = append(waits, p)
 		return ratelimit.Grant{Endpoint: asks[0].Endpoint}
 	}
--- a/internal/scheduling/admit.go
+++ b/internal/scheduling/admit.go
@@ -23,7 +23,7 @@
 // Admit asks the pool's coordinator to admit one request to one of several
 // endpoints that have rate limits. Without an answer from a coordinator, this
 // daemon decides.
-func (c *Client) Admit(ctx context.Context, pool string, asks []ratelimit.Ask, maxWait time.Duration) Admission {
+func (c *Client) Admit(ctx context.Context, pool string, asks []ratelimit.Candidate, maxWait time.Duration) Admission {
 	for range maxPeerAttempts {
 		coordinator := c.coordinator(pool)
 		if coordinator.id == c.opts.Self {
@@ -44,7 +44,7 @@
 // AdmitLocally admits a request at this daemon. If this daemon is not the pool's
 // coordinator, it keeps to its share of the limits, because the coordinator and
 // the daemons that cannot reach it admit requests as well.
-func (c *Client) AdmitLocally(pool string, asks []ratelimit.Ask, maxWait time.Duration) ratelimit.Grant {
+func (c *Client) AdmitLocally(pool string, asks []ratelimit.Candidate, maxWait time.Duration) ratelimit.Grant {
 	now := c.opts.Clock()
 	if c.isListedCoordinator(pool) {
 		return c.limiter.Admit(now, asks, maxWait)
@@ -59,14 +59,14 @@
 
 // shareOfLimits returns the limits reduced to what this daemon may send without
 // the coordinator.
-func (c *Client) shareOfLimits(asks []ratelimit.Ask) []ratelimit.Ask {
+func (c *Client) shareOfLimits(asks []ratelimit.Candidate) []ratelimit.Candidate {
 	daemons := 0
 	for _, m := range c.opts.Members.Members() {
 		if m.CallerAddress != "" && m.State != port.MemberDead {
 			daemons++
 		}
 	}
-	shares := make([]ratelimit.Ask, len(asks))
+	shares := make([]ratelimit.Candidate, len(asks))
 	for i, a := range asks {
 		shares[i] = a
 		shares[i].PerSecond /= float64(sharedLimitDivisor * max(1, daemons))
--- a/internal/scheduling/admit_test.go
+++ b/internal/scheduling/admit_test.go
@@ -20,7 +20,7 @@
 // admit requests admission at a daemon and returns the time at which the request
 // is sent.
 func (f *fleet) admit(name string, maxWait time.Duration) (sent time.Time, g Admission) {
-	g = f.clients[name].Admit(context.Background(), "pool", []ratelimit.Ask{{Endpoint: "e", Limit: ratelimit.Limit{PerSecond: limit}}}, maxWait)
+	g = f.clients[name].Admit(context.Background(), "pool", []ratelimit.Candidate{{Endpoint: "e", Limit: ratelimit.Limit{PerSecond: limit}}}, maxWait)
 	return f.clock.Now().Add(g.Wait), g
 }
 
--- a/internal/scheduling/client.go
+++ b/internal/scheduling/client.go
@@ -34,7 +34,7 @@
 	Relocate(ctx context.Context, run *port.RunningRequest, terms port.Relocation) (port.Decision, error)
 	Update(ctx context.Context, adopted []port.RunningRequest, events []RunEvent) error
 	// Admit returns ErrNotAdmitting if the daemon's build does not support admission.
-	Admit(ctx context.Context, pool string, asks []ratelimit.Ask, maxWait time.Duration) (ratelimit.Grant, error)
+	Admit(ctx context.Context, pool string, asks []ratelimit.Candidate, maxWait time.Duration) (ratelimit.Grant, error)
 	Close()
 }
 
--- a/internal/scheduling/scheduling_test.go
+++ b/internal/scheduling/scheduling_test.go
@@ -135,7 +135,7 @@
 	return l.call(func() { l.fleet.schedulers[l.to].Update(adopted, events) })
 }
 
-func (l *fakePeer) Admit(_ context.Context, pool string, asks []ratelimit.Ask, maxWait time.Duration) (ratelimit.Grant, error) {
+func (l *fakePeer) Admit(_ context.Context, pool string, asks []ratelimit.Candidate, maxWait time.Duration) (ratelimit.Grant, error) {
 	if l.fleet.noAdmission[l.to] {
 		return ratelimit.Grant{}, ErrNotAdmitting
 	}
