--- a/internal/core/record/convert.go
+++ b/internal/core/record/convert.go
@@ -324,11 +324,11 @@
 	o[path[len(path)-1]] = v
 }
 
-// KeepCarried returns the document with the fields of the stored one that its own
+// WithFieldsOf returns the document with the fields of the stored one that its own
 // schema version can't represent. It is for a revision by a client that uses another
 // schema version and doesn't know these fields: without it, each edit in the older
 // schema would lose them.
-func (d *Document) KeepCarried(stored *Document) (*Document, error) {
+func (d *Document) WithFieldsOf(stored *Document) (*Document, error) {
 	if d.carried != nil || stored.SchemaVersion == d.SchemaVersion {
 		return d, nil
 	}
--- a/internal/core/record/convert_test.go
+++ b/internal/core/record/convert_test.go
@@ -180,7 +180,7 @@
 	stored := parse(t, `{"schema_version":2,"kind":"model-deployments","name":"m","spec":{"model":"m",
 		"revision":{"version":"1"},"placement":{"replicas":3,"failure_domains":["a"]},"rollout":{"max_unavailable":2}}}`)
 	revised := parse(t, `{"schema_version":1,"kind":"model-deployments","name":"m","spec":{"model":"m","version":"2","replicas":3}}`)
-	kept, err := revised.KeepCarried(stored)
+	kept, err := revised.WithFieldsOf(stored)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/core/record/envelope.go
+++ b/internal/core/record/envelope.go
@@ -97,8 +97,8 @@
 	}
 }
 
-// HoldsWrite reports whether the write is the last one or in the trail.
-func (e *Envelope) HoldsWrite(writeID string) bool {
+// HasWrite reports whether the write is the last one or in the trail.
+func (e *Envelope) HasWrite(writeID string) bool {
 	if e.WriteID == writeID {
 		return true
 	}
@@ -110,10 +110,10 @@
 	return false
 }
 
-// KnowsSuccessorOf reports whether the trail contains the write that replaced a
+// HasWriteBasedOn reports whether the trail contains the write that replaced a
 // version. There is at most one, since each write is conditional on the version
 // before it.
-func (e *Envelope) KnowsSuccessorOf(version uint64) bool {
+func (e *Envelope) HasWriteBasedOn(version uint64) bool {
 	for i := range e.Audit {
 		if e.Audit[i].BasedOn == version {
 			return true
--- a/internal/core/record/evacuation.go
+++ b/internal/core/record/evacuation.go
@@ -31,6 +31,6 @@
 	return evacuation.NewSet(out)
 }
 
-// PresentDocument returns the empty document, for objects whose existence is all
+// EmptyDocument returns the empty document, for objects whose existence is all
 // their information.
-func PresentDocument() json.RawMessage { return json.RawMessage("{}") }
+func EmptyDocument() json.RawMessage { return json.RawMessage("{}") }
--- a/internal/core/record/evacuation_test.go
+++ b/internal/core/record/evacuation_test.go
@@ -27,7 +27,7 @@
 	}
 	set := Evacuations([]port.Record{
 		{Kind: port.ObjectDomainEvacuation, Name: "newer", Body: json.RawMessage(`{"schema_version":9}`)},
-		{Kind: port.ObjectPlatformEvacuation, Name: "platform", Body: PresentDocument()},
+		{Kind: port.ObjectPlatformEvacuation, Name: "platform", Body: EmptyDocument()},
 		{Kind: port.ObjectDomainEvacuation, Name: "ended", Deleted: true},
 		{Kind: port.ObjectPlatformEvacuation, Name: "ended", Deleted: true},
 		{Kind: port.ObjectOrganisationPriority, Name: "other", Body: body},
--- a/internal/core/record/quarantine.go
+++ b/internal/core/record/quarantine.go
@@ -37,19 +37,19 @@
 	return raw
 }
 
-// HoldsQuarantine reports whether the record contains exactly the first
+// QuarantineUpToDate reports whether the record contains exactly the first
 // MaxQuarantinedRequests of the quarantined requests, and no released ones.
-func HoldsQuarantine(r port.Record, quarantined []quarantine.Suspect) bool {
-	held, released, err := Quarantined(r)
+func QuarantineUpToDate(r port.Record, quarantined []quarantine.Suspect) bool {
+	held, released, err := DecodeQuarantine(r)
 	return err == nil && len(released) == 0 &&
 		slices.EqualFunc(held, quarantined[:min(len(quarantined), MaxQuarantinedRequests)], func(a, b quarantine.Suspect) bool {
 			return a.Fingerprint == b.Fingerprint && slices.Equal(a.Crashes, b.Crashes)
 		})
 }
 
-// Quarantined returns the requests of a quarantine record: those that must not be
+// DecodeQuarantine returns the requests of a quarantine record: those that must not be
 // sent, and those that an operator has released.
-func Quarantined(r port.Record) (held, released []quarantine.Suspect, err error) {
+func DecodeQuarantine(r port.Record) (held, released []quarantine.Suspect, err error) {
 	var spec RequestQuarantine
 	if err := decodeLatest(r, &spec); err != nil {
 		return nil, nil, err
--- a/internal/core/record/quarantine_test.go
+++ b/internal/core/record/quarantine_test.go
@@ -32,11 +32,11 @@
 	}
 	for _, raw := range [][]byte{body, d.Marshal(), old.Marshal()} {
 		r := quarantineRecord(raw)
-		held, released, err := Quarantined(r)
+		held, released, err := DecodeQuarantine(r)
 		if err != nil || len(held) != MaxQuarantinedRequests || len(released) != 0 {
 			t.Fatalf("%d held, %d released, %v", len(held), len(released), err)
 		}
-		if !HoldsQuarantine(r, quarantined) || HoldsQuarantine(r, quarantined[1:]) {
+		if !QuarantineUpToDate(r, quarantined) || QuarantineUpToDate(r, quarantined[1:]) {
 			t.Fatal("HoldsQuarantine is false for the same requests or true for different ones")
 		}
 	}
@@ -47,14 +47,14 @@
 func TestReleaseIsDecodedFromRecord(t *testing.T) {
 	quarantined := []quarantine.Suspect{{Fingerprint: quarantine.Fingerprint{1}, Crashes: []quarantine.CrashID{1, 2, 3}}}
 	r := quarantineRecord(bytes.Replace(QuarantineDocument(quarantined), []byte(`"crashes"`), []byte(`"released":true,"crashes"`), 1))
-	held, released, err := Quarantined(r)
+	held, released, err := DecodeQuarantine(r)
 	if err != nil || len(held) != 0 || len(released) != 1 || released[0].Fingerprint != quarantined[0].Fingerprint {
 		t.Fatalf("held %v, released %v, %v", held, released, err)
 	}
-	if HoldsQuarantine(r, nil) {
+	if QuarantineUpToDate(r, nil) {
 		t.Fatal("a record with a release counts as up to date")
 	}
-	if _, _, err := Quarantined(quarantineRecord([]byte(`{"schema_version":2,"kind":"request-quarantines","name":"main","spec":{"requests":[{"fingerprint":"zz"}]}}`))); err == nil {
+	if _, _, err := DecodeQuarantine(quarantineRecord([]byte(`{"schema_version":2,"kind":"request-quarantines","name":"main","spec":{"requests":[{"fingerprint":"zz"}]}}`))); err == nil {
 		t.Fatal("an invalid fingerprint was accepted")
 	}
 }
--- a/internal/core/record/restore_test.go
+++ b/internal/core/record/restore_test.go
@@ -47,7 +47,7 @@
 		for _, v := range c.basedOn {
 			e.Audit = append(e.Audit, AuditEntry{BasedOn: v})
 		}
-		if got := Outlasts(&c.held, &port.Object{Version: versionInEra(t, c.era, c.revision)}, e); got != c.want {
+		if got := OverridesStored(&c.held, &port.Object{Version: versionInEra(t, c.era, c.revision)}, e); got != c.want {
 			t.Errorf("%s: outlasts %v, want %v", c.name, got, c.want)
 		}
 	}
--- a/internal/core/record/validate_test.go
+++ b/internal/core/record/validate_test.go
@@ -102,10 +102,10 @@
 	if len(e.Audit) != MaxAuditEntries {
 		t.Fatalf("the trail has %d entries, want MaxAuditEntries", len(e.Audit))
 	}
-	if e.HoldsWrite("A") || !e.HoldsWrite(e.WriteID) || !e.HoldsWrite(string(rune('A'+5))) {
+	if e.HasWrite("A") || !e.HasWrite(e.WriteID) || !e.HasWrite(string(rune('A'+5))) {
 		t.Error("HoldsWrite must be true exactly for the writes in the trail")
 	}
-	if e.KnowsSuccessorOf(4) || !e.KnowsSuccessorOf(5) {
+	if e.HasWriteBasedOn(4) || !e.HasWriteBasedOn(5) {
 		t.Error("KnowsSuccessorOf must be true exactly for the versions that writes in the trail are based on")
 	}
 }
--- a/internal/gateway/evacuations_test.go
+++ b/internal/gateway/evacuations_test.go
@@ -39,7 +39,7 @@
 	}
 	for _, d := range domains {
 		evacuationVersion++
-		kept = append(kept, port.Record{Kind: port.ObjectPlatformEvacuation, Name: d, Version: evacuationVersion, Body: record.PresentDocument()})
+		kept = append(kept, port.Record{Kind: port.ObjectPlatformEvacuation, Name: d, Version: evacuationVersion, Body: record.EmptyDocument()})
 	}
 	b.view.records = kept
 	b.view.mu.Unlock()
--- a/internal/keeper/existence_test.go
+++ b/internal/keeper/existence_test.go
@@ -103,7 +103,7 @@
 }
 
 func evacuationObject(name string, r port.StoreRevision, ended bool) port.Object {
-	e := record.Envelope{Format: record.EnvelopeFormat, Document: record.PresentDocument(), Deleted: ended}
+	e := record.Envelope{Format: record.EnvelopeFormat, Document: record.EmptyDocument(), Deleted: ended}
 	return port.Object{Kind: port.ObjectPlatformEvacuation, Name: name, Version: uint64(r), Value: e.Encode()}
 }
 
--- a/internal/keeper/quarantine.go
+++ b/internal/keeper/quarantine.go
@@ -53,7 +53,7 @@
 	if r.Deleted {
 		return r.Version
 	}
-	held, released, err := record.Quarantined(r)
+	held, released, err := record.DecodeQuarantine(r)
 	if err != nil {
 		k.options.Logger.Error().Str("event", "record_unreadable").Str("kind", r.Kind).Str("name", r.Name).
 			Uint64("version", r.Version).Err(err).Msg("")
@@ -94,7 +94,7 @@
 	quarantined := k.quarantine.Entries()
 	held, known := k.Record(port.ObjectRequestQuarantine, record.QuarantineName)
 	known = known && !held.Deleted
-	if known && record.HoldsQuarantine(held, quarantined) || !known && len(quarantined) == 0 {
+	if known && record.QuarantineUpToDate(held, quarantined) || !known && len(quarantined) == 0 {
 		return
 	}
 	_, err := k.Change(ctx, &Change{
--- a/internal/keeper/records.go
+++ b/internal/keeper/records.go
@@ -165,7 +165,7 @@
 			// one.
 			return nil, err
 		}
-		if d, err = d.KeepCarried(stored); err != nil {
+		if d, err = d.WithFieldsOf(stored); err != nil {
 			return nil, err
 		}
 	}
@@ -298,11 +298,11 @@
 	}
 	w.result.Record = r
 	w.keeper.node.PutRecord(r)
-	if envelope.HoldsWrite(w.writeID) {
+	if envelope.HasWrite(w.writeID) {
 		w.result.Superseded = envelope.WriteID != w.writeID
 		return nil
 	}
-	if envelope.KnowsSuccessorOf(w.expect) {
+	if envelope.HasWriteBasedOn(w.expect) {
 		return ErrStale
 	}
 	// The audit trail no longer reaches back to the expected version, so it
--- a/internal/keeper/recordsource.go
+++ b/internal/keeper/recordsource.go
@@ -114,7 +114,7 @@
 // backup.
 func (s *recordSource) applyBackup(objects []port.Object) {
 	for i := range objects {
-		s.put(&objects[i], record.FromCopy)
+		s.put(&objects[i], record.FromRestoredObject)
 	}
 }
 
@@ -167,7 +167,7 @@
 		return nil
 	}
 	e, err := record.DecodeEnvelope(o.Value)
-	if err != nil || !record.Outlasts(&held, o, e) {
+	if err != nil || !record.OverridesStored(&held, o, e) {
 		return nil
 	}
 	return &rewrite{held: held, storedVersion: o.Version, stored: e}
--- a/internal/keeper/rewrite_test.go
+++ b/internal/keeper/rewrite_test.go
@@ -249,7 +249,7 @@
 		return false
 	}
 	e, err := record.DecodeEnvelope(value.Value)
-	return err == nil && e.HoldsWrite(id)
+	return err == nil && e.HasWrite(id)
 }
 
 // check verifies that the record in force at a keeper never goes back to an
