--- a/internal/adapter/grpcpeer/scheduling_test.go
+++ b/internal/adapter/grpcpeer/scheduling_test.go
@@ -136,7 +136,7 @@
 		t.Fatalf("the scheduler tracks %d runs, error %v, want 1", pools.Held(), err)
 	}
 	d, err := peer.Relocate(t.Context(), &run, port.Relocation{FailureDomain: "d"})
-	if err != nil || d.Verdict != port.VerdictRefuse || d.Reason != routing.ReasonRefusedRoom {
+	if err != nil || d.Verdict != port.VerdictRefuse || d.Reason != routing.ReasonRefusedNoCapacity {
 		t.Fatalf("got decision %+v, error %v, want a refusal for lack of capacity", d, err)
 	}
 	for _, e := range []scheduling.RunEvent{
--- a/internal/core/routing/adopt.go
+++ b/internal/core/routing/adopt.go
@@ -16,8 +16,8 @@
 	runner.shard.adopt(now, runner, r)
 }
 
-// Placed returns the number of placed runs.
-func (s *Scheduler) Placed() int {
+// RunCount returns the number of placed runs.
+func (s *Scheduler) RunCount() int {
 	n := 0
 	for _, sh := range s.allShards() {
 		sh.mu.Lock()
--- a/internal/core/routing/endpoints_test.go
+++ b/internal/core/routing/endpoints_test.go
@@ -90,7 +90,7 @@
 	if n := len(knownRunners(s)); n != 0 {
 		t.Fatalf("%d runners known, want 0: all are gone", n)
 	}
-	if n := s.Placed(); n != 0 {
+	if n := s.RunCount(); n != 0 {
 		t.Fatalf("%d runs counted, want 0: all have ended", n)
 	}
 }
--- a/internal/core/routing/evacuations_test.go
+++ b/internal/core/routing/evacuations_test.go
@@ -49,7 +49,7 @@
 // Guards against holding callers, or refusing them for an unknown model,
 // while all runners are evacuated.
 func TestEvacuatedPoolRefusesAtOnce(t *testing.T) {
-	s := newTestScheduler(t, 0, func(o *Options) { o.UnreadLimit = 100 })
+	s := newTestScheduler(t, 0, func(o *Options) { o.PrefillBacklogLimit = 100 })
 	s.SetEndpoints(start, withEvacuated(1, 0))
 	wantVerdict(t, s.Submit(start, request("runs", 500)), port.VerdictPlace, ReasonPlaced)
 	wantVerdict(t, s.Submit(start, request("held", 500)), port.VerdictHold, ReasonHeldPrefill)
@@ -78,7 +78,7 @@
 func TestEvacuatedRunnersGetNoWorkInAnyEventOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const runners = 4
-		s := newTestScheduler(nopTB{}, 0, func(o *Options) { o.UnreadLimit = 1000 })
+		s := newTestScheduler(nopTB{}, 0, func(o *Options) { o.PrefillBacklogLimit = 1000 })
 		state := withEvacuated(runners, 0)
 		s.SetEndpoints(start, state)
 		now := start
--- a/internal/core/routing/flood_test.go
+++ b/internal/core/routing/flood_test.go
@@ -63,8 +63,8 @@
 // must then not wait while half of the cache is free.
 func TestSurgeIsPlacedBelowBusyUse(t *testing.T) {
 	s := floodedPool(t, 8, 1)
-	s.options.BusyUse = 1
-	if use := s.shards["pool"].utilisation; use < DefaultBusyUse || use >= 1 {
+	s.options.BusyThreshold = 1
+	if use := s.shards["pool"].utilisation; use < DefaultBusyThreshold || use >= 1 {
 		t.Fatalf("pool utilisation %v, want at least DefaultBusyUse and below 1", use)
 	}
 	wantVerdict(t, s.Submit(start, organisationRequest("again", "flood")), port.VerdictPlace, ReasonPlaced)
--- a/internal/core/routing/limits_test.go
+++ b/internal/core/routing/limits_test.go
@@ -75,7 +75,7 @@
 	terms := port.Relocation{FailureDomain: "a"}
 	wantVerdict(t, s.Relocate(start, "run", terms), port.VerdictPlace, ReasonRelocated)
 	s.Relocated(start, "run", false)
-	wantVerdict(t, s.Relocate(at(500*time.Millisecond), "run", terms), port.VerdictRefuse, ReasonRefusedRoom)
+	wantVerdict(t, s.Relocate(at(500*time.Millisecond), "run", terms), port.VerdictRefuse, ReasonRefusedNoCapacity)
 	wantVerdict(t, s.Relocate(at(time.Second), "run", terms), port.VerdictPlace, ReasonRelocated)
 }
 
--- a/internal/core/routing/options.go
+++ b/internal/core/routing/options.go
@@ -28,20 +28,20 @@
 	// engine clocks aren't compared with the router's. Zero means
 	// DefaultReportLag.
 	ReportLag time.Duration
-	// BusyUse is the expected use of a pool's cache, as a fraction, above
+	// BusyThreshold is the expected use of a pool's cache, as a fraction, above
 	// which an organisation over its share must wait. Below it there is
 	// capacity for all. A pool whose generations end within seconds frees
 	// capacity soon and can have a higher value than one whose generations
 	// run for minutes. Zero means DefaultBusyUse.
-	BusyUse float64
-	// UnreadLimit is the number of prompt tokens awaiting prefill at a
+	BusyThreshold float64
+	// PrefillBacklogLimit is the number of prompt tokens awaiting prefill at a
 	// runner above which it gets no further prompts. Zero means no limit.
 	// Set it only if no other scheduler places work on these runners, as
 	// only then the backlog is known. Without it all held requests go at
 	// once to a runner that has just joined and wait there for seconds,
 	// while capacity becomes free elsewhere. Runs that must move off leaving
 	// runners then find no capacity.
-	UnreadLimit int
+	PrefillBacklogLimit int
 	// TokenGap is the longest time between two tokens that counts as on
 	// time, for requests that don't set one. Zero means DefaultTokenGap.
 	TokenGap time.Duration
@@ -53,7 +53,7 @@
 const (
 	DefaultReportLag = 300 * time.Millisecond
 	DefaultAgeStep   = 5 * time.Second
-	DefaultBusyUse   = 0.5
+	DefaultBusyThreshold   = 0.5
 	// DefaultTokenGap is the operators' objective for 95 in 100 tokens.
 	DefaultTokenGap = 34 * time.Millisecond
 )
--- a/internal/core/routing/organisation.go
+++ b/internal/core/routing/organisation.go
@@ -123,7 +123,7 @@
 // too late for the fair order of the queue to help.
 func (s *shard) overShare(e *entry) bool {
 	s.updateFlooding(e.org)
-	if e.item.Lane != admission.LaneLong || s.utilisation < s.scheduler.options.BusyUse {
+	if e.item.Lane != admission.LaneLong || s.utilisation < s.scheduler.options.BusyThreshold {
 		return false
 	}
 	if s.overSurgeLimit(e.org) {
--- a/internal/core/routing/prefill_test.go
+++ b/internal/core/routing/prefill_test.go
@@ -16,7 +16,7 @@
 // each first token.
 func TestNewRunnerGetsPromptsAsItPrefillsThem(t *testing.T) {
 	const limit = 4000
-	s := newTestScheduler(t, 1, func(o *Options) { o.UnreadLimit = limit })
+	s := newTestScheduler(t, 1, func(o *Options) { o.PrefillBacklogLimit = limit })
 	for i := range 300 {
 		s.lengths.Observe(length.Subject{Model: "m", Organisation: "o", PromptTokens: 2500}, 20+i%20)
 	}
--- a/internal/core/routing/relocate.go
+++ b/internal/core/routing/relocate.go
@@ -42,7 +42,7 @@
 	s.rankDestinations(now, e, terms, &k)
 	c := k.chosen()
 	if c == nil {
-		d := s.scheduler.refusal(ReasonRefusedRoom, 0)
+		d := s.scheduler.refusal(ReasonRefusedNoCapacity, 0)
 		d.Candidates = k.candidates()
 		return d
 	}
--- a/internal/core/routing/relocate_test.go
+++ b/internal/core/routing/relocate_test.go
@@ -42,7 +42,7 @@
 		t.Fatalf("second move goes to %s in the same failure domain, want another domain", d.Endpoint.ID)
 	}
 	terms.Excluded = []string{"runner-0", "runner-1", "runner-2", "runner-3"}
-	wantVerdict(t, s.Relocate(at(time.Second), "report", terms), port.VerdictRefuse, ReasonRefusedRoom)
+	wantVerdict(t, s.Relocate(at(time.Second), "report", terms), port.VerdictRefuse, ReasonRefusedNoCapacity)
 }
 
 // Runs start, grow, move, fail to move and end in any order. Each runner's
--- a/internal/core/routing/scheduler.go
+++ b/internal/core/routing/scheduler.go
@@ -58,8 +58,8 @@
 	if o.ReportLag <= 0 {
 		o.ReportLag = DefaultReportLag
 	}
-	if o.BusyUse <= 0 {
-		o.BusyUse = DefaultBusyUse
+	if o.BusyThreshold <= 0 {
+		o.BusyThreshold = DefaultBusyThreshold
 	}
 	if o.TokenGap <= 0 {
 		o.TokenGap = DefaultTokenGap
--- a/internal/core/routing/score.go
+++ b/internal/core/routing/score.go
@@ -206,7 +206,7 @@
 // hasPrefillBacklog reports whether the runner's prefill backlog exceeds the
 // limit.
 func (s *shard) hasPrefillBacklog(r *runner) bool {
-	limit := s.scheduler.options.UnreadLimit
+	limit := s.scheduler.options.PrefillBacklogLimit
 	return limit > 0 && r.ownPrefill+r.othersPrefill > float64(limit)
 }
 
--- a/internal/scheduling/scheduling_test.go
+++ b/internal/scheduling/scheduling_test.go
@@ -381,7 +381,7 @@
 			if n := f.schedulers[name].Held(); n != 0 {
 				t.Fatalf("scheduler %s tracks %d runs after all have ended", name, n)
 			}
-			if n := f.routingSchedulers[name].Placed(); n != 0 {
+			if n := f.routingSchedulers[name].RunCount(); n != 0 {
 				t.Fatalf("the routing scheduler of %s counts %d placed runs after all have ended", name, n)
 			}
 		}
--- a/internal/tools/policybench/policies.go
+++ b/internal/tools/policybench/policies.go
@@ -103,7 +103,7 @@
 func singleScheduler(unread int) func(*workload, *sim, uint64) []port.Scheduler {
 	return func(_ *workload, _ *sim, seed uint64) []port.Scheduler {
 		return []port.Scheduler{routing.NewScheduler(routing.Options{
-			RouterID: "router-0", BusyUse: 1, UnreadLimit: unread, Random: rand.New(rand.NewPCG(seed, 100)),
+			RouterID: "router-0", BusyThreshold: 1, PrefillBacklogLimit: unread, Random: rand.New(rand.NewPCG(seed, 100)),
 		})}
 	}
 }
