--- a/internal/adapter/grpcpeer/convert.go
+++ b/internal/adapter/grpcpeer/convert.go
@@ -145,7 +145,7 @@
 		Complete:       m.Complete,
 		Parts:          m.Parts,
 		WantedParts:    partIDsToWire(m.WantedParts),
-		TakesParts:     m.TakesParts,
+		TakesParts:     m.SupportsParts,
 		Fallbacks:      mapSlice(m.Fallbacks, revisionToWire),
 	}
 	if proto.Size(s) == 0 {
@@ -176,7 +176,7 @@
 		Complete:       s.GetComplete(),
 		Parts:          s.GetParts(),
 		WantedParts:    partIDsFromWire(s.GetWantedParts()),
-		TakesParts:     s.GetTakesParts(),
+		SupportsParts:     s.GetTakesParts(),
 		Fallbacks:      mapSlice(s.GetFallbacks(), revisionFromWire),
 	}
 }
--- a/internal/adapter/grpcpeer/keeper.go
+++ b/internal/adapter/grpcpeer/keeper.go
@@ -106,7 +106,7 @@
 			// alive.
 			status := statusSender.next(time.Now(), true)
 			update.PlatformAgeMillis, update.PlatformTry = status.ageMillis, status.try
-		case <-link.Woken():
+		case <-link.Wakeups():
 			if err := pause(stream.Context(), coalesceDelay); err != nil {
 				return err
 			}
@@ -159,7 +159,7 @@
 	if h.GetSequence() != 0 {
 		// Checked with each heartbeat, as it depends on the ring of keepers, which
 		// changes.
-		s.link.HoldEndpoints(!s.listener.SendsEndpoints(&s.member))
+		s.link.PauseEndpoints(!s.listener.SendsEndpoints(&s.member))
 	}
 	m := heartbeatFromWire(h)
 	s.link.Receive(&m)
--- a/internal/adapter/grpcpeer/slowlinks_test.go
+++ b/internal/adapter/grpcpeer/slowlinks_test.go
@@ -169,7 +169,7 @@
 func (f *simulatedFleet) sendWoken(daemon int) {
 	for _, e := range f.ends[daemon] {
 		select {
-		case <-e.link.Woken():
+		case <-e.link.Wakeups():
 			f.after(coalesceDelay, func() {
 				e.pending = true
 				f.sendPending(e)
--- a/internal/adapter/grpcpeer/subscriber.go
+++ b/internal/adapter/grpcpeer/subscriber.go
@@ -162,7 +162,7 @@
 			if err := s.sendHeartbeat(stream, link, &last, &statusSender); err != nil {
 				return err
 			}
-		case <-link.Woken():
+		case <-link.Wakeups():
 			if err := s.sendChanges(ctx, stream, link, &statusSender); err != nil {
 				return err
 			}
--- a/internal/adapter/grpcpeer/view.go
+++ b/internal/adapter/grpcpeer/view.go
@@ -225,7 +225,7 @@
 	// Complete is read before the records, so that a reply marked as complete
 	// contains all of them.
 	update := &peerv1.Update{Complete: v.node.Complete()}
-	for _, r := range v.node.Whole() {
+	for _, r := range v.node.CompleteRecords() {
 		update.Records = append(update.Records, recordToWire(r))
 	}
 	for e := range v.node.Endpoints.All() {
@@ -246,7 +246,7 @@
 // LiveRecords returns the records of a node without deleted ones.
 func LiveRecords(n *node.Node) []port.Record {
 	var out []port.Record
-	for _, r := range n.Whole() {
+	for _, r := range n.CompleteRecords() {
 		if !r.Deleted {
 			out = append(out, r)
 		}
--- a/internal/core/spread/node/bounds_test.go
+++ b/internal/core/spread/node/bounds_test.go
@@ -34,7 +34,7 @@
 		}
 		asking.Receive(&m)
 		select {
-		case <-answering.Woken():
+		case <-answering.Wakeups():
 			continue
 		default:
 		}
@@ -52,7 +52,7 @@
 	a.PutEndpoint(membership.Listed(port.Endpoint{ID: "runner", Address: "a:1", Incarnation: 1}))
 	a.PutMember(membership.Member{ID: "other", Incarnation: 1, State: port.MemberLive})
 	asking, answering := b.Open(true), a.Open(false)
-	answering.HoldEndpoints(true)
+	answering.PauseEndpoints(true)
 	pass := func() {
 		for range 3 {
 			ask := asking.Next()
@@ -65,10 +65,10 @@
 	if b.Members.Len() != 1 || b.Endpoints.Len() != 0 {
 		t.Fatalf("%d members and %d endpoints received while endpoints are held", b.Members.Len(), b.Endpoints.Len())
 	}
-	<-answering.Woken()
-	answering.HoldEndpoints(false)
+	<-answering.Wakeups()
+	answering.PauseEndpoints(false)
 	select {
-	case <-answering.Woken():
+	case <-answering.Wakeups():
 	default:
 		t.Fatal("the link isn't woken when endpoints are no longer held")
 	}
--- a/internal/core/spread/node/compat.go
+++ b/internal/core/spread/node/compat.go
@@ -104,7 +104,7 @@
 			out = append(out, entries[i])
 			continue
 		}
-		if r, held := n.WholeRecord(entries[i].Kind, entries[i].Name); held {
+		if r, held := n.CompleteRecord(entries[i].Kind, entries[i].Name); held {
 			out = append(out, spread.Revision{Record: r})
 		}
 	}
--- a/internal/core/spread/node/departed_test.go
+++ b/internal/core/spread/node/departed_test.go
@@ -31,13 +31,13 @@
 		if i%50 == 0 {
 			s.tickAndPass()
 			// The daemons remove departed endpoints at different times.
-			[]*Node{a, b, c}[i/50%3].ForgetDeparted()
+			[]*Node{a, b, c}[i/50%3].PruneDeparted()
 		}
 	}
 	for range healRounds {
 		s.tickAndPass()
 		for _, n := range []*Node{a, b, c} {
-			n.ForgetDeparted()
+			n.PruneDeparted()
 		}
 	}
 	for i, n := range []*Node{a, b, c} {
--- a/internal/core/spread/node/link.go
+++ b/internal/core/spread/node/link.go
@@ -28,16 +28,16 @@
 	// the sender doesn't have. The only daemon with all parts of the newest version
 	// may have failed; a daemon that starts then can use the version before.
 	Fallbacks []spread.Revision
-	// TakesParts is set in the first message on a link if the sender supports
+	// SupportsParts is set in the first message on a link if the sender supports
 	// records in parts.
-	TakesParts bool
+	SupportsParts bool
 }
 
 // Empty reports whether the message has no content.
 func (m *Message) Empty() bool {
 	return m.Records.Empty() && m.Endpoints.Empty() && m.Members.Empty() && m.Suspects.Empty() &&
 		m.HighestVersion == 0 && !m.Complete &&
-		len(m.Parts) == 0 && len(m.WantedParts) == 0 && !m.TakesParts
+		len(m.Parts) == 0 && len(m.WantedParts) == 0 && !m.SupportsParts
 }
 
 // repairRequestTicks is the number of ticks after which a node that isn't complete
@@ -111,8 +111,8 @@
 	l.node.requestFromAnotherLink()
 }
 
-// Woken returns a channel that receives a value when there is something to send.
-func (l *Link) Woken() <-chan struct{} { return l.wakeups }
+// Wakeups returns a channel that receives a value when there is something to send.
+func (l *Link) Wakeups() <-chan struct{} { return l.wakeups }
 
 func (l *Link) wake() {
 	select {
@@ -121,8 +121,8 @@
 	}
 }
 
-// HoldEndpoints stops the sending of endpoints, or resumes it.
-func (l *Link) HoldEndpoints(hold bool) {
+// PauseEndpoints stops the sending of endpoints, or resumes it.
+func (l *Link) PauseEndpoints(hold bool) {
 	if l.endpointsPaused.Swap(hold) && !hold {
 		l.wake()
 	}
@@ -160,7 +160,7 @@
 	m.Fallbacks = l.node.bodies.wholeRevisions(m.Records.Entries)
 	m.Records.Entries = l.convertForPeer(m.Records.Entries)
 	m.WantedParts, m.Parts = l.parts.next(l.node.bodies)
-	m.TakesParts = !l.sentTakesParts.Swap(true)
+	m.SupportsParts = !l.sentTakesParts.Swap(true)
 	if highest := l.node.HighestKnown(); highest > l.sentHighestVersion.Load() {
 		m.HighestVersion = highest
 		l.sentHighestVersion.Store(highest)
@@ -174,7 +174,7 @@
 // Receive merges a message and queues its changes for the other links.
 func (l *Link) Receive(m *Message) {
 	storeMax(&l.node.highestKnown, m.HighestVersion)
-	l.recordPeerSupport(m.TakesParts)
+	l.recordPeerSupport(m.SupportsParts)
 	l.receiveRecords(m)
 	l.receiveEndpoints(m)
 	for _, v := range l.members.Receive(&m.Members) {
@@ -199,7 +199,7 @@
 		newest = max(newest, e.EntryRevision)
 	}
 	if l.node.listener != nil && newest.Era() > 0 {
-		l.node.listener.EraHeard(newest, l.peerName())
+		l.node.listener.EraReceived(newest, l.peerName())
 	}
 }
 
--- a/internal/core/spread/node/node.go
+++ b/internal/core/spread/node/node.go
@@ -57,15 +57,15 @@
 // Listener receives events about records and about the era of the platform's
 // store.
 type Listener interface {
-	// RecordHeard is called for a version that is new to this node. from is the
+	// RecordReceived is called for a version that is new to this node. from is the
 	// peer that sent it, empty for the platform; missing is the number of parts of
 	// bodies that are missing now.
-	RecordHeard(r *spread.Revision, from string, missing int)
-	// RecordWhole is called for a version in parts once all its parts are present.
-	RecordWhole(r *port.Record)
-	// EraHeard is called for a revision of the platform's store that a peer sent
+	RecordReceived(r *spread.Revision, from string, missing int)
+	// RecordCompleted is called for a version in parts once all its parts are present.
+	RecordCompleted(r *port.Record)
+	// EraReceived is called for a revision of the platform's store that a peer sent
 	// with an endpoint, if its era isn't 0, so the store was restored from a backup.
-	EraHeard(at port.StoreRevision, from string)
+	EraReceived(at port.StoreRevision, from string)
 }
 
 // SetListener must be called before any link is opened.
@@ -73,7 +73,7 @@
 
 func (n *Node) reportRecordHeard(r *spread.Revision, from string) {
 	if n.listener != nil {
-		n.listener.RecordHeard(r, from, len(n.bodies.missingParts()))
+		n.listener.RecordReceived(r, from, len(n.bodies.missingParts()))
 	}
 }
 
@@ -98,12 +98,12 @@
 	return true
 }
 
-// Whole returns the newest version of each record whose body is complete,
+// CompleteRecords returns the newest version of each record whose body is complete,
 // including deleted records.
-func (n *Node) Whole() []port.Record { return n.bodies.records() }
+func (n *Node) CompleteRecords() []port.Record { return n.bodies.records() }
 
-// WholeRecord returns the newest version of a record whose body is complete.
-func (n *Node) WholeRecord(kind, name string) (port.Record, bool) {
+// CompleteRecord returns the newest version of a record whose body is complete.
+func (n *Node) CompleteRecord(kind, name string) (port.Record, bool) {
 	return n.bodies.record(spread.RecordKey(kind, name))
 }
 
@@ -115,7 +115,7 @@
 	for i := range records {
 		storeMax(&n.highestHeld, records[i].Version)
 		if n.listener != nil && spread.InParts(&records[i]) {
-			n.listener.RecordWhole(&records[i])
+			n.listener.RecordCompleted(&records[i])
 		}
 	}
 	if n.revisionsComplete.Load() && n.bodies.allWhole() {
@@ -163,9 +163,9 @@
 	return changed
 }
 
-// ForgetDeparted removes the endpoints that departed so long ago that their state
+// PruneDeparted removes the endpoints that departed so long ago that their state
 // needn't be replicated any more, and returns their ids.
-func (n *Node) ForgetDeparted() []string {
+func (n *Node) PruneDeparted() []string {
 	ids := membership.PrunableDepartures(n.Endpoints.All())
 	if len(ids) == 0 {
 		return nil
--- a/internal/core/spread/node/parts_test.go
+++ b/internal/core/spread/node/parts_test.go
@@ -14,7 +14,7 @@
 }
 
 func hasVersion(n *Node, version uint64) bool {
-	r, held := n.WholeRecord("k", "n")
+	r, held := n.CompleteRecord("k", "n")
 	return held && r.Version == version && string(r.Body) == string(bodyOf(version, false))
 }
 
@@ -230,7 +230,7 @@
 	link := daemon.Open(true)
 	revision, parts := spread.Divide(largeRecord(1))
 	revision.Sum++
-	link.Receive(&Message{TakesParts: true, Records: spread.Step[spread.Revision]{Entries: []spread.Revision{revision}}})
+	link.Receive(&Message{SupportsParts: true, Records: spread.Step[spread.Revision]{Entries: []spread.Revision{revision}}})
 	if ask := link.Next(); len(ask.WantedParts) != len(revision.Parts) {
 		t.Fatalf("%d parts are requested, want %d", len(ask.WantedParts), len(revision.Parts))
 	}
@@ -245,7 +245,7 @@
 			t.Fatalf("%d parts are requested again", len(ask.WantedParts))
 		}
 	}
-	if len(daemon.Whole()) != 0 || daemon.HighestHeld() != 0 {
+	if len(daemon.CompleteRecords()) != 0 || daemon.HighestHeld() != 0 {
 		t.Fatal("a body that doesn't match the revision's hash is in force")
 	}
 }
@@ -256,7 +256,7 @@
 	n := New()
 	link := n.Open(true)
 	link.Receive(&Message{Parts: [][]byte{spread.Pack([]byte("unasked")), []byte("damaged")}})
-	if len(n.bodies.parts) != 0 || len(n.Whole()) != 0 {
+	if len(n.bodies.parts) != 0 || len(n.CompleteRecords()) != 0 {
 		t.Fatalf("%d parts that weren't requested are kept", len(n.bodies.parts))
 	}
 }
--- a/internal/core/spread/node/spread_test.go
+++ b/internal/core/spread/node/spread_test.go
@@ -186,7 +186,7 @@
 // contents that the platform wrote, and that a complete node has at least its base.
 func (s *simulation) check(t *rapid.T) {
 	for i, d := range s.daemons {
-		for _, r := range d.node.Whole() {
+		for _, r := range d.node.CompleteRecords() {
 			var n int
 			if _, err := fmt.Sscanf(r.Name, "r%d", &n); err != nil {
 				t.Fatalf("daemon %d has a record with the unknown name %q", i, r.Name)
@@ -256,7 +256,7 @@
 
 func heldVersions(n *Node) []string {
 	var out []string
-	for _, r := range n.Whole() {
+	for _, r := range n.CompleteRecords() {
 		out = append(out, fmt.Sprintf("%s@%d", r.Name, r.Version))
 	}
 	slices.Sort(out)
--- a/internal/keeper/eras.go
+++ b/internal/keeper/eras.go
@@ -46,9 +46,9 @@
 	return port.ErrRevisionGone
 }
 
-// EraHeard processes a revision that a peer relayed. It may be of an era in
+// EraReceived processes a revision that a peer relayed. It may be of an era in
 // which the platform hasn't answered this keeper yet.
-func (k *Keeper) EraHeard(at port.StoreRevision, from string) {
+func (k *Keeper) EraReceived(at port.StoreRevision, from string) {
 	before := k.eras.Current()
 	if k.eras.Adopt(at.Era()) {
 		k.logEraBegan(before, at, from)
--- a/internal/keeper/existence.go
+++ b/internal/keeper/existence.go
@@ -82,7 +82,7 @@
 // held returns the records of the kind that are in force.
 func (s *existenceSource) held() []port.Record {
 	var out []port.Record
-	for _, r := range s.keeper.node.Whole() {
+	for _, r := range s.keeper.node.CompleteRecords() {
 		if r.Kind == s.kind && !r.Deleted {
 			out = append(out, r)
 		}
--- a/internal/keeper/hosts.go
+++ b/internal/keeper/hosts.go
@@ -92,7 +92,7 @@
 		return
 	}
 	k.prunedDigest = digest
-	for _, id := range k.node.ForgetDeparted() {
+	for _, id := range k.node.PruneDeparted() {
 		k.probeFailures.reset(id)
 	}
 }
--- a/internal/keeper/records.go
+++ b/internal/keeper/records.go
@@ -332,23 +332,23 @@
 	})
 }
 
-// RecordHeard logs which peer sent a version and how many of its parts are
+// RecordReceived logs which peer sent a version and how many of its parts are
 // missing. For a version that arrives late, this shows how much of it had
 // arrived.
-func (k *Keeper) RecordHeard(r *spread.Revision, from string, missing int) {
+func (k *Keeper) RecordReceived(r *spread.Revision, from string, missing int) {
 	k.options.Logger.Info().Str("event", "record_heard").Str("record", spread.RecordKey(r.Kind, r.Name)).
 		Uint64("version", r.Version).Str("from", cmp.Or(from, "platform")).Int("parts", len(r.Parts)).Int("parts_missing", missing).
 		Int64("platform_age_ms", *port.AgeMillis(k.PlatformAge(time.Now()))).Msg("")
 }
 
-// RecordWhole logs that all parts of a version have arrived, so that it can be
+// RecordCompleted logs that all parts of a version have arrived, so that it can be
 // put in force.
-func (k *Keeper) RecordWhole(r *port.Record) {
+func (k *Keeper) RecordCompleted(r *port.Record) {
 	k.options.Logger.Info().Str("event", "record_whole").Str("record", spread.RecordKey(r.Kind, r.Name)).
 		Uint64("version", r.Version).Int("bytes", len(r.Body)).Msg("")
 }
 
 // Record returns one record in force. A deleted one is returned as such.
 func (k *Keeper) Record(kind, name string) (port.Record, bool) {
-	return k.node.WholeRecord(kind, name)
+	return k.node.CompleteRecord(kind, name)
 }
--- a/internal/keeper/recordsource.go
+++ b/internal/keeper/recordsource.go
@@ -145,7 +145,7 @@
 		}
 		s.put(o, record.FromObject)
 	}
-	for _, held := range k.node.Whole() {
+	for _, held := range k.node.CompleteRecords() {
 		// A missing tombstone means the same as a stored one.
 		if held.Kind == s.kind && !listed[held.Name] && !held.Deleted {
 			lost = append(lost, rewrite{held: held, storedVersion: uint64(at.None()), stored: &record.Envelope{Deleted: true}})
@@ -162,7 +162,7 @@
 // lostWrite returns the record to be written again over a stored value, or nil
 // if there is none.
 func (k *Keeper) lostWrite(o *port.Object) *rewrite {
-	held, known := k.node.WholeRecord(o.Kind, o.Name)
+	held, known := k.node.CompleteRecord(o.Kind, o.Name)
 	if !known {
 		return nil
 	}
--- a/internal/keeper/rewrite_test.go
+++ b/internal/keeper/rewrite_test.go
@@ -216,7 +216,7 @@
 	for name, weight := range o.accepted {
 		held := weight > 0 && o.storedWeight(name) == weight || weight == 0 && o.storesWrite(name, o.deletes[name].WriteID)
 		for _, k := range o.keepers {
-			r, known := k.node.WholeRecord(testKind, name)
+			r, known := k.node.CompleteRecord(testKind, name)
 			held = held || known && weightOf(r) == weight && (weight > 0 || r.Version == o.deletes[name].Record.Version)
 		}
 		if !held {
@@ -256,7 +256,7 @@
 // earlier write.
 func (o *operatorModel) check() {
 	for i, k := range o.keepers {
-		for _, r := range k.node.Whole() {
+		for _, r := range k.node.CompleteRecords() {
 			weight := weightOf(r)
 			if weight > 0 && weight < o.seen[i][r.Name] {
 				o.t.Fatalf("keeper %d has weight %d of %s in force after weight %d", i, weight, r.Name, o.seen[i][r.Name])
@@ -289,7 +289,7 @@
 				t.Fatalf("the store holds weight %d of %s, want %d", got, name, weight)
 			}
 			for i, k := range o.keepers {
-				if r, _ := k.node.WholeRecord(testKind, name); weightOf(r) != weight {
+				if r, _ := k.node.CompleteRecord(testKind, name); weightOf(r) != weight {
 					t.Fatalf("keeper %d has weight %d of %s in force, want %d", i, weightOf(r), name, weight)
 				}
 			}
