--- a/internal/core/outcome/oracle_test.go
+++ b/internal/core/outcome/oracle_test.go
@@ -21,7 +21,7 @@
 	forgotten bool
 	// restarted is set when the engine is another incarnation than at the dispatch.
 	restarted bool
-	fate      stream.Fate
+	fate      stream.RunOutcome
 	// answerLost is set when an answer with the state of the run was lost.
 	answerLost bool
 }
@@ -58,7 +58,7 @@
 func (h *history) check(t *rapid.T) {
 	ran := 0
 	for i, r := range h.runs {
-		if r.fate == stream.FateRejected && i < len(h.runs)-1 {
+		if r.fate == stream.OutcomeRejected && i < len(h.runs)-1 {
 			t.Fatalf("a request that an engine rejected was sent to another engine")
 		}
 		// A dispatch still in transit counts, as nothing can stop it any more.
@@ -93,7 +93,7 @@
 	last := h.runs[len(h.runs)-1]
 	ambiguous := false
 	for _, r := range h.runs {
-		ambiguous = ambiguous || r.answerLost || r.fate == stream.FateLeft
+		ambiguous = ambiguous || r.answerLost || r.fate == stream.OutcomeDetached
 	}
 	switch got := h.ledger.Outcome(); {
 	case got == outcome.Done && len(h.delivered) != last.total:
@@ -111,7 +111,7 @@
 // holds no engine memory.
 func (h *history) checkFreed(t *rapid.T) {
 	for _, r := range h.runs {
-		if r.fate != stream.FateLeft && r.running() {
+		if r.fate != stream.OutcomeDetached && r.running() {
 			t.Fatalf("generation %s still runs after its fate %s", r.generation, r.fate)
 		}
 	}
--- a/internal/core/outcome/outcome.go
+++ b/internal/core/outcome/outcome.go
@@ -36,16 +36,16 @@
 
 // Add records the fate of one attempt; delivered tells whether a token or byte of
 // it reached the caller.
-func (l *Ledger) Add(f stream.Fate, delivered bool) {
+func (l *Ledger) Add(f stream.RunOutcome, delivered bool) {
 	l.attempts++
 	l.delivered = l.delivered || delivered
 	switch f {
-	case stream.FateDone:
+	case stream.OutcomeDone:
 		l.done = true
-	case stream.FateNotSent, stream.FateRefused, stream.FateBarred:
-	case stream.FateRejected:
+	case stream.OutcomeNotSent, stream.OutcomeRefused, stream.OutcomeBarred:
+	case stream.OutcomeRejected:
 		l.rejected = true
-	case stream.FateRan:
+	case stream.OutcomeRan:
 		l.ran = true
 	default:
 		l.mayHaveRun = true
--- a/internal/core/outcome/simulation_test.go
+++ b/internal/core/outcome/simulation_test.go
@@ -80,12 +80,12 @@
 		return stream.Event{Kind: stream.EventRefused}
 	case 2:
 		w.r.sent, w.r.inTransit = true, true
-		return stream.Event{Kind: stream.EventLost}
+		return stream.Event{Kind: stream.EventNoAnswer}
 	case 3:
 		w.r.sent, w.r.arrived = true, true
-		return stream.Event{Kind: stream.EventLost}
+		return stream.Event{Kind: stream.EventNoAnswer}
 	case 4:
-		return stream.Event{Kind: stream.EventLost}
+		return stream.Event{Kind: stream.EventNoAnswer}
 	case 5:
 		return stream.Event{Kind: stream.EventRejected}
 	}
@@ -108,7 +108,7 @@
 	}
 	ready := w.nextFrame < w.r.produced || (w.nextFrame == w.r.total && w.r.produced == w.r.total)
 	if !ready || !w.knownToEngine() {
-		return stream.Event{Kind: stream.EventSilent}
+		return stream.Event{Kind: stream.EventStalled}
 	}
 	e := w.frame(w.nextFrame)
 	w.nextFrame++
@@ -120,7 +120,7 @@
 	case 0: // a frame is lost in transit
 		w.nextFrame = min(w.nextFrame+1, w.r.total)
 		if w.nextFrame >= w.r.produced || !w.knownToEngine() {
-			return stream.Event{Kind: stream.EventSilent}
+			return stream.Event{Kind: stream.EventStalled}
 		}
 		w.nextFrame++
 		return w.frame(w.nextFrame - 1)
@@ -138,12 +138,12 @@
 		return w.frame(w.r.total)
 	case 6:
 		if rapid.IntRange(0, 3).Draw(w.t, "caller leaves") > 0 {
-			return stream.Event{Kind: stream.EventSilent}
+			return stream.Event{Kind: stream.EventStalled}
 		}
 		return stream.Event{Kind: stream.EventCallerGone}
 	default:
 		if rapid.IntRange(0, 3).Draw(w.t, "handover") > 0 {
-			return stream.Event{Kind: stream.EventSilent}
+			return stream.Event{Kind: stream.EventStalled}
 		}
 		return stream.Event{Kind: stream.EventHandover}
 	}
@@ -166,14 +166,14 @@
 
 func (w *simulation) probe() stream.Event {
 	if w.unreachable || w.fault("probe lost") {
-		return stream.Event{Kind: stream.EventLost}
+		return stream.Event{Kind: stream.EventNoAnswer}
 	}
 	return stream.Event{Kind: stream.EventStatus, Status: w.status()}
 }
 
 func (w *simulation) resume(from int) stream.Event {
 	if w.unreachable || w.fault("resume lost") {
-		return stream.Event{Kind: stream.EventLost}
+		return stream.Event{Kind: stream.EventNoAnswer}
 	}
 	if !w.knownToEngine() {
 		return stream.Event{Kind: stream.EventNoGeneration}
@@ -190,18 +190,18 @@
 	}
 	if w.fault("cancel lost") {
 		r.answerLost = true
-		return stream.Event{Kind: stream.EventLost}
+		return stream.Event{Kind: stream.EventNoAnswer}
 	}
 	before := w.status()
 	r.stopped = r.stopped || r.arrived
 	r.barred = true
 	if w.fault("cancel answer lost") {
 		r.answerLost = true
-		return stream.Event{Kind: stream.EventLost}
+		return stream.Event{Kind: stream.EventNoAnswer}
 	}
 	if before == port.GenerationUnknown && r.restarted {
 		r.answerLost = true
-		return stream.Event{Kind: stream.EventForgotten}
+		return stream.Event{Kind: stream.EventEngineRestarted}
 	}
 	return stream.Event{Kind: stream.EventStatus, Status: before}
 }
@@ -246,10 +246,10 @@
 			Generation: w.r.generation, Mode: stream.ModeAdopted, From: len(w.h.delivered),
 			Resumable: true, Limits: stream.DefaultLimits(),
 		})
-		if c.Fate == stream.FateDone && len(w.h.delivered) != w.r.total {
+		if c.Outcome == stream.OutcomeDone && len(w.h.delivered) != w.r.total {
 			t.Fatalf("done after resuming at another router with %d of %d tokens", len(w.h.delivered), w.r.total)
 		}
-		if c.Fate != stream.FateLeft {
+		if c.Outcome != stream.OutcomeDetached {
 			return
 		}
 	}
@@ -270,14 +270,14 @@
 		c := w.attempt(stream.Options{
 			Generation: w.r.generation, Mode: stream.ModeOwned, Resumable: resumable, Limits: stream.DefaultLimits(),
 		})
-		w.r.fate = c.Fate
-		h.ledger.Add(c.Fate, w.m.Delivered())
+		w.r.fate = c.Outcome
+		h.ledger.Add(c.Outcome, w.m.Delivered())
 		if c.CancelPending {
 			// The router repeats the cancel until it is acknowledged.
 			w.r.stopped = w.r.stopped || w.r.arrived
 			w.r.barred = true
 		}
-		if c.Fate == stream.FateLeft {
+		if c.Outcome == stream.OutcomeDetached {
 			w.resumeElsewhere(t)
 			break
 		}
--- a/internal/core/stream/machine.go
+++ b/internal/core/stream/machine.go
@@ -19,25 +19,25 @@
 	EventFrame
 	// EventClosed: the connection was closed or the reader's buffer overflowed.
 	EventClosed
-	// EventSilent: no frame arrived within the stall timeout.
-	EventSilent
+	// EventStalled: no frame arrived within the stall timeout.
+	EventStalled
 	// EventNotSent: no byte of the call was sent.
 	EventNotSent
 	// EventRefused: the engine reported that it did not start the generation.
 	EventRefused
 	// EventRejected: the engine reported that the request is invalid.
 	EventRejected
-	// EventLost: a call was sent and no answer arrived.
-	EventLost
+	// EventNoAnswer: a call was sent and no answer arrived.
+	EventNoAnswer
 	// EventNoGeneration: the engine of a resume does not know the generation.
 	EventNoGeneration
 	// EventStatus carries the status that answers a probe, or the status before
 	// a cancel that answers the cancel.
 	EventStatus
-	// EventForgotten: the engine answered a cancel but has restarted since the
+	// EventEngineRestarted: the engine answered a cancel but has restarted since the
 	// dispatch. That it does not know the generation does not prove that the
 	// generation never ran.
-	EventForgotten
+	EventEngineRestarted
 	// EventCallerGone: the caller closed its connection.
 	EventCallerGone
 	// EventHandover: this router shuts down; the caller is told to resume the
@@ -84,43 +84,43 @@
 	// From is the index of the first token to request with CommandResume.
 	From  int
 	Delay time.Duration
-	// Fate is set for CommandEnd and CommandComplete. Reason is also set for
+	// Outcome is set for CommandEnd and CommandComplete. Reason is also set for
 	// CommandResume, CommandProbe and CommandCancel.
-	Fate   Fate
+	Outcome   RunOutcome
 	Reason string
 	// CancelPending: the engine has not confirmed the cancel, which must be
 	// repeated.
 	CancelPending bool
 }
 
-// Fate is the known outcome of a run that has ended.
-type Fate int
+// RunOutcome is the known outcome of a run that has ended.
+type RunOutcome int
 
 // The outcomes of a run.
 const (
-	// FateDone: the caller received every token, and the final count agrees.
-	FateDone Fate = iota + 1
-	// FateNotSent: nothing was sent to the engine.
-	FateNotSent
-	// FateRefused: the engine reported that it did not start the generation.
-	FateRefused
-	// FateRejected: the engine did not start the generation, as the request is
+	// OutcomeDone: the caller received every token, and the final count agrees.
+	OutcomeDone RunOutcome = iota + 1
+	// OutcomeNotSent: nothing was sent to the engine.
+	OutcomeNotSent
+	// OutcomeRefused: the engine reported that it did not start the generation.
+	OutcomeRefused
+	// OutcomeRejected: the engine did not start the generation, as the request is
 	// invalid.
-	FateRejected
-	// FateBarred: the engine never received the generation and now refuses its id.
-	FateBarred
-	// FateRan: the engine had accepted the generation, and its answer is incomplete.
-	FateRan
-	// FateUnknown: the generation may have run; no token was delivered to the
+	OutcomeRejected
+	// OutcomeBarred: the engine never received the generation and now refuses its id.
+	OutcomeBarred
+	// OutcomeRan: the engine had accepted the generation, and its answer is incomplete.
+	OutcomeRan
+	// OutcomeUnknown: the generation may have run; no token was delivered to the
 	// caller.
-	FateUnknown
-	// FateLeft: the run was not cancelled and may continue at the engine; the
+	OutcomeUnknown
+	// OutcomeDetached: the run was not cancelled and may continue at the engine; the
 	// caller may resume it.
-	FateLeft
+	OutcomeDetached
 )
 
 // String returns the name of the outcome as used in logs.
-func (f Fate) String() string {
+func (f RunOutcome) String() string {
 	names := [...]string{"none", "done", "not_sent", "refused", "rejected", "barred", "ran", "unknown", "left"}
 	if f < 0 || int(f) >= len(names) {
 		return names[0]
@@ -151,14 +151,14 @@
 	// a whole timeout while other engines may be idle.
 	Failures        int
 	StartedFailures int
-	// QueuedRounds is the maximum number of probes before the first token that
+	// QueuedProbes is the maximum number of probes before the first token that
 	// find the generation queued, and RunningRounds of those that find it running.
-	QueuedRounds  int
-	RunningRounds int
-	// StartedRounds is the maximum number of probes between two tokens. It is
+	QueuedProbes  int
+	RunningProbes int
+	// StartedProbes is the maximum number of probes between two tokens. It is
 	// high because an overloaded engine may preempt a generation for long, and the
 	// tokens of an abandoned generation can't be reproduced.
-	StartedRounds int
+	StartedProbes int
 	// CancelTries is the maximum number of unanswered cancels before the run ends
 	// without a confirmed cancel.
 	CancelTries int
@@ -171,7 +171,7 @@
 // millisecond.
 func DefaultLimits() Limits {
 	return Limits{
-		Failures: 2, StartedFailures: 12, QueuedRounds: 30, RunningRounds: 15, StartedRounds: 300, CancelTries: 2,
+		Failures: 2, StartedFailures: 12, QueuedProbes: 30, RunningProbes: 15, StartedProbes: 300, CancelTries: 2,
 		Backoff: 25 * time.Millisecond, MaxBackoff: time.Second,
 	}
 }
@@ -243,7 +243,7 @@
 // Step processes an event and returns the next command.
 func (m *Machine) Step(e Event) Command {
 	if m.phase == phaseEnded {
-		return Command{Kind: CommandEnd, Fate: FateRan, Reason: "the run was over"}
+		return Command{Kind: CommandEnd, Outcome: OutcomeRan, Reason: "the run was over"}
 	}
 	switch e.Kind {
 	case EventCallerGone:
@@ -280,11 +280,11 @@
 	case EventOpened:
 		return m.read()
 	case EventNotSent:
-		return m.end(FateNotSent, "the engine could not be reached")
+		return m.end(OutcomeNotSent, "the engine could not be reached")
 	case EventRefused:
-		return m.end(FateRefused, "the engine refused the dispatch")
+		return m.end(OutcomeRefused, "the engine refused the dispatch")
 	case EventRejected:
-		return m.end(FateRejected, "the engine says that it can't take such a request")
+		return m.end(OutcomeRejected, "the engine says that it can't take such a request")
 	default:
 		// The engine may have received the dispatch although its answer was
 		// lost, and a second dispatch could run the generation twice. The status
@@ -297,7 +297,7 @@
 	switch e.Kind {
 	case EventFrame:
 		return m.handleFrame(e.Frame)
-	case EventSilent:
+	case EventStalled:
 		// The engine may be alive behind a stalled link: its status is probed
 		// before the run is abandoned.
 		m.reason = "no frame within the stall timeout"
@@ -337,10 +337,10 @@
 	case f.TokenCount > m.next:
 		return m.retryOrGiveUp("tokens are missing before the final frame", m.resumeAfterFailure)
 	case f.TokenCount < m.next && m.next != m.start:
-		return m.end(FateRan, "the engine's final count is below the tokens it sent")
+		return m.end(OutcomeRan, "the engine's final count is below the tokens it sent")
 	}
 	m.phase = phaseEnded
-	return Command{Kind: CommandComplete, Frame: f, Fate: FateDone, Reason: f.FinishReason}
+	return Command{Kind: CommandComplete, Frame: f, Outcome: OutcomeDone, Reason: f.FinishReason}
 }
 
 func (m *Machine) stepProbing(e Event) Command {
@@ -349,13 +349,13 @@
 	}
 	switch e.Status {
 	case port.GenerationQueued:
-		return m.resumeWithinLimit(m.limits.QueuedRounds, "the engine keeps it queued")
+		return m.resumeWithinLimit(m.limits.QueuedProbes, "the engine keeps it queued")
 	case port.GenerationRunning:
-		return m.resumeWithinLimit(m.limits.RunningRounds, "the engine runs it without a token")
+		return m.resumeWithinLimit(m.limits.RunningProbes, "the engine runs it without a token")
 	case port.GenerationFinished:
 		return m.retryOrGiveUp("the end did not arrive", m.resumeAfterFailure)
 	case port.GenerationCancelled:
-		return m.end(FateRan, "the engine cancelled it")
+		return m.end(OutcomeRan, "the engine cancelled it")
 	default:
 		return m.generationNotFound()
 	}
@@ -366,7 +366,7 @@
 func (m *Machine) resumeWithinLimit(limit int, reason string) Command {
 	m.idleProbes++
 	if m.Delivered() {
-		limit = m.limits.StartedRounds
+		limit = m.limits.StartedProbes
 	}
 	if m.idleProbes >= limit {
 		return m.giveUp(reason)
@@ -392,11 +392,11 @@
 	if m.mode == ModeOwned && !m.Delivered() {
 		return m.cancel("the engine does not know the generation")
 	}
-	return m.end(FateRan, "the engine no longer holds the generation")
+	return m.end(OutcomeRan, "the engine no longer holds the generation")
 }
 
 func (m *Machine) stepCancelling(e Event) Command {
-	if e.Kind == EventForgotten {
+	if e.Kind == EventEngineRestarted {
 		// The engine lost its state in the restart: there is nothing to cancel,
 		// and whether the generation ran can't be determined.
 		return m.end(m.fateWithoutAnswer(), m.reason+"; the engine has restarted")
@@ -413,24 +413,24 @@
 	// Only the answer to a cancel proves that the generation never ran: the
 	// engine bars an unknown id and refuses a dispatch that arrives later.
 	if e.Status == port.GenerationUnknown && !m.Delivered() {
-		return m.end(FateBarred, m.reason)
+		return m.end(OutcomeBarred, m.reason)
 	}
-	return m.end(FateRan, m.reason)
+	return m.end(OutcomeRan, m.reason)
 }
 
-func (m *Machine) fateWithoutAnswer() Fate {
+func (m *Machine) fateWithoutAnswer() RunOutcome {
 	if m.Delivered() {
-		return FateRan
+		return OutcomeRan
 	}
-	return FateUnknown
+	return OutcomeUnknown
 }
 
 func (m *Machine) callerGone() Command {
 	if m.phase == phaseIdle {
-		return m.end(FateNotSent, "the caller has gone")
+		return m.end(OutcomeNotSent, "the caller has gone")
 	}
 	if m.mode == ModeAdopted || (m.resumable && m.Delivered()) {
-		return m.end(FateLeft, "the caller has gone and may resume")
+		return m.end(OutcomeDetached, "the caller has gone and may resume")
 	}
 	if m.phase == phaseCancelling {
 		c := m.end(m.fateWithoutAnswer(), "the caller has gone")
@@ -446,7 +446,7 @@
 func (m *Machine) handover() Command {
 	switch m.phase {
 	case phaseReading, phaseResuming:
-		return m.end(FateLeft, "the router stops and the caller may resume")
+		return m.end(OutcomeDetached, "the router stops and the caller may resume")
 	}
 	return m.callerGone()
 }
@@ -477,7 +477,7 @@
 
 func (m *Machine) giveUp(reason string) Command {
 	if m.mode == ModeAdopted {
-		return m.end(FateLeft, reason)
+		return m.end(OutcomeDetached, reason)
 	}
 	return m.cancel(reason)
 }
@@ -506,7 +506,7 @@
 	return Command{Kind: CommandCancel, Reason: reason}
 }
 
-func (m *Machine) end(f Fate, reason string) Command {
+func (m *Machine) end(f RunOutcome, reason string) Command {
 	m.phase = phaseEnded
-	return Command{Kind: CommandEnd, Fate: f, Reason: reason}
+	return Command{Kind: CommandEnd, Outcome: f, Reason: reason}
 }
--- a/internal/core/stream/machine_test.go
+++ b/internal/core/stream/machine_test.go
@@ -102,7 +102,7 @@
 	m.Step(eventOf(EventOpened))
 	m.Step(tokenEvent(3))
 	m.Step(tokenEvent(4))
-	if c := m.Step(finalEvent(5)); c.Kind != CommandComplete || c.Fate != FateDone {
+	if c := m.Step(finalEvent(5)); c.Kind != CommandComplete || c.Outcome != OutcomeDone {
 		t.Fatalf("final frame: got %+v", c)
 	}
 }
@@ -111,7 +111,7 @@
 // incomplete.
 func TestFinalCountBelowTheTokensSentFails(t *testing.T) {
 	m := openMachine(t, Options{}, 3)
-	if c := m.Step(finalEvent(2)); c.Kind != CommandEnd || c.Fate != FateRan {
+	if c := m.Step(finalEvent(2)); c.Kind != CommandEnd || c.Outcome != OutcomeRan {
 		t.Fatalf("got %+v", c)
 	}
 }
@@ -135,18 +135,18 @@
 		delivered int
 		status    port.GenerationStatus
 		rounds    int
-		fate      Fate
+		fate      RunOutcome
 	}{
-		{"preempted after a token", 1, port.GenerationRunning, limits.StartedRounds, FateRan},
-		{"queued again after a token", 1, port.GenerationQueued, limits.StartedRounds, FateRan},
-		{"running without a token", 0, port.GenerationRunning, limits.RunningRounds, FateRan},
-		{"queued", 0, port.GenerationQueued, limits.QueuedRounds, FateRan},
+		{"preempted after a token", 1, port.GenerationRunning, limits.StartedProbes, OutcomeRan},
+		{"queued again after a token", 1, port.GenerationQueued, limits.StartedProbes, OutcomeRan},
+		{"running without a token", 0, port.GenerationRunning, limits.RunningProbes, OutcomeRan},
+		{"queued", 0, port.GenerationQueued, limits.QueuedProbes, OutcomeRan},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			m := openMachine(t, Options{Resumable: true}, c.delivered)
 			for round := 1; ; round++ {
-				if got := m.Step(eventOf(EventSilent)); got.Kind != CommandProbe {
+				if got := m.Step(eventOf(EventStalled)); got.Kind != CommandProbe {
 					t.Fatalf("silent: got %+v", got)
 				}
 				got := m.Step(statusEvent(c.status))
@@ -159,7 +159,7 @@
 				m.Step(eventOf(EventOpened))
 			}
 			got := m.Step(statusEvent(c.status))
-			if got.Kind != CommandEnd || got.Fate != c.fate || got.CancelPending {
+			if got.Kind != CommandEnd || got.Outcome != c.fate || got.CancelPending {
 				t.Fatalf("cancelled: got %+v", got)
 			}
 		})
@@ -172,19 +172,19 @@
 	cases := []struct {
 		name   string
 		answer Event
-		want   Fate
+		want   RunOutcome
 	}{
-		{"barred before the dispatch arrived", statusEvent(port.GenerationUnknown), FateBarred},
-		{"queued", statusEvent(port.GenerationQueued), FateRan},
-		{"running", statusEvent(port.GenerationRunning), FateRan},
-		{"finished", statusEvent(port.GenerationFinished), FateRan},
-		{"the engine has restarted", eventOf(EventForgotten), FateUnknown},
+		{"barred before the dispatch arrived", statusEvent(port.GenerationUnknown), OutcomeBarred},
+		{"queued", statusEvent(port.GenerationQueued), OutcomeRan},
+		{"running", statusEvent(port.GenerationRunning), OutcomeRan},
+		{"finished", statusEvent(port.GenerationFinished), OutcomeRan},
+		{"the engine has restarted", eventOf(EventEngineRestarted), OutcomeUnknown},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			m := New(Options{Generation: testGeneration, Mode: ModeOwned, Limits: DefaultLimits()})
 			m.Step(eventOf(EventBegin))
-			if got := m.Step(eventOf(EventLost)); got.Kind != CommandProbe {
+			if got := m.Step(eventOf(EventNoAnswer)); got.Kind != CommandProbe {
 				t.Fatalf("lost: got %+v", got)
 			}
 			// A probe that returns unknown does not prove that the generation
@@ -192,7 +192,7 @@
 			if got := m.Step(statusEvent(port.GenerationUnknown)); got.Kind != CommandCancel {
 				t.Fatalf("probe: got %+v", got)
 			}
-			if got := m.Step(c.answer); got.Kind != CommandEnd || got.Fate != c.want {
+			if got := m.Step(c.answer); got.Kind != CommandEnd || got.Outcome != c.want {
 				t.Fatalf("got %+v, want %s", got, c.want)
 			}
 		})
@@ -208,9 +208,9 @@
 		if c.Kind == CommandEnd {
 			break
 		}
-		c = m.Step(eventOf(EventLost))
+		c = m.Step(eventOf(EventNoAnswer))
 	}
-	if c.Kind != CommandEnd || c.Fate != FateUnknown || !c.CancelPending {
+	if c.Kind != CommandEnd || c.Outcome != OutcomeUnknown || !c.CancelPending {
 		t.Fatalf("got %+v", c)
 	}
 }
@@ -225,7 +225,7 @@
 		c := m.Step(eventOf(EventClosed))
 		failures := 1
 		for c.Kind == CommandResume && failures < 100 {
-			c = m.Step(eventOf(EventLost))
+			c = m.Step(eventOf(EventNoAnswer))
 			failures++
 		}
 		if c.Kind != CommandCancel || failures != want {
@@ -238,7 +238,7 @@
 // caller can resume it at another router.
 func TestHandoverDoesNotCancel(t *testing.T) {
 	m := openMachine(t, Options{Resumable: true}, 2)
-	if c := m.Step(eventOf(EventHandover)); c.Kind != CommandEnd || c.Fate != FateLeft || c.CancelPending {
+	if c := m.Step(eventOf(EventHandover)); c.Kind != CommandEnd || c.Outcome != OutcomeDetached || c.CancelPending {
 		t.Fatalf("got %+v", c)
 	}
 }
@@ -252,7 +252,7 @@
 		t.Fatalf("before the first token: got %+v", c)
 	}
 	m = openMachine(t, Options{Resumable: true}, 1)
-	if c := m.Step(eventOf(EventCallerGone)); c.Kind != CommandEnd || c.Fate != FateLeft {
+	if c := m.Step(eventOf(EventCallerGone)); c.Kind != CommandEnd || c.Outcome != OutcomeDetached {
 		t.Fatalf("after the first token: got %+v", c)
 	}
 	m = openMachine(t, Options{}, 1)
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -30,7 +30,7 @@
 }
 
 // attempt sends the request to one endpoint and relays its answer.
-func (x *exchange) attempt(ctx context.Context, p *placement) stream.Fate {
+func (x *exchange) attempt(ctx context.Context, p *placement) stream.RunOutcome {
 	x.beginAttempt(p)
 	began := x.g.Clock()
 	answer, err := x.send(ctx, x.outbound(p))
@@ -94,22 +94,22 @@
 }
 
 // handleSendError classifies and ends an attempt that got no answer.
-func (x *exchange) handleSendError(ctx context.Context, p *placement, err error) stream.Fate {
-	fate, kind, name := stream.FateUnknown, port.FinishFailed, "lost"
+func (x *exchange) handleSendError(ctx context.Context, p *placement, err error) stream.RunOutcome {
+	fate, kind, name := stream.OutcomeUnknown, port.FinishFailed, "lost"
 	switch {
 	case errors.Is(err, port.ErrMisdirected):
-		fate, kind, name = stream.FateRefused, port.FinishNotStarted, "misdirected"
+		fate, kind, name = stream.OutcomeRefused, port.FinishNotStarted, "misdirected"
 		x.reachedEndpoint = true
 		x.g.markLeaving(p.endpoint, "another endpoint answers at its address")
 	case errors.Is(err, port.ErrRefused):
-		fate, kind, name = stream.FateRefused, port.FinishCancelled, "refused"
+		fate, kind, name = stream.OutcomeRefused, port.FinishCancelled, "refused"
 		x.reachedEndpoint = true
 	case errors.Is(err, port.ErrNotSent):
-		fate, kind, name = stream.FateNotSent, port.FinishNotStarted, "not_sent"
+		fate, kind, name = stream.OutcomeNotSent, port.FinishNotStarted, "not_sent"
 	case errors.Is(err, port.ErrForeignAnswer):
 		name = "foreign_answer"
 	}
-	if fate == stream.FateUnknown {
+	if fate == stream.OutcomeUnknown {
 		x.reachedEndpoint = true
 		x.mayHaveRun++
 	}
@@ -134,29 +134,29 @@
 }
 
 // relayBody relays an answer that is not a stream of events.
-func (x *exchange) relayBody(ctx context.Context, p *placement, a *port.Answer) stream.Fate {
+func (x *exchange) relayBody(ctx context.Context, p *placement, a *port.Answer) stream.RunOutcome {
 	b, err := readAnswer(a)
 	if err != nil {
 		x.reason = "the answer broke off: " + err.Error()
 		x.connectionLost = ctx.Err() == nil
 		x.g.metrics.attemptFailed("cut")
 		x.endAttempt(p, finishKind(ctx, port.FinishFailed))
-		return stream.FateUnknown
+		return stream.OutcomeUnknown
 	}
 	if b.status >= http.StatusInternalServerError && x.ledger.Idempotent {
 		x.keptFailure = b
 		x.reason = "the endpoint answers " + http.StatusText(b.status)
 		x.endAttempt(p, port.FinishFailed)
-		return stream.FateRan
+		return stream.OutcomeRan
 	}
 	err = x.deliver(b)
 	x.endAttempt(p, port.FinishDone)
 	if err != nil {
 		x.reason = "the answer could not be passed on whole: " + err.Error()
-		return stream.FateRan
+		return stream.OutcomeRan
 	}
 	x.reason = http.StatusText(b.status)
-	return stream.FateDone
+	return stream.OutcomeDone
 }
 
 func finishKind(ctx context.Context, kind port.FinishKind) port.FinishKind {
--- a/internal/gateway/events.go
+++ b/internal/gateway/events.go
@@ -22,7 +22,7 @@
 
 // relayEvents relays a stream of events. Each event is sent as soon as it is
 // complete.
-func (x *exchange) relayEvents(ctx context.Context, p *placement, a *port.Answer) stream.Fate {
+func (x *exchange) relayEvents(ctx context.Context, p *placement, a *port.Answer) stream.RunOutcome {
 	r := &relay{x: x, p: p, run: &run{x: x}}
 	x.delivered = &port.Delivery{HeldMillis: x.heldFor.Milliseconds(), Runners: 1}
 	r.run.setSource(p.endpoint, a.Body)
@@ -178,16 +178,16 @@
 var errNoContinuation = errors.New("the answer is not a stream that goes on")
 
 // finishStream classifies the end of a stream and ends the attempt.
-func (x *exchange) finishStream(ctx context.Context, p *placement, a *port.Answer, err error) stream.Fate {
+func (x *exchange) finishStream(ctx context.Context, p *placement, a *port.Answer, err error) stream.RunOutcome {
 	if !errors.Is(err, io.EOF) || ctx.Err() != nil {
 		x.reason = "the stream broke off: " + err.Error()
 		x.connectionLost = ctx.Err() == nil
 		x.g.metrics.attemptFailed("cut")
 		x.endAttempt(p, finishKind(ctx, port.FinishFailed))
 		if x.responseStarted {
-			return stream.FateRan
+			return stream.OutcomeRan
 		}
-		return stream.FateUnknown
+		return stream.OutcomeUnknown
 	}
 	if !x.responseStarted {
 		if err := x.beginAnswer(a); err != nil {
@@ -196,12 +196,12 @@
 	}
 	x.endAttempt(p, port.FinishDone)
 	x.reason = "the stream is whole"
-	return stream.FateDone
+	return stream.OutcomeDone
 }
 
-func (x *exchange) endCallerGone(p *placement, err error) stream.Fate {
+func (x *exchange) endCallerGone(p *placement, err error) stream.RunOutcome {
 	x.reason = "the caller has gone: " + err.Error()
 	x.cause = CauseCallerGone
 	x.endAttempt(p, port.FinishCancelled)
-	return stream.FateRan
+	return stream.OutcomeRan
 }
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -119,7 +119,7 @@
 		}
 		fate := x.attempt(ctx, p)
 		x.ledger.Add(fate, x.responseStarted)
-		if fate == stream.FateDone {
+		if fate == stream.OutcomeDone {
 			x.recordCompletion()
 			x.finish(outcome.Done, x.reason)
 			return nil
@@ -173,7 +173,7 @@
 }
 
 // retryRefusal returns the refusal if no further attempt is allowed, else nil.
-func (x *exchange) retryRefusal(ctx context.Context, fate stream.Fate) *Refusal {
+func (x *exchange) retryRefusal(ctx context.Context, fate stream.RunOutcome) *Refusal {
 	refusal := &Refusal{Cause: x.cause, Detail: x.reason, RetryAfter: retrySoon}
 	if refusal.Cause == "" {
 		refusal.Cause = CauseEndpointFailed
@@ -183,7 +183,7 @@
 	case !x.ledger.MayRetry():
 	case x.mayHaveRun >= max(1, x.req.Pass.Route.MaxAttempts):
 	case x.attempts-x.mayHaveRun >= x.g.options().RefusalsTried:
-	case fate != stream.FateNotSent && !x.g.budgets.pool(x.pool).Retry():
+	case fate != stream.OutcomeNotSent && !x.g.budgets.pool(x.pool).Retry():
 		refusal.Detail += "; the retry budget is spent"
 	default:
 		return nil
--- a/internal/gateway/panics.go
+++ b/internal/gateway/panics.go
@@ -29,7 +29,7 @@
 	}
 	if x.attempts > x.ledger.Attempts() {
 		// The attempt that panicked may have run.
-		x.ledger.Add(stream.FateUnknown, x.responseStarted)
+		x.ledger.Add(stream.OutcomeUnknown, x.responseStarted)
 	}
 	*refusal = x.refuse(&Refusal{Cause: CauseInternal, Detail: "a fault of this daemon"})
 }
--- a/internal/router/attempt.go
+++ b/internal/router/attempt.go
@@ -43,7 +43,7 @@
 
 // attemptResult is how a run ended.
 type attemptResult struct {
-	fate          stream.Fate
+	fate          stream.RunOutcome
 	reason        string
 	cancelPending bool
 }
@@ -77,7 +77,7 @@
 		case stream.CommandComplete:
 			return a.complete(&c)
 		default:
-			return attemptResult{fate: c.Fate, reason: c.Reason, cancelPending: c.CancelPending}
+			return attemptResult{fate: c.Outcome, reason: c.Reason, cancelPending: c.CancelPending}
 		}
 	}
 }
@@ -110,7 +110,7 @@
 	case errors.Is(err, port.ErrNotSent):
 		return stream.Event{Kind: stream.EventNotSent}
 	default:
-		return stream.Event{Kind: stream.EventLost}
+		return stream.Event{Kind: stream.EventNoAnswer}
 	}
 }
 
@@ -178,7 +178,7 @@
 	case f, ok := <-a.pump.frames:
 		return a.frameEvent(f, ok)
 	case <-a.stallTimer.C:
-		return stream.Event{Kind: stream.EventSilent}
+		return stream.Event{Kind: stream.EventStalled}
 	case <-ctx.Done():
 		return stream.Event{Kind: stream.EventCallerGone}
 	case <-a.r.lifecycle.handover:
@@ -221,9 +221,9 @@
 		err = a.answer.Flush()
 	}
 	if err != nil {
-		return attemptResult{fate: stream.FateLeft, reason: "the caller has gone before the final event"}
+		return attemptResult{fate: stream.OutcomeDetached, reason: "the caller has gone before the final event"}
 	}
-	return attemptResult{fate: c.Fate, reason: c.Reason}
+	return attemptResult{fate: c.Outcome, reason: c.Reason}
 }
 
 func (a *attempt) resume(ctx context.Context, c stream.Command) stream.Event {
@@ -243,7 +243,7 @@
 	case ctx.Err() != nil:
 		return stream.Event{Kind: stream.EventCallerGone}
 	default:
-		return stream.Event{Kind: stream.EventLost}
+		return stream.Event{Kind: stream.EventNoAnswer}
 	}
 }
 
@@ -258,7 +258,7 @@
 	case ctx.Err() != nil:
 		return stream.Event{Kind: stream.EventCallerGone}
 	default:
-		return stream.Event{Kind: stream.EventLost}
+		return stream.Event{Kind: stream.EventNoAnswer}
 	}
 }
 
@@ -268,10 +268,10 @@
 	a.wait(context.Background(), c.Delay)
 	status, err := a.r.cancelOnce(context.Background(), a.endpoint, a.start.Generation)
 	if err != nil {
-		return stream.Event{Kind: stream.EventLost}
+		return stream.Event{Kind: stream.EventNoAnswer}
 	}
 	if status == port.GenerationUnknown && !a.sameIncarnation() {
-		return stream.Event{Kind: stream.EventForgotten}
+		return stream.Event{Kind: stream.EventEngineRestarted}
 	}
 	return stream.Event{Kind: stream.EventStatus, Status: status}
 }
--- a/internal/router/generate.go
+++ b/internal/router/generate.go
@@ -105,7 +105,7 @@
 			return g.recordRefusal(refusal)
 		}
 		g.runAttempt(ctx, &decision)
-		if g.lastResult.fate == stream.FateDone {
+		if g.lastResult.fate == stream.OutcomeDone {
 			g.r.Quarantine.Completed(g.r.Clock(), g.print)
 			g.finish(outcome.Done, g.lastResult.reason)
 			return nil
@@ -236,13 +236,13 @@
 	r.Scheduler.Finished(r.Clock(), g.req.RequestID, g.machine.Next(), finishKind(g.lastResult.fate))
 }
 
-func finishKind(f stream.Fate) port.FinishKind {
+func finishKind(f stream.RunOutcome) port.FinishKind {
 	switch f {
-	case stream.FateDone:
+	case stream.OutcomeDone:
 		return port.FinishDone
-	case stream.FateNotSent, stream.FateRefused, stream.FateBarred:
+	case stream.OutcomeNotSent, stream.OutcomeRefused, stream.OutcomeBarred:
 		return port.FinishNotStarted
-	case stream.FateLeft, stream.FateRejected:
+	case stream.OutcomeDetached, stream.OutcomeRejected:
 		// The engine hasn't failed: a caller that sends invalid requests must not
 		// open the circuit breakers of a pool.
 		return port.FinishCancelled
@@ -270,7 +270,7 @@
 		Cause: CauseEndpointFailed, Detail: g.lastResult.reason, DecisionID: g.decisionID,
 		RetryAfter: defaultRetryAfter, LastIndex: g.machine.Next() - 1,
 	}
-	if g.lastResult.fate == stream.FateLeft {
+	if g.lastResult.fate == stream.OutcomeDetached {
 		refusal.ResumeToken = g.resumeToken
 	}
 	select {
@@ -280,9 +280,9 @@
 	default:
 	}
 	switch {
-	case ctx.Err() != nil || g.lastResult.fate == stream.FateLeft:
+	case ctx.Err() != nil || g.lastResult.fate == stream.OutcomeDetached:
 		refusal.Cause = CauseCallerGone
-	case g.lastResult.fate == stream.FateRejected:
+	case g.lastResult.fate == stream.OutcomeRejected:
 		refusal.Cause, refusal.RetryAfter = CauseRejected, 0
 	case !g.ledger.MayRetry() || g.schedulerRequest.Attempt >= g.r.o.MaxAttempts:
 	default:
--- a/internal/router/service.go
+++ b/internal/router/service.go
@@ -182,7 +182,7 @@
 		}
 		reply, fate := c.callEndpoint(ctx, endpoint)
 		c.ledger.Add(fate, false)
-		if fate == stream.FateDone {
+		if fate == stream.OutcomeDone {
 			c.recordCompletion(reply)
 			c.finish(outcome.Done, http.StatusText(reply.Status))
 			return reply, nil
@@ -271,7 +271,7 @@
 
 // callEndpoint calls one endpoint. It returns a reply with FateDone, or with
 // FateRan if the call should be retried at another endpoint.
-func (c *call) callEndpoint(ctx context.Context, e port.Endpoint) (*ServiceReply, stream.Fate) {
+func (c *call) callEndpoint(ctx context.Context, e port.Endpoint) (*ServiceReply, stream.RunOutcome) {
 	r := c.r
 	start := r.Clock()
 	r.breakers.Begin(start, e.ID)
@@ -292,29 +292,29 @@
 	r.breakers.Success(e.ID)
 	if c.ledger.Idempotent && retryElsewhere(reply.Status) {
 		c.reason = "the endpoint answers " + http.StatusText(reply.Status)
-		return reply, stream.FateRan
+		return reply, stream.OutcomeRan
 	}
-	return reply, stream.FateDone
+	return reply, stream.OutcomeDone
 }
 
 // classifyFailure returns the fate of a call without a complete reply and stores
 // the reason. callerCtx shows whether the caller has disconnected. callCtx has
 // ended in any case by now, so it shows only whether the call timed out.
-func (c *call) classifyFailure(callerCtx, callCtx context.Context, e port.Endpoint, err error) stream.Fate {
+func (c *call) classifyFailure(callerCtx, callCtx context.Context, e port.Endpoint, err error) stream.RunOutcome {
 	timedOut := errors.Is(callCtx.Err(), context.DeadlineExceeded)
 	if callerCtx.Err() == nil && !timedOut {
 		c.r.breakers.Failure(c.r.Clock(), e.ID)
 	}
 	if errors.Is(err, port.ErrNotSent) {
 		c.reason = "the endpoint could not be reached"
-		return stream.FateNotSent
+		return stream.OutcomeNotSent
 	}
 	c.reason = "the endpoint gave no whole reply"
 	if timedOut {
 		c.cause = CauseServiceTimeout
 		c.reason = "the endpoint gave no whole reply in time"
 	}
-	return stream.FateUnknown
+	return stream.OutcomeUnknown
 }
 
 func retryElsewhere(status int) bool {
