--- a/cmd/dragonfly-router/settings_test.go
+++ b/cmd/dragonfly-router/settings_test.go
@@ -57,7 +57,7 @@
 		t.Fatal(err)
 	}
 	want := stream.DefaultLimits()
-	want.StartedProbes = 7000
+	want.StartedRounds = 7000
 	if o.Stream != want {
 		t.Fatalf("got %+v", o.Stream)
 	}
--- a/internal/core/stream/machine.go
+++ b/internal/core/stream/machine.go
@@ -151,14 +151,14 @@
 	// a whole timeout while other engines may be idle.
 	Failures        int
 	StartedFailures int
-	// QueuedProbes is the maximum number of probes before the first token that
+	// QueuedRounds is the maximum number of probes before the first token that
 	// find the generation queued, and RunningRounds of those that find it running.
-	QueuedProbes  int
-	RunningProbes int
-	// StartedProbes is the maximum number of probes between two tokens. It is
+	QueuedRounds  int
+	RunningRounds int
+	// StartedRounds is the maximum number of probes between two tokens. It is
 	// high because an overloaded engine may preempt a generation for long, and the
 	// tokens of an abandoned generation can't be reproduced.
-	StartedProbes int
+	StartedRounds int
 	// CancelTries is the maximum number of unanswered cancels before the run ends
 	// without a confirmed cancel.
 	CancelTries int
@@ -171,7 +171,7 @@
 // millisecond.
 func DefaultLimits() Limits {
 	return Limits{
-		Failures: 2, StartedFailures: 12, QueuedProbes: 30, RunningProbes: 15, StartedProbes: 300, CancelTries: 2,
+		Failures: 2, StartedFailures: 12, QueuedRounds: 30, RunningRounds: 15, StartedRounds: 300, CancelTries: 2,
 		Backoff: 25 * time.Millisecond, MaxBackoff: time.Second,
 	}
 }
@@ -349,9 +349,9 @@
 	}
 	switch e.Status {
 	case port.GenerationQueued:
-		return m.resumeWithinLimit(m.limits.QueuedProbes, "the engine keeps it queued")
+		return m.resumeWithinLimit(m.limits.QueuedRounds, "the engine keeps it queued")
 	case port.GenerationRunning:
-		return m.resumeWithinLimit(m.limits.RunningProbes, "the engine runs it without a token")
+		return m.resumeWithinLimit(m.limits.RunningRounds, "the engine runs it without a token")
 	case port.GenerationFinished:
 		return m.retryOrGiveUp("the end did not arrive", m.resumeAfterFailure)
 	case port.GenerationCancelled:
@@ -366,7 +366,7 @@
 func (m *Machine) resumeWithinLimit(limit int, reason string) Command {
 	m.idleProbes++
 	if m.Delivered() {
-		limit = m.limits.StartedProbes
+		limit = m.limits.StartedRounds
 	}
 	if m.idleProbes >= limit {
 		return m.giveUp(reason)
--- a/internal/core/stream/machine_test.go
+++ b/internal/core/stream/machine_test.go
@@ -137,10 +137,10 @@
 		rounds    int
 		fate      RunOutcome
 	}{
-		{"preempted after a token", 1, port.GenerationRunning, limits.StartedProbes, OutcomeRan},
-		{"queued again after a token", 1, port.GenerationQueued, limits.StartedProbes, OutcomeRan},
-		{"running without a token", 0, port.GenerationRunning, limits.RunningProbes, OutcomeRan},
-		{"queued", 0, port.GenerationQueued, limits.QueuedProbes, OutcomeRan},
+		{"preempted after a token", 1, port.GenerationRunning, limits.StartedRounds, OutcomeRan},
+		{"queued again after a token", 1, port.GenerationQueued, limits.StartedRounds, OutcomeRan},
+		{"running without a token", 0, port.GenerationRunning, limits.RunningRounds, OutcomeRan},
+		{"queued", 0, port.GenerationQueued, limits.QueuedRounds, OutcomeRan},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
