--- a/internal/adapter/grpcpeer/platformstatus.go
+++ b/internal/adapter/grpcpeer/platformstatus.go
@@ -14,10 +14,10 @@
 // PlatformRelay holds a keeper's status of the platform, which keepers exchange.
 type PlatformRelay interface {
 	// Status returns the status to send.
-	Status() watchduty.News
+	Status() watchduty.StoreStatus
 	// ReceiveStatus merges a status received from a peer. Times that the message does
 	// not contain are zero.
-	ReceiveStatus(n watchduty.News)
+	ReceiveStatus(n watchduty.StoreStatus)
 }
 
 // platformStatus holds the fields of a message that contain the status.
@@ -36,7 +36,7 @@
 	// relay is nil if the peer is not a keeper.
 	relay PlatformRelay
 	// lastSent is the status that was last sent to the peer.
-	lastSent watchduty.News
+	lastSent watchduty.StoreStatus
 }
 
 // next returns the status to send, which may be empty. Between heartbeats, the status
@@ -65,8 +65,8 @@
 
 // statusFromWire returns the status in a message. Peers of older builds send only the
 // age of the last answer; it then also counts as the last call.
-func statusFromWire(now time.Time, answeredAgeMillis int64, try *peerv1.PlatformTry) watchduty.News {
-	var n watchduty.News
+func statusFromWire(now time.Time, answeredAgeMillis int64, try *peerv1.PlatformTry) watchduty.StoreStatus {
+	var n watchduty.StoreStatus
 	at := func(millis int64) time.Time { return now.Add(-time.Duration(millis) * time.Millisecond) }
 	if answeredAgeMillis > 0 {
 		n.Answered, n.Tried = at(answeredAgeMillis), at(answeredAgeMillis)
--- a/internal/core/watchduty/duty.go
+++ b/internal/core/watchduty/duty.go
@@ -15,15 +15,15 @@
 	// Starting: the daemon reads the store once and waits for messages about
 	// who the watchers are.
 	Starting
-	// Blind: the store refuses the calls of the daemon, which retries
+	// Refused: the store refuses the calls of the daemon, which retries
 	// occasionally.
-	Blind
+	Refused
 	// Deputy: the daemon watches for changes in addition to the leader, at lower
 	// urgency.
 	Deputy
-	// Alone: the daemon receives no current messages about the store, and reads
+	// Isolated: the daemon receives no current messages about the store, and reads
 	// for itself and for the peers that it can still reach.
-	Alone
+	Isolated
 	// Leader: the daemon reads for all, without delay.
 	Leader
 )
@@ -34,22 +34,22 @@
 }
 
 // Reads reports whether a daemon with the role reads the store continuously.
-func (r Role) Reads() bool { return r == Deputy || r == Alone || r == Leader }
+func (r Role) Reads() bool { return r == Deputy || r == Isolated || r == Leader }
 
-// Standing is the position of a daemon among the live daemons that it knows.
-type Standing struct {
+// Position is the position of a daemon among the live daemons that it knows.
+type Position struct {
 	// Keepers is the number of live daemons, itself included.
 	Keepers int
-	// Place is its index among the chosen watchers, or NotWatcher.
-	Place int
-	// Line is its index among all daemons in the order of the hashes of their
+	// WatcherIndex is its index among the chosen watchers, or NotWatcher.
+	WatcherIndex int
+	// HashIndex is its index among all daemons in the order of the hashes of their
 	// ids; Hash is its own.
-	Line int
+	HashIndex int
 	Hash uint64
 	// Watchers are the hashes of the ids of the chosen watchers.
 	Watchers []uint64
-	// Linked: a message from a peer has arrived recently.
-	Linked bool
+	// PeerReachable: a message from a peer has arrived recently.
+	PeerReachable bool
 	// Seed: other daemons are configured to contact this one first.
 	Seed bool
 }
@@ -71,8 +71,8 @@
 	takeoverStep = 5 * time.Millisecond
 )
 
-// Duty tracks the role of one daemon. It is safe for concurrent use.
-type Duty struct {
+// RoleTracker tracks the role of one daemon. It is safe for concurrent use.
+type RoleTracker struct {
 	// overdueAfter is the age of the last known call to the store from which on
 	// messages are overdue, without the delays that depend on the number of daemons.
 	overdueAfter time.Duration
@@ -81,7 +81,7 @@
 	mu sync.Mutex
 	// ownStatus results from this daemon's calls, peerStatus from messages of
 	// peers.
-	ownStatus, peerStatus News
+	ownStatus, peerStatus StoreStatus
 	// readsSince is since when the daemon has continuously had a role that reads
 	// the store; zero while it has none.
 	readsSince time.Time
@@ -91,12 +91,12 @@
 
 // New returns the Duty of a daemon that starts now. overdue is the age of the last
 // known call to the store from which on messages are overdue.
-func New(now time.Time, overdueAfter time.Duration) *Duty {
-	return &Duty{overdueAfter: overdueAfter, started: now}
+func New(now time.Time, overdueAfter time.Duration) *RoleTracker {
+	return &RoleTracker{overdueAfter: overdueAfter, started: now}
 }
 
 // Heard records the store status received from a peer.
-func (d *Duty) Heard(n News) {
+func (d *RoleTracker) Heard(n StoreStatus) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.peerStatus = d.peerStatus.Join(n)
@@ -104,10 +104,10 @@
 
 // Called records whether the store answered a call of this daemon, whose hash is
 // given.
-func (d *Duty) Called(now time.Time, hash uint64, answered bool) {
+func (d *RoleTracker) Called(now time.Time, hash uint64, answered bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	n := News{Tried: now, By: hash}
+	n := StoreStatus{Tried: now, By: hash}
 	if answered {
 		n.Answered = now
 		d.blind = false
@@ -118,13 +118,13 @@
 // News returns the store status to send to peers. It leaves out refusals of this
 // daemon's calls while it is blind: other watchers are then chosen in its place, and
 // the store may answer them.
-func (d *Duty) News() News {
+func (d *RoleTracker) News() StoreStatus {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.statusLocked()
 }
 
-func (d *Duty) statusLocked() News {
+func (d *RoleTracker) statusLocked() StoreStatus {
 	own := d.ownStatus
 	if d.blind {
 		own.Tried = own.Answered
@@ -134,7 +134,7 @@
 
 // Blind reports whether the store is unreachable for this daemon: it has had a role
 // that reads the store, without an answer, for longer than the overdue time.
-func (d *Duty) Blind(now time.Time) bool {
+func (d *RoleTracker) Blind(now time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.readsSince.IsZero() || !d.ownStatus.Failing() {
@@ -150,7 +150,7 @@
 
 // Role determines the role of this daemon and records since when it has one that
 // reads the store.
-func (d *Duty) Role(now time.Time, s *Standing) Role {
+func (d *RoleTracker) Role(now time.Time, s *Position) Role {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.role = d.decideRole(now, s)
@@ -163,18 +163,18 @@
 	return d.role
 }
 
-func (d *Duty) decideRole(now time.Time, s *Standing) Role {
+func (d *RoleTracker) decideRole(now time.Time, s *Position) Role {
 	switch {
 	case now.Sub(d.started) < startupWait && !s.Seed:
 		return Starting
 	case d.blind:
-		return Blind
-	case s.Place == 0:
+		return Refused
+	case s.WatcherIndex == 0:
 		return Leader
-	case s.Place > 0:
+	case s.WatcherIndex > 0:
 		return Deputy
 	case d.mustReadAlone(now, s):
-		return Alone
+		return Isolated
 	default:
 		return Off
 	}
@@ -183,8 +183,8 @@
 // mustReadAlone reports whether the daemon has to read the store itself, because no
 // recent call by any daemon is known. Once it does so, it continues until another
 // daemon has taken over.
-func (d *Duty) mustReadAlone(now time.Time, s *Standing) bool {
-	if d.role == Alone && !d.takenOver(s) {
+func (d *RoleTracker) mustReadAlone(now time.Time, s *Position) bool {
+	if d.role == Isolated && !d.takenOver(s) {
 		return true
 	}
 	last := d.statusLocked().Tried
@@ -196,7 +196,7 @@
 
 // takenOver reports whether the last known call was answered and made by a chosen
 // watcher, or by a daemon with a lower hash.
-func (d *Duty) takenOver(s *Standing) bool {
+func (d *RoleTracker) takenOver(s *Position) bool {
 	if !d.peerStatus.Tried.After(d.ownStatus.Tried) || d.peerStatus.Failing() {
 		return false
 	}
@@ -210,13 +210,13 @@
 
 // takeoverAge is the age of the last known call to the store above which this daemon
 // reads the store itself. Without contact to any peer it does not wait for others.
-func (d *Duty) takeoverAge(s *Standing) time.Duration {
-	if !s.Linked {
+func (d *RoleTracker) takeoverAge(s *Position) time.Duration {
+	if !s.PeerReachable {
 		return d.overdueAfter
 	}
-	return d.overdueAfter + RelayTime(s.Keepers) + time.Duration(s.Line)*takeoverStep
+	return d.overdueAfter + MaxRelayDelay(s.Keepers) + time.Duration(s.HashIndex)*takeoverStep
 }
 
-// RelayTime returns the maximum delay between the first and the last of the given
+// MaxRelayDelay returns the maximum delay between the first and the last of the given
 // number of daemons receiving a message.
-func RelayTime(keepers int) time.Duration { return time.Duration(keepers) * relayDelayPerKeeper }
+func MaxRelayDelay(keepers int) time.Duration { return time.Duration(keepers) * relayDelayPerKeeper }
--- a/internal/core/watchduty/duty_test.go
+++ b/internal/core/watchduty/duty_test.go
@@ -21,17 +21,17 @@
 }
 
 // answeredCall returns the status after the store answered a call of a daemon.
-func answeredCall(seconds float64, by uint64) News {
-	return News{Answered: after(seconds), Tried: after(seconds), By: by}
+func answeredCall(seconds float64, by uint64) StoreStatus {
+	return StoreStatus{Answered: after(seconds), Tried: after(seconds), By: by}
 }
 
 // notWatcher returns the position of a daemon in the middle of a large fleet that is
 // not a chosen watcher.
-func notWatcher() *Standing {
-	return &Standing{Keepers: 200, Place: NotWatcher, Line: 100, Hash: ownHash, Watchers: []uint64{500, 600}, Linked: true}
+func notWatcher() *Position {
+	return &Position{Keepers: 200, WatcherIndex: NotWatcher, HashIndex: 100, Hash: ownHash, Watchers: []uint64{500, 600}, PeerReachable: true}
 }
 
-func wantRole(t *testing.T, d *Duty, seconds float64, s *Standing, want Role) {
+func wantRole(t *testing.T, d *RoleTracker, seconds float64, s *Position, want Role) {
 	t.Helper()
 	if got := d.Role(after(seconds), s); got != want {
 		t.Fatalf("got role %s after %v s, want %s", got, seconds, want)
@@ -42,8 +42,8 @@
 // startup wait each would conclude that it is the only one, and all would watch until
 // they had learned of each other. Meanwhile only the seeds watch.
 func TestOnlySeedsWatchDuringStartup(t *testing.T) {
-	alone := &Standing{Keepers: 1, Place: 0, Hash: ownHash}
-	seed := &Standing{Keepers: 1, Place: 0, Hash: ownHash, Seed: true}
+	alone := &Position{Keepers: 1, WatcherIndex: 0, Hash: ownHash}
+	seed := &Position{Keepers: 1, WatcherIndex: 0, Hash: ownHash, Seed: true}
 	wantRole(t, New(start, overdue), 0.1, alone, Starting)
 	wantRole(t, New(start, overdue), 0.1, seed, Leader)
 	wantRole(t, New(start, overdue), 1.1, alone, Leader)
@@ -54,9 +54,9 @@
 	s := notWatcher()
 	d.Heard(answeredCall(1.9, 500))
 	wantRole(t, d, 2, s, Off)
-	s.Place = 3
+	s.WatcherIndex = 3
 	wantRole(t, d, 2, s, Deputy)
-	s.Place = 0
+	s.WatcherIndex = 0
 	wantRole(t, d, 2, s, Leader)
 }
 
@@ -64,12 +64,12 @@
 // in line calls the store, and the others receive its result before their own turn.
 func TestFirstInLineReadsWhenOverdue(t *testing.T) {
 	first, last := notWatcher(), notWatcher()
-	first.Line, last.Line = 0, 199
+	first.HashIndex, last.HashIndex = 0, 199
 	a, b := New(start, overdue), New(start, overdue)
 	a.Heard(answeredCall(10, 500))
 	b.Heard(answeredCall(10, 500))
 	wantRole(t, a, 11.5, first, Off)
-	wantRole(t, a, 12, first, Alone)
+	wantRole(t, a, 12, first, Isolated)
 	a.Called(after(12), ownHash, true)
 	wantRole(t, b, 12.2, last, Off)
 	b.Heard(a.News())
@@ -82,19 +82,19 @@
 	d := New(start, overdue)
 	s := notWatcher()
 	d.Heard(answeredCall(10, 500))
-	s.Linked = false
+	s.PeerReachable = false
 	wantRole(t, d, 11.4, s, Off)
-	wantRole(t, d, 11.6, s, Alone)
+	wantRole(t, d, 11.6, s, Isolated)
 	for n := range 50 {
 		at := 11.6 + float64(n)
 		d.Called(after(at), ownHash, true)
-		wantRole(t, d, at+0.9, s, Alone)
+		wantRole(t, d, at+0.9, s, Isolated)
 	}
 	// The connection is restored. The status of its own calls, sent back by
 	// peers, does not count as that of another daemon.
-	s.Linked = true
+	s.PeerReachable = true
 	d.Heard(d.News())
-	wantRole(t, d, 62, s, Alone)
+	wantRole(t, d, 62, s, Isolated)
 	d.Heard(answeredCall(62.1, 500))
 	wantRole(t, d, 62.2, s, Off)
 }
@@ -105,14 +105,14 @@
 func TestOneOfTwoReadersStops(t *testing.T) {
 	low, high := notWatcher(), notWatcher()
 	low.Hash, high.Hash = 10, 20
-	low.Linked, high.Linked = false, false
+	low.PeerReachable, high.PeerReachable = false, false
 	a, b := New(start, overdue), New(start, overdue)
-	wantRole(t, a, 5, low, Alone)
-	wantRole(t, b, 5, high, Alone)
+	wantRole(t, a, 5, low, Isolated)
+	wantRole(t, b, 5, high, Isolated)
 	a.Called(after(5), low.Hash, true)
 	b.Called(after(5.01), high.Hash, true)
 	a.Heard(b.News())
-	wantRole(t, a, 5.1, low, Alone)
+	wantRole(t, a, 5.1, low, Isolated)
 	a.Called(after(5.2), low.Hash, true)
 	b.Heard(a.News())
 	wantRole(t, b, 5.3, high, Off)
@@ -129,14 +129,14 @@
 	if d.Blind(after(61)) {
 		t.Fatal("blind although its role never read the store")
 	}
-	s.Place = 0
+	s.WatcherIndex = 0
 	wantRole(t, d, 61, s, Leader)
 	d.Called(after(61.1), ownHash, false)
 	if d.Blind(after(62.4)) || !d.Blind(after(62.6)) {
 		t.Fatal("blind before the overdue time without an answer, or not blind after it")
 	}
-	s.Place = NotWatcher
-	wantRole(t, d, 63, s, Blind)
+	s.WatcherIndex = NotWatcher
+	wantRole(t, d, 63, s, Refused)
 	d.Called(after(64), ownHash, true)
 	if d.Blind(after(64)) {
 		t.Fatal("blind although its call was answered")
@@ -148,7 +148,7 @@
 func TestPendingCallIsNotBlind(t *testing.T) {
 	d := New(start, overdue)
 	s := notWatcher()
-	s.Place = 2
+	s.WatcherIndex = 2
 	d.Called(after(2), ownHash, true)
 	wantRole(t, d, 2, s, Deputy)
 	if d.Blind(after(6.9)) {
@@ -162,7 +162,7 @@
 func TestRefusalOfBlindDaemonIsNotSent(t *testing.T) {
 	d := New(start, overdue)
 	s := notWatcher()
-	s.Place = 0
+	s.WatcherIndex = 0
 	wantRole(t, d, 2, s, Leader)
 	d.Called(after(2), ownHash, true)
 	d.Called(after(3), ownHash, false)
@@ -180,7 +180,7 @@
 	}
 }
 
-var drawNews = rapid.Custom(func(t *rapid.T) News {
+var drawNews = rapid.Custom(func(t *rapid.T) StoreStatus {
 	at := func(name string) time.Time {
 		n := rapid.IntRange(0, 3).Draw(t, name)
 		if n == 0 {
@@ -188,7 +188,7 @@
 		}
 		return after(float64(n))
 	}
-	n := News{Answered: at("answered"), Tried: at("tried")}
+	n := StoreStatus{Answered: at("answered"), Tried: at("tried")}
 	if n.Answered.After(n.Tried) {
 		n.Tried = n.Answered
 	}
@@ -218,20 +218,20 @@
 	lastSent := answeredCall(10, 1)
 	for _, c := range []struct {
 		name string
-		news News
+		news StoreStatus
 		want bool
 	}{
 		{"unchanged", lastSent, false},
 		{"newer by less than a step", answeredCall(10.5, 1), false},
 		{"newer by a step", answeredCall(11, 1), true},
-		{"a failure", News{Answered: after(10), Tried: after(10.1), By: 1}, true},
+		{"a failure", StoreStatus{Answered: after(10), Tried: after(10.1), By: 1}, true},
 	} {
 		if got := c.news.Adds(lastSent, step); got != c.want {
 			t.Errorf("%s: got %v, want %v", c.name, got, c.want)
 		}
 	}
-	failing := News{Answered: after(10), Tried: after(10.1), By: 1}
-	if (News{Answered: after(10), Tried: after(10.2), By: 2}).Adds(failing, step) {
+	failing := StoreStatus{Answered: after(10), Tried: after(10.1), By: 1}
+	if (StoreStatus{Answered: after(10), Tried: after(10.2), By: 2}).Adds(failing, step) {
 		t.Error("a further failure is sent at once")
 	}
 	if !answeredCall(10.2, 2).Adds(failing, step) {
--- a/internal/core/watchduty/fleet_test.go
+++ b/internal/core/watchduty/fleet_test.go
@@ -29,10 +29,10 @@
 
 // daemon is one simulated daemon.
 type daemon struct {
-	duty       *Duty
+	duty       *RoleTracker
 	partition  *partition
 	neighbours []int
-	lastSent   map[int]News
+	lastSent   map[int]StoreStatus
 	listed     bool
 	// callEnds is when the pending call returns, zero for none; nextCall is when
 	// the next one starts.
@@ -62,7 +62,7 @@
 	}
 	for range n {
 		f.daemons = append(f.daemons, &daemon{
-			duty: New(start, overdue), lastSent: map[int]News{}, retry: firstRetry,
+			duty: New(start, overdue), lastSent: map[int]StoreStatus{}, retry: firstRetry,
 			nextCall: start.Add(time.Duration(f.random.Int64N(int64(300 * time.Millisecond)))),
 		})
 	}
@@ -119,15 +119,15 @@
 }
 
 // standing returns the position of a daemon as known to itself.
-func (f *fleet) standing(i int) *Standing {
+func (f *fleet) standing(i int) *Position {
 	d := f.daemons[i]
-	s := &Standing{Keepers: len(f.daemons), Line: i, Hash: uint64(i + 1), Seed: i < 3}
+	s := &Position{Keepers: len(f.daemons), HashIndex: i, Hash: uint64(i + 1), Seed: i < 3}
 	if f.now.Sub(start) < peersKnownAfter {
 		s.Keepers = 1
 		return s
 	}
-	s.Linked = len(d.neighbours) > 0
-	s.Place = slices.Index(d.partition.chosen, i)
+	s.PeerReachable = len(d.neighbours) > 0
+	s.WatcherIndex = slices.Index(d.partition.chosen, i)
 	for _, j := range d.partition.chosen {
 		s.Watchers = append(s.Watchers, uint64(j+1))
 	}
@@ -174,7 +174,7 @@
 		d.listed = false
 		d.retry = min(2*d.retry, maxRetry)
 		pause := d.retry
-		if role == Blind {
+		if role == Refused {
 			pause = blindWait
 		}
 		d.nextCall = f.now.Add(pause/2 + time.Duration(f.random.Int64N(int64(pause))))
@@ -271,7 +271,7 @@
 			if most := 2*(20+2*watchers) + 12*isolated; calls > most {
 				t.Errorf("%d calls in ten seconds, want at most %d", calls, most)
 			}
-			bound := overdue + RelayTime(n) + time.Duration(n)*takeoverStep + leaderWait
+			bound := overdue + MaxRelayDelay(n) + time.Duration(n)*takeoverStep + leaderWait
 			for range 200 {
 				f.step()
 				if age := f.maxStatusAge(); age > bound {
--- a/internal/core/watchduty/news.go
+++ b/internal/core/watchduty/news.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// News is the status of the store as known to a daemon from the calls of all
+// StoreStatus is the status of the store as known to a daemon from the calls of all
 // daemons. Its times are those of the daemon's own host.
-type News struct {
+type StoreStatus struct {
 	// Answered is when the store last answered a call, zero for never.
 	Answered time.Time
 	// Tried is the time of the last call to the store, answered or not; By is the
@@ -14,10 +14,10 @@
 }
 
 // Failing reports whether the last known call was not answered.
-func (n News) Failing() bool { return n.Tried.After(n.Answered) }
+func (n StoreStatus) Failing() bool { return n.Tried.After(n.Answered) }
 
 // Join returns the combined status known to two daemons.
-func (n News) Join(o News) News {
+func (n StoreStatus) Join(o StoreStatus) StoreStatus {
 	out := n
 	if o.Answered.After(out.Answered) {
 		out.Answered = o.Answered
@@ -34,7 +34,7 @@
 // Adds reports whether n should be sent at once to a peer that last received before:
 // the store has started to fail or to answer again, or one of the times has advanced
 // by at least step.
-func (n News) Adds(before News, step time.Duration) bool {
+func (n StoreStatus) Adds(before StoreStatus, step time.Duration) bool {
 	if n.Tried.After(before.Tried) && n.Failing() != before.Failing() {
 		return true
 	}
--- a/internal/keeper/duty.go
+++ b/internal/keeper/duty.go
@@ -10,9 +10,9 @@
 // role decides how this keeper currently reads the platform.
 func (k *Keeper) role(now time.Time) watchduty.Role {
 	s := k.memberView()
-	r := k.duty.Role(now, &watchduty.Standing{
-		Keepers: len(s.live), Place: s.watcherIndex, Line: s.ringPosition, Hash: s.idHash, Watchers: s.watcherHashes,
-		Linked: now.Sub(time.Unix(0, k.lastPeerMessage.Load())) < k.options.SilenceAfter,
+	r := k.duty.Role(now, &watchduty.Position{
+		Keepers: len(s.live), WatcherIndex: s.watcherIndex, HashIndex: s.ringPosition, Hash: s.idHash, Watchers: s.watcherHashes,
+		PeerReachable: now.Sub(time.Unix(0, k.lastPeerMessage.Load())) < k.options.SilenceAfter,
 		Seed:   s.isSeed,
 	})
 	if before := watchduty.Role(k.lastRole.Swap(int32(r))); before != r {
@@ -41,7 +41,7 @@
 // fewer keepers read than other kinds.
 func (k *Keeper) readsHostList(now time.Time) bool {
 	r := k.role(now)
-	return k.memberView().pollsHosts || r == watchduty.Alone || r == watchduty.Blind
+	return k.memberView().pollsHosts || r == watchduty.Isolated || r == watchduty.Refused
 }
 
 // recordPlatformCall records the outcome of a call that this keeper made to the
@@ -52,10 +52,10 @@
 }
 
 // Status implements grpcpeer.PlatformRelay.
-func (k *Keeper) Status() watchduty.News { return k.duty.News() }
+func (k *Keeper) Status() watchduty.StoreStatus { return k.duty.News() }
 
 // ReceiveStatus implements grpcpeer.PlatformRelay.
-func (k *Keeper) ReceiveStatus(n watchduty.News) {
+func (k *Keeper) ReceiveStatus(n watchduty.StoreStatus) {
 	k.lastPeerMessage.Store(time.Now().UnixNano())
 	if n.Tried.IsZero() {
 		return
--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -189,7 +189,7 @@
 	failures         failureDetector
 	probeFailures    probeFailures
 	quarantine       *quarantine.Register
-	duty             *watchduty.Duty
+	duty             *watchduty.RoleTracker
 	// lastRole is the role decided last, lastRelayed the state of the platform
 	// that links were last woken for.
 	lastRole    atomic.Int32
@@ -221,7 +221,7 @@
 // waiting for a heartbeat.
 type relayedNews struct {
 	mu   sync.Mutex
-	news watchduty.News
+	news watchduty.StoreStatus
 }
 
 // New returns a keeper that does nothing until Run is called.
--- a/internal/keeper/listed.go
+++ b/internal/keeper/listed.go
@@ -25,7 +25,7 @@
 	k := w.keeper
 	now := time.Now()
 	role := k.role(now)
-	if role != watchduty.Leader && role != watchduty.Alone {
+	if role != watchduty.Leader && role != watchduty.Isolated {
 		w.listed = false
 		w.setFailing(false)
 		return k.options.DutyCheck
--- a/internal/keeper/probes.go
+++ b/internal/keeper/probes.go
@@ -78,7 +78,7 @@
 	if k.failingWatches.Load() > 0 || k.duty.News().Failing() {
 		return true
 	}
-	return k.PlatformAge(now) > k.options.WatchWait+platformAgeSlack+watchduty.RelayTime(len(k.memberView().live))
+	return k.PlatformAge(now) > k.options.WatchWait+platformAgeSlack+watchduty.MaxRelayDelay(len(k.memberView().live))
 }
 
 func (k *Keeper) probeShare() []membership.Endpoint {
--- a/internal/keeper/watch.go
+++ b/internal/keeper/watch.go
@@ -120,7 +120,7 @@
 		return false
 	case watchduty.Starting:
 		return !w.listed
-	case watchduty.Blind:
+	case watchduty.Refused:
 		return w.source.primary()
 	default:
 		return true
@@ -236,7 +236,7 @@
 	w.setFailing(true)
 	d := w.retry
 	w.retry = min(2*w.retry, w.keeper.options.RetryPauseMax)
-	if role == watchduty.Blind {
+	if role == watchduty.Refused {
 		d = blindPause
 	}
 	return d/2 + rand.N(d)
