--- a/internal/adapter/grpcpeer/platformstatus.go
+++ b/internal/adapter/grpcpeer/platformstatus.go
@@ -48,7 +48,7 @@
 	}
 	n := f.relay.Status()
 	newer := n.Tried.After(f.lastSent.Tried) || n.Answered.After(f.lastSent.Answered)
-	if !newer || !heartbeat && !n.Adds(f.lastSent, MinStatusAdvance) {
+	if !newer || !heartbeat && !n.ShouldSend(f.lastSent, MinStatusAdvance) {
 		return platformStatus{}
 	}
 	f.lastSent = n
--- a/internal/adapter/grpcpeer/platformstatus_test.go
+++ b/internal/adapter/grpcpeer/platformstatus_test.go
@@ -11,7 +11,7 @@
 type fakeRelay struct{ news watchduty.StoreStatus }
 
 func (r *fakeRelay) Status() watchduty.StoreStatus       { return r.news }
-func (r *fakeRelay) ReceiveStatus(n watchduty.StoreStatus) { r.news = r.news.Join(n) }
+func (r *fakeRelay) ReceiveStatus(n watchduty.StoreStatus) { r.news = r.news.Merge(n) }
 
 // recordAnswer replaces the status by an answer of the platform.
 func (r *fakeRelay) recordAnswer(at time.Time) {
@@ -67,7 +67,7 @@
 	f := platformStatusSender{relay: r}
 	r.recordAnswer(start)
 	f.next(start, false)
-	r.news = r.news.Join(watchduty.StoreStatus{Tried: start.Add(20 * time.Millisecond), By: 9})
+	r.news = r.news.Merge(watchduty.StoreStatus{Tried: start.Add(20 * time.Millisecond), By: 9})
 	n := f.next(start.Add(20*time.Millisecond), false)
 	if n.try.GetAgeMillis() != 1 || n.try.GetBy() != 9 {
 		t.Fatalf("got status %+v for a failed call, want an age of 1 ms by keeper 9", n)
@@ -76,7 +76,7 @@
 	if !received.Failing() {
 		t.Fatalf("received status %+v, want a failing platform", received)
 	}
-	r.news = r.news.Join(watchduty.StoreStatus{Tried: start.Add(30 * time.Millisecond), By: 9})
+	r.news = r.news.Merge(watchduty.StoreStatus{Tried: start.Add(30 * time.Millisecond), By: 9})
 	if repeated := f.next(start.Add(30*time.Millisecond), false); !repeated.empty() {
 		t.Fatal("a second failed call is sent before the next heartbeat")
 	}
--- a/internal/core/watchduty/duty.go
+++ b/internal/core/watchduty/duty.go
@@ -95,16 +95,16 @@
 	return &RoleTracker{overdueAfter: overdueAfter, started: now}
 }
 
-// Heard records the store status received from a peer.
-func (d *RoleTracker) Heard(n StoreStatus) {
+// RecordPeerStatus records the store status received from a peer.
+func (d *RoleTracker) RecordPeerStatus(n StoreStatus) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.peerStatus = d.peerStatus.Join(n)
+	d.peerStatus = d.peerStatus.Merge(n)
 }
 
-// Called records whether the store answered a call of this daemon, whose hash is
+// RecordCall records whether the store answered a call of this daemon, whose hash is
 // given.
-func (d *RoleTracker) Called(now time.Time, hash uint64, answered bool) {
+func (d *RoleTracker) RecordCall(now time.Time, hash uint64, answered bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	n := StoreStatus{Tried: now, By: hash}
@@ -112,13 +112,13 @@
 		n.Answered = now
 		d.blind = false
 	}
-	d.ownStatus = d.ownStatus.Join(n)
+	d.ownStatus = d.ownStatus.Merge(n)
 }
 
-// News returns the store status to send to peers. It leaves out refusals of this
+// Status returns the store status to send to peers. It leaves out refusals of this
 // daemon's calls while it is blind: other watchers are then chosen in its place, and
 // the store may answer them.
-func (d *RoleTracker) News() StoreStatus {
+func (d *RoleTracker) Status() StoreStatus {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.statusLocked()
@@ -129,7 +129,7 @@
 	if d.blind {
 		own.Tried = own.Answered
 	}
-	return d.peerStatus.Join(own)
+	return d.peerStatus.Merge(own)
 }
 
 // Blind reports whether the store is unreachable for this daemon: it has had a role
--- a/internal/core/watchduty/duty_test.go
+++ b/internal/core/watchduty/duty_test.go
@@ -52,7 +52,7 @@
 func TestRolesOfWatchers(t *testing.T) {
 	d := New(start, overdue)
 	s := notWatcher()
-	d.Heard(answeredCall(1.9, 500))
+	d.RecordPeerStatus(answeredCall(1.9, 500))
 	wantRole(t, d, 2, s, Off)
 	s.WatcherIndex = 3
 	wantRole(t, d, 2, s, Deputy)
@@ -66,13 +66,13 @@
 	first, last := notWatcher(), notWatcher()
 	first.HashIndex, last.HashIndex = 0, 199
 	a, b := New(start, overdue), New(start, overdue)
-	a.Heard(answeredCall(10, 500))
-	b.Heard(answeredCall(10, 500))
+	a.RecordPeerStatus(answeredCall(10, 500))
+	b.RecordPeerStatus(answeredCall(10, 500))
 	wantRole(t, a, 11.5, first, Off)
 	wantRole(t, a, 12, first, Isolated)
-	a.Called(after(12), ownHash, true)
+	a.RecordCall(after(12), ownHash, true)
 	wantRole(t, b, 12.2, last, Off)
-	b.Heard(a.News())
+	b.RecordPeerStatus(a.Status())
 	wantRole(t, b, 13, last, Off)
 }
 
@@ -81,21 +81,21 @@
 func TestIsolatedDaemonReadsForItself(t *testing.T) {
 	d := New(start, overdue)
 	s := notWatcher()
-	d.Heard(answeredCall(10, 500))
+	d.RecordPeerStatus(answeredCall(10, 500))
 	s.PeerReachable = false
 	wantRole(t, d, 11.4, s, Off)
 	wantRole(t, d, 11.6, s, Isolated)
 	for n := range 50 {
 		at := 11.6 + float64(n)
-		d.Called(after(at), ownHash, true)
+		d.RecordCall(after(at), ownHash, true)
 		wantRole(t, d, at+0.9, s, Isolated)
 	}
 	// The connection is restored. The status of its own calls, sent back by
 	// peers, does not count as that of another daemon.
 	s.PeerReachable = true
-	d.Heard(d.News())
+	d.RecordPeerStatus(d.Status())
 	wantRole(t, d, 62, s, Isolated)
-	d.Heard(answeredCall(62.1, 500))
+	d.RecordPeerStatus(answeredCall(62.1, 500))
 	wantRole(t, d, 62.2, s, Off)
 }
 
@@ -109,12 +109,12 @@
 	a, b := New(start, overdue), New(start, overdue)
 	wantRole(t, a, 5, low, Isolated)
 	wantRole(t, b, 5, high, Isolated)
-	a.Called(after(5), low.Hash, true)
-	b.Called(after(5.01), high.Hash, true)
-	a.Heard(b.News())
+	a.RecordCall(after(5), low.Hash, true)
+	b.RecordCall(after(5.01), high.Hash, true)
+	a.RecordPeerStatus(b.Status())
 	wantRole(t, a, 5.1, low, Isolated)
-	a.Called(after(5.2), low.Hash, true)
-	b.Heard(a.News())
+	a.RecordCall(after(5.2), low.Hash, true)
+	b.RecordPeerStatus(a.Status())
 	wantRole(t, b, 5.3, high, Off)
 }
 
@@ -124,20 +124,20 @@
 func TestBlindOnlyInReadingRole(t *testing.T) {
 	d := New(start, overdue)
 	s := notWatcher()
-	d.Heard(answeredCall(60, 500))
+	d.RecordPeerStatus(answeredCall(60, 500))
 	wantRole(t, d, 60, s, Off)
 	if d.Blind(after(61)) {
 		t.Fatal("blind although its role never read the store")
 	}
 	s.WatcherIndex = 0
 	wantRole(t, d, 61, s, Leader)
-	d.Called(after(61.1), ownHash, false)
+	d.RecordCall(after(61.1), ownHash, false)
 	if d.Blind(after(62.4)) || !d.Blind(after(62.6)) {
 		t.Fatal("blind before the overdue time without an answer, or not blind after it")
 	}
 	s.WatcherIndex = NotWatcher
 	wantRole(t, d, 63, s, Refused)
-	d.Called(after(64), ownHash, true)
+	d.RecordCall(after(64), ownHash, true)
 	if d.Blind(after(64)) {
 		t.Fatal("blind although its call was answered")
 	}
@@ -149,7 +149,7 @@
 	d := New(start, overdue)
 	s := notWatcher()
 	s.WatcherIndex = 2
-	d.Called(after(2), ownHash, true)
+	d.RecordCall(after(2), ownHash, true)
 	wantRole(t, d, 2, s, Deputy)
 	if d.Blind(after(6.9)) {
 		t.Fatal("blind while its call waits for a change")
@@ -164,18 +164,18 @@
 	s := notWatcher()
 	s.WatcherIndex = 0
 	wantRole(t, d, 2, s, Leader)
-	d.Called(after(2), ownHash, true)
-	d.Called(after(3), ownHash, false)
-	if !d.News().Failing() {
+	d.RecordCall(after(2), ownHash, true)
+	d.RecordCall(after(3), ownHash, false)
+	if !d.Status().Failing() {
 		t.Fatal("the failure is not in the status for peers")
 	}
-	d.Called(after(4), ownHash, false)
+	d.RecordCall(after(4), ownHash, false)
 	d.Blind(after(4))
-	if d.News().Failing() {
+	if d.Status().Failing() {
 		t.Fatal("the refusal of a blind daemon is in the status for peers")
 	}
-	d.Heard(answeredCall(3.5, 500))
-	if n := d.News(); n.Failing() || n.By != 500 {
+	d.RecordPeerStatus(answeredCall(3.5, 500))
+	if n := d.Status(); n.Failing() || n.By != 500 {
 		t.Fatalf("got %+v, want an answered call of daemon 500", n)
 	}
 }
@@ -202,10 +202,10 @@
 func TestNewsJoin(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := drawNews.Draw(t, "a"), drawNews.Draw(t, "b"), drawNews.Draw(t, "c")
-		if a.Join(a) != a || a.Join(b) != b.Join(a) || a.Join(b).Join(c) != a.Join(b.Join(c)) {
+		if a.Merge(a) != a || a.Merge(b) != b.Merge(a) || a.Merge(b).Merge(c) != a.Merge(b.Merge(c)) {
 			t.Fatalf("Join is not idempotent, commutative and associative for %+v, %+v and %+v", a, b, c)
 		}
-		if j := a.Join(b); j.Answered.Before(a.Answered) || j.Tried.Before(a.Tried) || j.Tried.Before(j.Answered) {
+		if j := a.Merge(b); j.Answered.Before(a.Answered) || j.Tried.Before(a.Tried) || j.Tried.Before(j.Answered) {
 			t.Fatalf("joining %+v and %+v gives the invalid status %+v", a, b, j)
 		}
 	})
@@ -226,15 +226,15 @@
 		{"newer by a step", answeredCall(11, 1), true},
 		{"a failure", StoreStatus{Answered: after(10), Tried: after(10.1), By: 1}, true},
 	} {
-		if got := c.news.Adds(lastSent, step); got != c.want {
+		if got := c.news.ShouldSend(lastSent, step); got != c.want {
 			t.Errorf("%s: got %v, want %v", c.name, got, c.want)
 		}
 	}
 	failing := StoreStatus{Answered: after(10), Tried: after(10.1), By: 1}
-	if (StoreStatus{Answered: after(10), Tried: after(10.2), By: 2}).Adds(failing, step) {
+	if (StoreStatus{Answered: after(10), Tried: after(10.2), By: 2}).ShouldSend(failing, step) {
 		t.Error("a further failure is sent at once")
 	}
-	if !answeredCall(10.2, 2).Adds(failing, step) {
+	if !answeredCall(10.2, 2).ShouldSend(failing, step) {
 		t.Error("an answer after a failure is not sent at once")
 	}
 }
--- a/internal/core/watchduty/fleet_test.go
+++ b/internal/core/watchduty/fleet_test.go
@@ -139,11 +139,11 @@
 	f.chooseWatchers()
 	beat := f.now.Sub(start)%heartbeat < tick
 	for i, d := range f.daemons {
-		n := d.duty.News()
+		n := d.duty.Status()
 		for _, j := range d.neighbours {
-			if beat || n.Adds(d.lastSent[j], freshnessStep) {
+			if beat || n.ShouldSend(d.lastSent[j], freshnessStep) {
 				d.lastSent[j] = n
-				f.daemons[j].duty.Heard(n)
+				f.daemons[j].duty.RecordPeerStatus(n)
 			}
 		}
 		f.read(i, d)
@@ -158,7 +158,7 @@
 			return
 		}
 		d.callEnds = time.Time{}
-		d.duty.Called(f.now, hash, f.storeAnswers(i))
+		d.duty.RecordCall(f.now, hash, f.storeAnswers(i))
 	}
 	if f.now.Before(d.nextCall) {
 		return
@@ -170,7 +170,7 @@
 	}
 	f.calls++
 	if !f.storeAnswers(i) {
-		d.duty.Called(f.now, hash, false)
+		d.duty.RecordCall(f.now, hash, false)
 		d.listed = false
 		d.retry = min(2*d.retry, maxRetry)
 		pause := d.retry
@@ -184,7 +184,7 @@
 	switch {
 	case !d.listed:
 		d.listed = true
-		d.duty.Called(f.now, hash, true)
+		d.duty.RecordCall(f.now, hash, true)
 	case role == Deputy:
 		d.callEnds = f.now.Add(deputyWait)
 	default:
@@ -206,7 +206,7 @@
 func (f *fleet) maxStatusAge() time.Duration {
 	var oldest time.Duration
 	for _, d := range f.daemons {
-		oldest = max(oldest, f.now.Sub(d.duty.News().Tried))
+		oldest = max(oldest, f.now.Sub(d.duty.Status().Tried))
 	}
 	return oldest
 }
--- a/internal/core/watchduty/news.go
+++ b/internal/core/watchduty/news.go
@@ -16,8 +16,8 @@
 // Failing reports whether the last known call was not answered.
 func (n StoreStatus) Failing() bool { return n.Tried.After(n.Answered) }
 
-// Join returns the combined status known to two daemons.
-func (n StoreStatus) Join(o StoreStatus) StoreStatus {
+// Merge returns the combined status known to two daemons.
+func (n StoreStatus) Merge(o StoreStatus) StoreStatus {
 	out := n
 	if o.Answered.After(out.Answered) {
 		out.Answered = o.Answered
@@ -31,10 +31,10 @@
 	return out
 }
 
-// Adds reports whether n should be sent at once to a peer that last received before:
+// ShouldSend reports whether n should be sent at once to a peer that last received before:
 // the store has started to fail or to answer again, or one of the times has advanced
 // by at least step.
-func (n StoreStatus) Adds(before StoreStatus, step time.Duration) bool {
+func (n StoreStatus) ShouldSend(before StoreStatus, step time.Duration) bool {
 	if n.Tried.After(before.Tried) && n.Failing() != before.Failing() {
 		return true
 	}
--- a/internal/keeper/duty.go
+++ b/internal/keeper/duty.go
@@ -23,7 +23,7 @@
 
 // logRoleChange logs a change of role with the values that it was decided on.
 func (k *Keeper) logRoleChange(now time.Time, before, r watchduty.Role, s *memberView) {
-	n := k.duty.News()
+	n := k.duty.Status()
 	k.options.Logger.Info().Str("event", "watch_role").Str("role", r.String()).Str("before", before.String()).
 		Int("place", s.watcherIndex).Int("line", s.ringPosition).Int("keepers", len(s.live)).
 		Int64("answered_ago_ms", millisSince(now, n.Answered)).Int64("tried_ago_ms", millisSince(now, n.Tried)).Msg("")
@@ -47,12 +47,12 @@
 // recordPlatformCall records the outcome of a call that this keeper made to the
 // platform, and relays it to peers.
 func (k *Keeper) recordPlatformCall(now time.Time, answered bool) {
-	k.duty.Called(now, k.memberView().idHash, answered)
+	k.duty.RecordCall(now, k.memberView().idHash, answered)
 	k.relayNews()
 }
 
 // Status implements grpcpeer.PlatformRelay.
-func (k *Keeper) Status() watchduty.StoreStatus { return k.duty.News() }
+func (k *Keeper) Status() watchduty.StoreStatus { return k.duty.Status() }
 
 // ReceiveStatus implements grpcpeer.PlatformRelay.
 func (k *Keeper) ReceiveStatus(n watchduty.StoreStatus) {
@@ -60,16 +60,16 @@
 	if n.Tried.IsZero() {
 		return
 	}
-	k.duty.Heard(n)
+	k.duty.RecordPeerStatus(n)
 	k.relayNews()
 }
 
 // relayNews wakes the links if peers should learn of the platform's state
 // before the next heartbeat.
 func (k *Keeper) relayNews() {
-	n := k.duty.News()
+	n := k.duty.Status()
 	k.lastRelayed.mu.Lock()
-	relay := n.Adds(k.lastRelayed.news, grpcpeer.MinStatusAdvance)
+	relay := n.ShouldSend(k.lastRelayed.news, grpcpeer.MinStatusAdvance)
 	if relay {
 		k.lastRelayed.news = n
 	}
@@ -82,7 +82,7 @@
 // PlatformAge returns the time since the platform last answered any keeper, as
 // far as this keeper knows. It is negative if no answer is known.
 func (k *Keeper) PlatformAge(now time.Time) time.Duration {
-	answered := k.duty.News().Answered
+	answered := k.duty.Status().Answered
 	if answered.IsZero() {
 		return -1
 	}
--- a/internal/keeper/probes.go
+++ b/internal/keeper/probes.go
@@ -75,7 +75,7 @@
 // becomes known within the time of a relay; missing answers only become known
 // after the longest normal time between two.
 func (k *Keeper) platformUnavailable(now time.Time) bool {
-	if k.failingWatches.Load() > 0 || k.duty.News().Failing() {
+	if k.failingWatches.Load() > 0 || k.duty.Status().Failing() {
 		return true
 	}
 	return k.PlatformAge(now) > k.options.WatchWait+platformAgeSlack+watchduty.MaxRelayDelay(len(k.memberView().live))
--- a/internal/keeper/quarantine.go
+++ b/internal/keeper/quarantine.go
@@ -88,7 +88,7 @@
 // what the platform holds.
 func (w *quarantineWriter) write(ctx context.Context, now time.Time) {
 	k := w.keeper
-	if k.memberView().watcherIndex != 0 || !k.Ready() || k.duty.News().Failing() || now.Before(w.next) {
+	if k.memberView().watcherIndex != 0 || !k.Ready() || k.duty.Status().Failing() || now.Before(w.next) {
 		return
 	}
 	quarantined := k.quarantine.Entries()
--- a/internal/keeper/watch.go
+++ b/internal/keeper/watch.go
@@ -142,7 +142,7 @@
 	if timeout > k.options.WatchWait {
 		go func() {
 			for pause(ctx, k.options.DutyCheck) == nil {
-				if k.role(time.Now()) > role || k.duty.News().Failing() {
+				if k.role(time.Now()) > role || k.duty.Status().Failing() {
 					cancel(errSuperseded)
 				}
 			}
@@ -160,7 +160,7 @@
 // changes matter, and these are answered at once.
 func (w *watch) pollTimeout(role watchduty.Role) time.Duration {
 	k := w.keeper
-	if k.duty.News().Failing() || role != watchduty.Deputy && w.source.primary() {
+	if k.duty.Status().Failing() || role != watchduty.Deputy && w.source.primary() {
 		return k.options.WatchWait
 	}
 	return max(k.options.WatchWait, longPollTimeout)
