--- a/cmd/dragonfly-router/system.go
+++ b/cmd/dragonfly-router/system.go
@@ -112,7 +112,7 @@
 
 // run keeps the view current until the context ends.
 func (s *system) run(ctx context.Context) {
-	go crashwatch.Keep(ctx, s.view, s.quarantine)
+	go crashwatch.RunRegister(ctx, s.view, s.quarantine)
 	if err := s.view.Run(ctx); err != nil && !errors.Is(err, context.Canceled) {
 		s.logger.Error().Err(err).Str("event", "view_failed").Msg("")
 	}
--- a/internal/crashwatch/crashwatch.go
+++ b/internal/crashwatch/crashwatch.go
@@ -43,12 +43,12 @@
 	Quarantine Quarantine
 	// Look probes over a new connection whether an endpoint serves.
 	Look func(ctx context.Context, e port.Endpoint) port.Presence
-	// Leaving reports whether an endpoint was known to be leaving, so that its
+	// IsLeaving reports whether an endpoint was known to be leaving, so that its
 	// end is no crash.
-	Leaving func(e port.Endpoint) bool
-	// Crashed is called for an endpoint that has crashed; lost is the number
+	IsLeaving func(e port.Endpoint) bool
+	// OnCrash is called for an endpoint that has crashed; lost is the number
 	// of requests of this daemon that ran there.
-	Crashed func(e port.Endpoint, reason string, lost int)
+	OnCrash func(e port.Endpoint, reason string, lost int)
 	Clock   func() time.Time
 }
 
@@ -97,8 +97,8 @@
 // Tick drops endpoints that ended some time ago.
 func (w *Watch) Tick() { w.flights.Tick(w.o.Clock()) }
 
-// Looking returns the number of endpoints that are being checked.
-func (w *Watch) Looking() int { return w.flights.Probing() }
+// PendingChecks returns the number of endpoints that are being checked.
+func (w *Watch) PendingChecks() int { return w.flights.Probing() }
 
 func crashOf(e port.Endpoint) quarantine.CrashID { return quarantine.NewCrashID(e.ID, e.Incarnation) }
 
@@ -142,8 +142,8 @@
 	if uncertain {
 		return false
 	}
-	if !w.o.Leaving(e) {
-		w.o.Crashed(e, reason, len(lost))
+	if !w.o.IsLeaving(e) {
+		w.o.OnCrash(e, reason, len(lost))
 		w.o.Quarantine.Crashed(now, crashOf(e), lost)
 	}
 	return true
--- a/internal/crashwatch/register.go
+++ b/internal/crashwatch/register.go
@@ -17,9 +17,9 @@
 	Changed() <-chan struct{}
 }
 
-// Keep refreshes a register at each change of state and calls its Tick
+// RunRegister refreshes a register at each change of state and calls its Tick
 // regularly, until the context ends.
-func Keep(ctx context.Context, state ChangeNotifier, r *quarantine.Register) {
+func RunRegister(ctx context.Context, state ChangeNotifier, r *quarantine.Register) {
 	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	for ctx.Err() == nil {
--- a/internal/gateway/crashes.go
+++ b/internal/gateway/crashes.go
@@ -12,7 +12,7 @@
 // watchCrashes returns a crash watch for this gateway's attempts.
 func (g *Gateway) watchCrashes() *crashwatch.Watch {
 	return crashwatch.New(crashwatch.Options{
-		Quarantine: g.Quarantine, Look: g.probe, Leaving: g.isLeaving, Crashed: g.recordCrash, Clock: g.Clock,
+		Quarantine: g.Quarantine, Look: g.probe, IsLeaving: g.isLeaving, OnCrash: g.recordCrash, Clock: g.Clock,
 	})
 }
 
--- a/internal/gateway/crashes_test.go
+++ b/internal/gateway/crashes_test.go
@@ -148,7 +148,7 @@
 // awaitProbes waits until no endpoint is being probed.
 func (b *harness) awaitProbes(t *testing.T) {
 	t.Helper()
-	eventually.True(t, "no endpoint is being probed", func() bool { return b.crashWatch.Looking() == 0 })
+	eventually.True(t, "no endpoint is being probed", func() bool { return b.crashWatch.PendingChecks() == 0 })
 }
 
 // Guards against a retry that crashes one more endpoint.
--- a/internal/keeper/quarantine.go
+++ b/internal/keeper/quarantine.go
@@ -29,7 +29,7 @@
 // loss of all would need as many crashes again to identify each.
 func (k *Keeper) syncQuarantine(ctx context.Context) error {
 	var group errgroup.Group
-	group.Go(func() error { crashwatch.Keep(ctx, k.node, k.quarantine); return nil })
+	group.Go(func() error { crashwatch.RunRegister(ctx, k.node, k.quarantine); return nil })
 	group.Go(func() error { return k.writeQuarantinePeriodically(ctx) })
 	applied := uint64(0)
 	for ctx.Err() == nil {
--- a/internal/router/crashes.go
+++ b/internal/router/crashes.go
@@ -15,7 +15,7 @@
 // newCrashWatch returns the crash watch for this router's attempts.
 func (r *Router) newCrashWatch() *crashwatch.Watch {
 	return crashwatch.New(crashwatch.Options{
-		Quarantine: r.Quarantine, Look: r.checkPresence, Leaving: r.endpointLeaving, Crashed: r.recordCrash, Clock: r.Clock,
+		Quarantine: r.Quarantine, Look: r.checkPresence, IsLeaving: r.endpointLeaving, OnCrash: r.recordCrash, Clock: r.Clock,
 	})
 }
 
--- a/internal/router/crashes_test.go
+++ b/internal/router/crashes_test.go
@@ -76,7 +76,7 @@
 	for range 3 {
 		b.generate(&fakeCaller{}, false)
 	}
-	eventually.True(t, "the crash checks have finished", func() bool { return b.crashWatch.Looking() == 0 })
+	eventually.True(t, "the crash checks have finished", func() bool { return b.crashWatch.PendingChecks() == 0 })
 	if n := b.quarantine.Entries(); len(n) != 0 {
 		t.Fatalf("requests were quarantined without a crash: %v", n)
 	}
