--- a/cmd/dragonfly-entry/assemble.go
+++ b/cmd/dragonfly-entry/assemble.go
@@ -107,13 +107,13 @@
 			ID: s.ID, Host: s.Host, FailureDomain: s.FailureDomain,
 			CallerAddress: s.callerAddress(), AdminAddress: s.Listen.Admin, PeerAddress: s.peerAddress(),
 		},
-		Keepers: s.Keepers, Platform: src.store, Endpoints: src.store, Prober: src.runners, Kinds: []string{route.RecordKind}, ListedKinds: record.Kinds(), PresentKinds: []string{port.ObjectPlatformEvacuation},
+		Keepers: s.Keepers, Platform: src.store, Endpoints: src.store, Prober: src.runners, Kinds: []string{route.RecordKind}, PolledKinds: record.Kinds(), ExistenceKinds: []string{port.ObjectPlatformEvacuation},
 		Decisions: sink, Logger: logger, Registry: registry,
 		Watchers: s.Watchers, WatchWait: s.WatchWait, WatchPause: s.WatchPause, FallbackAfter: s.FallbackAfter,
 		RelistEvery: s.RelistEvery, HeartbeatEvery: s.HeartbeatEvery, SilenceAfter: s.SilenceAfter,
-		ProbeWhenAway: true, ProbeEvery: s.ProbeEvery, ProbesPerSecond: probesPerSecond,
-		DutyCheck: roleCheckInterval, LinkRetry: linkRetry, RetryPause: retryPause, RetryPauseMax: retryPauseMax,
-		EntryLife: s.entryTTL(),
+		ProbeOnlyDuringOutage: true, ProbeEvery: s.ProbeEvery, ProbesPerSecond: probesPerSecond,
+		RoleCheckInterval: roleCheckInterval, LinkRetry: linkRetry, RetryPause: retryPause, RetryPauseMax: retryPauseMax,
+		EntryTTL: s.entryTTL(),
 	})
 }
 
--- a/internal/adapter/httprecords/problems.go
+++ b/internal/adapter/httprecords/problems.go
@@ -71,14 +71,14 @@
 		p.Status, p.Reason, p.Field = http.StatusUnprocessableEntity, "newer_schema", "schema_version"
 	case errors.Is(err, keeper.ErrStale):
 		p.Status, p.Reason = http.StatusPreconditionFailed, "conflict"
-	case errors.Is(err, keeper.ErrAbsent):
+	case errors.Is(err, keeper.ErrNotFound):
 		p.Status, p.Reason = http.StatusNotFound, "absent"
 	case errors.Is(err, keeper.ErrTooLarge):
 		p.Status, p.Reason = http.StatusRequestEntityTooLarge, "too_large"
 	case errors.Is(err, keeper.ErrNotWritten):
 		p.Status, p.Reason = http.StatusServiceUnavailable, "platform_unavailable"
 		p.WithRetryAfter(retryAfter)
-	case errors.Is(err, keeper.ErrUnknown):
+	case errors.Is(err, keeper.ErrOutcomeUnknown):
 		// The outcome is not "failed" because the write may have taken effect.
 		// The write ID identifies it in the audit later.
 		p.Status, p.Reason, p.Outcome = http.StatusGatewayTimeout, "unknown", problem.OutcomeUnknown
--- a/internal/adapter/httprecords/records.go
+++ b/internal/adapter/httprecords/records.go
@@ -113,7 +113,7 @@
 	}
 	rec, found := h.Keeper.Record(kind, r.PathValue("name"))
 	if !found || rec.Deleted {
-		writeError(w, "", keeper.ErrAbsent)
+		writeError(w, "", keeper.ErrNotFound)
 		return
 	}
 	body, err := convertToSchema(rec.Body, schema)
--- a/internal/adapter/httprecords/records_test.go
+++ b/internal/adapter/httprecords/records_test.go
@@ -158,10 +158,10 @@
 		{"invalid", &record.FieldError{Field: "spec.x", Problem: "p"}, 422, "not_run"},
 		{"newer schema", record.ErrNewerSchema, 422, "not_run"},
 		{"conflict", keeper.ErrStale, 412, "not_run"},
-		{"absent", keeper.ErrAbsent, 404, "not_run"},
+		{"absent", keeper.ErrNotFound, 404, "not_run"},
 		{"too large", keeper.ErrTooLarge, 413, "not_run"},
 		{"platform down", keeper.ErrNotWritten, 503, "not_run"},
-		{"unknown outcome", keeper.ErrUnknown, 504, "unknown"},
+		{"unknown outcome", keeper.ErrOutcomeUnknown, 504, "unknown"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/keeper/audit.go
+++ b/internal/keeper/audit.go
@@ -25,9 +25,9 @@
 	object, err := k.options.Platform.Get(ctx, kind, name)
 	switch {
 	case errors.Is(err, port.ErrNotFound):
-		return Audit{}, ErrAbsent
+		return Audit{}, ErrNotFound
 	case err != nil:
-		return Audit{}, merry.Prepend(ErrUnknown, err.Error())
+		return Audit{}, merry.Prepend(ErrOutcomeUnknown, err.Error())
 	}
 	k.recordPlatformCall(time.Now(), true)
 	envelope, err := record.DecodeEnvelope(object.Value)
--- a/internal/keeper/existence.go
+++ b/internal/keeper/existence.go
@@ -42,7 +42,7 @@
 	s.apply(objects)
 	missing, now := s.unlisted(objects, revision), time.Now()
 	if s.updateEra(revision.Era()) {
-		s.deleteAfter = now.Add(k.options.LapseGrace)
+		s.deleteAfter = now.Add(k.options.DelistGrace)
 	}
 	if remaining := s.deleteAfter.Sub(now); remaining > 0 {
 		s.delayedDeletes.Go(func() {
--- a/internal/keeper/existence_test.go
+++ b/internal/keeper/existence_test.go
@@ -117,7 +117,7 @@
 
 func newReader(o *evacuationStore, grace time.Duration) *reader {
 	k, _ := newTestKeeper(o)
-	k.options.LapseGrace = grace
+	k.options.DelistGrace = grace
 	return &reader{keeper: k, source: &existenceSource{recordSource: recordSource{keeper: k, kind: port.ObjectPlatformEvacuation}}}
 }
 
--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -85,14 +85,14 @@
 	Endpoints port.EndpointRegistry
 	// Kinds are the kinds of records that are watched; nil means record.Kinds.
 	Kinds []string
-	// ListedKinds are kinds of records that rarely change and that only keepers
+	// PolledKinds are kinds of records that rarely change and that only keepers
 	// write, which send the changes to each other. The keeper that reads the
 	// platform for all others lists them periodically, so that they survive the
 	// loss of all daemons.
-	ListedKinds []string
-	// PresentKinds are kinds of objects that only the platform's own operators
+	PolledKinds []string
+	// ExistenceKinds are kinds of objects that only the platform's own operators
 	// write: a record is in force as long as its object exists.
-	PresentKinds []string
+	ExistenceKinds []string
 	Prober       EndpointProber
 	Decisions    port.DecisionSink
 	Logger       *log.Logger
@@ -108,30 +108,30 @@
 	SilenceAfter   time.Duration
 	// ProbesPerSecond bounds the rate of this keeper's probes.
 	ProbesPerSecond float64
-	// ProbeWhenAway: endpoints are probed only while the platform doesn't
+	// ProbeOnlyDuringOutage: endpoints are probed only while the platform doesn't
 	// answer. At other times its registry reports everything and drops
 	// endpoints that are silent, so a probe matters only if it reports that the
 	// endpoint is leaving.
-	ProbeWhenAway     bool
+	ProbeOnlyDuringOutage     bool
 	OutcomeTimeout    time.Duration
 	OutcomeRetryPause time.Duration
 	// WatchPause lets a burst of changes arrive in one reply.
 	WatchPause time.Duration
-	// DutyCheck is the time between two checks of the keeper's role.
-	DutyCheck time.Duration
+	// RoleCheckInterval is the time between two checks of the keeper's role.
+	RoleCheckInterval time.Duration
 	// RetryPause is the first pause after a failed call, RetryPauseMax the
 	// longest.
 	RetryPause    time.Duration
 	RetryPauseMax time.Duration
 	// LinkRetry is the minimum pause before a lost link is opened again.
 	LinkRetry time.Duration
-	// LapseGrace is how long endpoints that a list leaves out are still treated
+	// DelistGrace is how long endpoints that a list leaves out are still treated
 	// as listed after an outage of the platform or a restore of its store from
 	// a backup.
-	LapseGrace time.Duration
-	// EntryLife is how long the registry keeps an entry that its endpoint
+	DelistGrace time.Duration
+	// EntryTTL is how long the registry keeps an entry that its endpoint
 	// doesn't renew.
-	EntryLife   time.Duration
+	EntryTTL   time.Duration
 	DialOptions []grpc.DialOption
 }
 
@@ -163,11 +163,11 @@
 		{&o.OutcomeTimeout, DefaultOutcomeTimeout},
 		{&o.OutcomeRetryPause, DefaultOutcomeRetryPause},
 		{&o.WatchPause, DefaultWatchPause},
-		{&o.DutyCheck, DefaultRoleCheckInterval},
+		{&o.RoleCheckInterval, DefaultRoleCheckInterval},
 		{&o.RetryPause, DefaultRetryPause},
 		{&o.RetryPauseMax, DefaultRetryPauseMax},
-		{&o.LapseGrace, DefaultDelistGrace},
-		{&o.EntryLife, DefaultEntryTTL},
+		{&o.DelistGrace, DefaultDelistGrace},
+		{&o.EntryTTL, DefaultEntryTTL},
 		{&o.LinkRetry, DefaultLinkRetry},
 	} {
 		if *d.field <= 0 {
@@ -261,10 +261,10 @@
 	for _, kind := range k.options.Kinds {
 		group.Go(func() error { return k.watchRecords(ctx, kind) })
 	}
-	for _, kind := range k.options.PresentKinds {
+	for _, kind := range k.options.ExistenceKinds {
 		group.Go(func() error { return k.watchExistence(ctx, kind) })
 	}
-	for _, kind := range k.options.ListedKinds {
+	for _, kind := range k.options.PolledKinds {
 		group.Go(func() error { return k.listPeriodically(ctx, kind) })
 	}
 	return group.Wait()
--- a/internal/keeper/listed.go
+++ b/internal/keeper/listed.go
@@ -28,10 +28,10 @@
 	if role != watchduty.Leader && role != watchduty.Isolated {
 		w.listed = false
 		w.setFailing(false)
-		return k.options.DutyCheck
+		return k.options.RoleCheckInterval
 	}
 	if w.listed && w.revision.Era() == k.eras.Current() && now.Sub(w.listedAt) < w.source.relistIn() {
-		return k.options.DutyCheck
+		return k.options.RoleCheckInterval
 	}
 	err := w.list(ctx, now)
 	if ctx.Err() != nil {
@@ -43,5 +43,5 @@
 	w.markRecovered()
 	w.retry = k.options.RetryPause
 	k.recordPlatformCall(time.Now(), true)
-	return k.options.DutyCheck
+	return k.options.RoleCheckInterval
 }
--- a/internal/keeper/probes.go
+++ b/internal/keeper/probes.go
@@ -55,7 +55,7 @@
 func (k *Keeper) runProbes(ctx context.Context) error {
 	for {
 		every := k.options.ProbeEvery
-		if !k.options.ProbeWhenAway || k.platformUnavailable(time.Now()) {
+		if !k.options.ProbeOnlyDuringOutage || k.platformUnavailable(time.Now()) {
 			share := k.probeShare()
 			k.probeRound(ctx, share)
 			every = max(every, time.Duration(float64(len(share))/k.options.ProbesPerSecond*float64(time.Second)))
@@ -96,7 +96,7 @@
 // information: with a registry only that the endpoint is leaving, without one
 // also that it is gone.
 func (k *Keeper) probeUseful(e *membership.Endpoint) bool {
-	if k.options.ProbeWhenAway {
+	if k.options.ProbeOnlyDuringOutage {
 		return e.State == port.EndpointLive
 	}
 	return e.State != port.EndpointGone
@@ -114,7 +114,7 @@
 	}
 	// The functions never return an error; failed holds the outcomes.
 	_ = group.Wait()
-	if !k.options.ProbeWhenAway {
+	if !k.options.ProbeOnlyDuringOutage {
 		k.handleProbeFailures(share, failed)
 	}
 }
--- a/internal/keeper/records.go
+++ b/internal/keeper/records.go
@@ -21,13 +21,13 @@
 	// ErrStale: the record's version isn't the one that the operator's change
 	// was based on.
 	ErrStale = merry.Sentinel("records: the record has another version")
-	// ErrAbsent: the record doesn't exist.
-	ErrAbsent = merry.Sentinel("records: no such record")
+	// ErrNotFound: the record doesn't exist.
+	ErrNotFound = merry.Sentinel("records: no such record")
 	// ErrNotWritten: the platform did not accept the write; nothing changed.
 	ErrNotWritten = merry.Sentinel("records: the platform did not take the write; nothing changed")
-	// ErrUnknown: the write may have taken effect, and the platform can't be
+	// ErrOutcomeUnknown: the write may have taken effect, and the platform can't be
 	// read to find out.
-	ErrUnknown = merry.Sentinel("records: whether the write took effect is not known")
+	ErrOutcomeUnknown = merry.Sentinel("records: whether the write took effect is not known")
 	// ErrTooLarge: the value exceeds the platform's limit.
 	ErrTooLarge = merry.Sentinel("records: the record is too large")
 )
@@ -143,7 +143,7 @@
 	case c.Create:
 		return nil
 	case stored.Deleted:
-		return ErrAbsent
+		return ErrNotFound
 	case c.Expect != object.Version:
 		return ErrStale
 	}
@@ -247,7 +247,7 @@
 			return err
 		}
 		if pause(ctx, w.keeper.options.OutcomeRetryPause) != nil {
-			return ErrUnknown
+			return ErrOutcomeUnknown
 		}
 	}
 }
@@ -307,7 +307,7 @@
 	}
 	// The audit trail no longer reaches back to the expected version, so it
 	// can't tell whether the write is among the entries that were dropped.
-	return ErrUnknown
+	return ErrOutcomeUnknown
 }
 
 // logChange logs the decision on a change.
@@ -322,7 +322,7 @@
 	if err != nil {
 		verdict, reason = "refused", err.Error()
 	}
-	if errors.Is(err, ErrUnknown) {
+	if errors.Is(err, ErrOutcomeUnknown) {
 		verdict = "unknown"
 	}
 	k.options.Decisions.Record(&port.DecisionRecord{
--- a/internal/keeper/records_test.go
+++ b/internal/keeper/records_test.go
@@ -128,7 +128,7 @@
 	p.putResults = []callResult{resultReplyLost}
 	p.getResults = append([]callResult{resultOK}, repeat(resultDown, 100_000)...)
 	_, err := k.Change(context.Background(), create(1))
-	if !errors.Is(err, ErrUnknown) {
+	if !errors.Is(err, ErrOutcomeUnknown) {
 		t.Fatalf("got %v", err)
 	}
 	if decisions.All()[0].Verdict != "unknown" {
@@ -172,7 +172,7 @@
 	if !deleted.Record.Deleted || len(k.Records()) != 0 {
 		t.Fatalf("got %+v", deleted)
 	}
-	if _, err := k.Change(context.Background(), revise(2, deleted.Record.Version)); !errors.Is(err, ErrAbsent) {
+	if _, err := k.Change(context.Background(), revise(2, deleted.Record.Version)); !errors.Is(err, ErrNotFound) {
 		t.Fatalf("revised a deleted record: %v", err)
 	}
 	recreated := mustChange(t, k, create(2))
@@ -227,7 +227,7 @@
 			switch {
 			case err == nil && times != 1:
 				t.Fatalf("the write was accepted but is in the history %d times, want 1", times)
-			case err != nil && !errors.Is(err, ErrUnknown) && times != 0:
+			case err != nil && !errors.Is(err, ErrOutcomeUnknown) && times != 0:
 				t.Fatalf("the write got %v but is in the history %d times, want 0", err, times)
 			}
 			if current, err := p.Store.Get(context.Background(), testKind, testName); err == nil {
--- a/internal/keeper/recordsource.go
+++ b/internal/keeper/recordsource.go
@@ -63,7 +63,7 @@
 // markListed records that a kind was listed. Once all watched kinds have been,
 // the records are complete.
 func (k *Keeper) markListed(kind string) {
-	watched := slices.Concat(k.options.Kinds, k.options.PresentKinds)
+	watched := slices.Concat(k.options.Kinds, k.options.ExistenceKinds)
 	if slices.Contains(watched, kind) && k.listed.add(kind, len(watched)) {
 		k.node.SetComplete()
 	}
@@ -78,7 +78,7 @@
 	}
 	s.era, s.restorePending = era, record.KnownKind(s.kind)
 	// By then the peers have sent what they hold.
-	s.repairAt = now.Add(s.keeper.options.LapseGrace)
+	s.repairAt = now.Add(s.keeper.options.DelistGrace)
 }
 
 // primary returns false if endpoints are watched as well, since those calls
--- a/internal/keeper/registry.go
+++ b/internal/keeper/registry.go
@@ -64,7 +64,7 @@
 		return revision, nil
 	}
 	s.delayedRemovals.Go(func() {
-		if pause(ctx, s.keeper.options.LapseGrace) == nil {
+		if pause(ctx, s.keeper.options.DelistGrace) == nil {
 			s.remove(missing, revision)
 		}
 	})
@@ -84,7 +84,7 @@
 	s.restoreChecks.Go(func() {
 		// By then, entries that nobody renews have been dropped and their
 		// removal is known here.
-		if pause(ctx, s.keeper.options.EntryLife+s.keeper.options.LapseGrace) == nil {
+		if pause(ctx, s.keeper.options.EntryTTL+s.keeper.options.DelistGrace) == nil {
 			s.confirmListed(revision)
 		}
 	})
--- a/internal/keeper/registry_test.go
+++ b/internal/keeper/registry_test.go
@@ -17,7 +17,7 @@
 // about to leave.
 func TestOnlyLiveEndpointsAreProbedDuringOutage(t *testing.T) {
 	k, _ := newTestKeeper(newFakePlatform())
-	k.options.ProbeWhenAway = true
+	k.options.ProbeOnlyDuringOutage = true
 	k.putEndpoint(membership.Listed(registryEntry("lives", 1, port.EndpointLive).Endpoint), "listed")
 	for i := range 20 {
 		known := membership.Listed(registryEntry(fmt.Sprint("ended-", i), 1, port.EndpointLive).Endpoint)
@@ -81,7 +81,7 @@
 func newRegistryKeeper(r *registry) *Keeper {
 	k, _ := newTestKeeper(newFakePlatform())
 	k.options.Endpoints = r
-	k.options.LapseGrace = time.Microsecond
+	k.options.DelistGrace = time.Microsecond
 	return k
 }
 
@@ -150,7 +150,7 @@
 func TestExpiredEntriesStayLiveForGracePeriod(t *testing.T) {
 	r := &registry{entries: map[string]port.ListedEndpoint{}}
 	k := newRegistryKeeper(r)
-	k.options.LapseGrace = 50 * time.Millisecond
+	k.options.DelistGrace = 50 * time.Millisecond
 	s := &endpointSource{keeper: k}
 	w := newWatch(k, "endpoints", s)
 	r.put(registryEntry("back", 1, port.EndpointLive))
@@ -178,7 +178,7 @@
 func TestDroppedHistoryHidesNoRemoval(t *testing.T) {
 	r := &registry{entries: map[string]port.ListedEndpoint{}}
 	k := newRegistryKeeper(r)
-	k.options.LapseGrace = time.Hour
+	k.options.DelistGrace = time.Hour
 	w := newWatch(k, "endpoints", &endpointSource{keeper: k})
 	r.put(registryEntry("e", 1, port.EndpointLive))
 	w.step(t.Context())
@@ -207,7 +207,7 @@
 func TestProbesFindLeavingRunnersOnlyDuringOutage(t *testing.T) {
 	k, _ := newTestKeeper(newFakePlatform())
 	prober := &fakeProber{reports: map[string]port.LoadReport{}}
-	k.options.Prober, k.options.ProbeWhenAway = prober, true
+	k.options.Prober, k.options.ProbeOnlyDuringOutage = prober, true
 	for _, id := range []string{"leaver", "silent"} {
 		k.putEndpoint(membership.Listed(registryEntry(id, 1, port.EndpointLive).Endpoint), "listed")
 	}
--- a/internal/keeper/restore_test.go
+++ b/internal/keeper/restore_test.go
@@ -74,7 +74,7 @@
 		k := newRegistryKeeper(p.registry)
 		// The test decides when the registry has dropped the entries that
 		// nobody renews.
-		k.options.EntryLife = time.Hour
+		k.options.EntryTTL = time.Hour
 		p.keepers[i], p.sources[i] = k, &endpointSource{keeper: k}
 		p.watches[i] = newWatch(k, kindEndpoints, p.sources[i])
 		p.links[i] = k.node.Open(i == 0)
--- a/internal/keeper/rewrite_test.go
+++ b/internal/keeper/rewrite_test.go
@@ -121,7 +121,7 @@
 	k.options.Self.ID = fmt.Sprint("k", i)
 	k.options.Kinds = []string{testKind}
 	// The test decides when the peers have sent what they hold.
-	k.options.LapseGrace = time.Hour
+	k.options.DelistGrace = time.Hour
 	o.keepers[i], o.sources[i] = k, &recordSource{keeper: k, kind: testKind}
 	o.watches[i] = newWatch(k, testKind, o.sources[i])
 	o.seen[i] = map[string]int{}
@@ -150,7 +150,7 @@
 	}
 	o.platform.loseReply = rapid.Bool().Draw(o.t, "the reply is lost")
 	result, err := k.Change(context.Background(), c)
-	if errors.Is(err, ErrAbsent) || len(stored.Value) == 0 {
+	if errors.Is(err, ErrNotFound) || len(stored.Value) == 0 {
 		c.Create, c.Expect = true, 0
 		result, err = k.Change(context.Background(), c)
 	}
--- a/internal/keeper/watch.go
+++ b/internal/keeper/watch.go
@@ -93,7 +93,7 @@
 			w.listed = false
 			w.setFailing(false)
 		}
-		return k.options.DutyCheck
+		return k.options.RoleCheckInterval
 	}
 	changed, err := w.call(ctx, now, role)
 	switch {
@@ -141,7 +141,7 @@
 	k, timeout := w.keeper, w.pollTimeout(role)
 	if timeout > k.options.WatchWait {
 		go func() {
-			for pause(ctx, k.options.DutyCheck) == nil {
+			for pause(ctx, k.options.RoleCheckInterval) == nil {
 				if k.role(time.Now()) > role || k.duty.Status().Failing() {
 					cancel(errSuperseded)
 				}
