--- a/cmd/dragonfly-load/main.go
+++ b/cmd/dragonfly-load/main.go
@@ -84,7 +84,7 @@
 		fmt.Fprintf(os.Stderr, "%s: %v\n", name, err)
 		return daemon.ExitFailure
 	}
-	if !report.Sound() {
+	if !report.AllIntact() {
 		return daemon.ExitFailure
 	}
 	return daemon.ExitOK
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -128,7 +128,7 @@
 	if all.Requests == 0 || all.Outcomes[OutcomeBroken] != all.Requests/5 {
 		t.Fatalf("%d requests: %v %v", all.Requests, all.Outcomes, all.Reasons)
 	}
-	if all.Outcomes[OutcomeDone] != all.Requests-all.Requests/5 || report.Sound() {
+	if all.Outcomes[OutcomeDone] != all.Requests-all.Requests/5 || report.AllIntact() {
 		t.Fatalf("%v %v", all.Outcomes, all.Reasons)
 	}
 	var out bytes.Buffer
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -102,8 +102,8 @@
 	return r.Classes[at]
 }
 
-// Sound reports whether no request has outcome cut or broken.
-func (r *Report) Sound() bool {
+// AllIntact reports whether no request has outcome cut or broken.
+func (r *Report) AllIntact() bool {
 	all := r.Class(allClasses).Outcomes
 	return all[OutcomeCut] == 0 && all[OutcomeBroken] == 0
 }
--- a/test/load_test.go
+++ b/test/load_test.go
@@ -58,7 +58,7 @@
 		t.Fatal(err)
 	}
 	all := report.Class("all")
-	if all.Outcomes[load.OutcomeDone] < all.Requests/2 || !report.Sound() {
+	if all.Outcomes[load.OutcomeDone] < all.Requests/2 || !report.AllIntact() {
 		t.Errorf("outcomes %v", all.Outcomes)
 	}
 	counts, err := s.ServiceRuns(testContext(t))
