--- a/internal/adapter/grpcclaim/wire.go
+++ b/internal/adapter/grpcclaim/wire.go
@@ -80,7 +80,7 @@
 
 func validOutcome(o port.ClaimOutcome) bool {
 	switch o {
-	case port.ClaimedOnly, port.ClaimDone, port.ClaimFailed, port.ClaimNotRun, port.ClaimUnknown:
+	case port.ClaimUnsettled, port.ClaimDone, port.ClaimFailed, port.ClaimNotRun, port.ClaimUnknown:
 		return true
 	}
 	return false
--- a/internal/adapter/grpcpeer/scheduling.go
+++ b/internal/adapter/grpcpeer/scheduling.go
@@ -59,7 +59,7 @@
 // Relocate chooses the runner that takes over a run.
 func (s *SchedulingService) Relocate(_ context.Context, r *peerv1.RelocateRequest) (*peerv1.PlaceReply, error) {
 	run := runFromWire(r.GetRun())
-	d := s.Scheduler.Relocate(&run, port.Relocation{
+	d := s.Scheduler.Relocate(&run, port.RelocationConstraints{
 		Excluded: r.GetExcluded(), FailureDomain: r.GetFailureDomain(),
 	})
 	return decisionToWire(&d), nil
@@ -142,7 +142,7 @@
 }
 
 // Relocate requests a runner that takes over a run.
-func (p *SchedulingPeer) Relocate(ctx context.Context, run *port.RunningRequest, constraints port.Relocation) (port.Decision, error) {
+func (p *SchedulingPeer) Relocate(ctx context.Context, run *port.RunningRequest, constraints port.RelocationConstraints) (port.Decision, error) {
 	if p.err != nil {
 		return port.Decision{}, p.err
 	}
@@ -281,7 +281,7 @@
 	"not_started": port.FinishNotStarted,
 	"failed":      port.FinishFailed,
 	"cancelled":   port.FinishCancelled,
-	"elsewhere":   port.FinishElsewhere,
+	"elsewhere":   port.FinishUntracked,
 }
 
 // Wire names of the results of relocations.
@@ -309,7 +309,7 @@
 func eventFromWire(e *peerv1.RunEvent) scheduling.RunEvent {
 	finish, known := finishKinds[e.GetFinish()]
 	if !known {
-		finish = port.FinishElsewhere
+		finish = port.FinishUntracked
 	}
 	return scheduling.RunEvent{
 		RequestID: e.GetRequestId(), Tokens: int(e.GetTokens()), Finish: finish,
--- a/internal/adapter/grpcpeer/scheduling_test.go
+++ b/internal/adapter/grpcpeer/scheduling_test.go
@@ -135,7 +135,7 @@
 	if err := peer.Update(t.Context(), []port.RunningRequest{run}, nil); err != nil || pools.Held() != 1 {
 		t.Fatalf("the scheduler tracks %d runs, error %v, want 1", pools.Held(), err)
 	}
-	d, err := peer.Relocate(t.Context(), &run, port.Relocation{FailureDomain: "d"})
+	d, err := peer.Relocate(t.Context(), &run, port.RelocationConstraints{FailureDomain: "d"})
 	if err != nil || d.Verdict != port.VerdictRefuse || d.Reason != routing.ReasonRefusedNoCapacity {
 		t.Fatalf("got decision %+v, error %v, want a refusal for lack of capacity", d, err)
 	}
@@ -143,7 +143,7 @@
 		{RequestID: "run", Relocated: true, Moved: true},
 		{RequestID: "run", Relocated: true},
 		{RequestID: "run", Tokens: 9},
-		{RequestID: "run", Finish: port.FinishElsewhere},
+		{RequestID: "run", Finish: port.FinishUntracked},
 	} {
 		if got := eventFromWire(eventToWire(e)); got != e {
 			t.Errorf("event %+v was converted to %+v", e, got)
@@ -165,7 +165,7 @@
 		t.Fatalf("got %v, want ErrPeerLost", err)
 	}
 	run := port.RunningRequest{Request: *generation("run", 100), EndpointID: "e"}
-	if _, err := peer.Relocate(t.Context(), &run, port.Relocation{}); !errors.Is(err, ErrPeerLost) {
+	if _, err := peer.Relocate(t.Context(), &run, port.RelocationConstraints{}); !errors.Is(err, ErrPeerLost) {
 		t.Fatalf("got %v, want ErrPeerLost", err)
 	}
 	if _, err := peer.Admit(t.Context(), "pool", nil, 0); !errors.Is(err, ErrPeerLost) {
--- a/internal/core/claim/codec.go
+++ b/internal/core/claim/codec.go
@@ -242,7 +242,7 @@
 func decodeOutcome(o claimsv1.Outcome) (port.ClaimOutcome, error) {
 	switch o {
 	case claimsv1.Outcome_OUTCOME_CLAIMED:
-		return port.ClaimedOnly, nil
+		return port.ClaimUnsettled, nil
 	case claimsv1.Outcome_OUTCOME_DONE:
 		return port.ClaimDone, nil
 	case claimsv1.Outcome_OUTCOME_FAILED:
--- a/internal/core/claim/shard.go
+++ b/internal/core/claim/shard.go
@@ -154,7 +154,7 @@
 	// The reply was lost, or another keeper has already recorded this attempt.
 	// Granting it again is safe: an attempt dispatches once, however many grants
 	// it receives.
-	if held.AttemptID == e.AttemptID && held.Outcome == port.ClaimedOnly {
+	if held.AttemptID == e.AttemptID && held.Outcome == port.ClaimUnsettled {
 		return Result{Verdict: port.ClaimGranted}
 	}
 	if held.Outcome == port.ClaimNotRun && held.AttemptID != e.AttemptID {
@@ -174,7 +174,7 @@
 // pending at a frozen keeper, and the write that bars the attempt also makes that
 // keeper's write fail.
 func (s *Shard) Settle(now time.Time, st port.ClaimState, l *Limits) bool {
-	if st.Outcome == port.ClaimedOnly {
+	if st.Outcome == port.ClaimUnsettled {
 		return false
 	}
 	i, found := s.index[st.KeyHash]
@@ -197,7 +197,7 @@
 // validTransition reports whether an outcome may replace another. A known outcome,
 // not_run included, is final; unknown may only be replaced by a known one.
 func validTransition(from, to port.ClaimOutcome) bool {
-	return from == port.ClaimedOnly || (from == port.ClaimUnknown && to != port.ClaimUnknown)
+	return from == port.ClaimUnsettled || (from == port.ClaimUnknown && to != port.ClaimUnknown)
 }
 
 func (s *Shard) bar(now time.Time, st *port.ClaimState, l *Limits) bool {
@@ -277,7 +277,7 @@
 		KeyHash:           e.KeyHash,
 		RequestID:         e.RequestID,
 		AttemptID:         e.AttemptID,
-		Outcome:           port.ClaimedOnly,
+		Outcome:           port.ClaimUnsettled,
 		ClaimedUnixMillis: now.UnixMilli(),
 	}
 }
--- a/internal/core/claim/shard_test.go
+++ b/internal/core/claim/shard_test.go
@@ -49,7 +49,7 @@
 		{"done", settled(entry(1, "a"), port.ClaimDone), port.ClaimHeld},
 		{"failed", settled(entry(1, "a"), port.ClaimFailed), port.ClaimHeld},
 		{"unknown", settled(entry(1, "a"), port.ClaimUnknown), port.ClaimHeld},
-		{"claimed", settled(entry(1, "a"), port.ClaimedOnly), port.ClaimHeld},
+		{"claimed", settled(entry(1, "a"), port.ClaimUnsettled), port.ClaimHeld},
 		{"not_run of another attempt", settled(entry(1, "b"), port.ClaimNotRun), port.ClaimHeld},
 		{"not_run of the holder", settled(entry(1, "a"), port.ClaimNotRun), port.ClaimGranted},
 	}
@@ -319,7 +319,7 @@
 		s.Prune(now, &testLimits)
 		e := drawEntry.Draw(t, "entry")
 		s.Claim(now, e, &testLimits)
-		o := rapid.SampledFrom([]port.ClaimOutcome{port.ClaimedOnly, port.ClaimDone, port.ClaimFailed, port.ClaimNotRun, port.ClaimUnknown}).Draw(t, "outcome")
+		o := rapid.SampledFrom([]port.ClaimOutcome{port.ClaimUnsettled, port.ClaimDone, port.ClaimFailed, port.ClaimNotRun, port.ClaimUnknown}).Draw(t, "outcome")
 		st := settled(e, o)
 		st.StatusCode = rapid.IntRange(0, 599).Draw(t, "status")
 		s.Settle(now, st, &testLimits)
--- a/internal/core/routing/evacuations_test.go
+++ b/internal/core/routing/evacuations_test.go
@@ -34,7 +34,7 @@
 		}
 	}
 	for i := range 8 {
-		d := s.Relocate(start, fmt.Sprint("before", i), port.Relocation{})
+		d := s.Relocate(start, fmt.Sprint("before", i), port.RelocationConstraints{})
 		if d.Verdict == port.VerdictPlace && d.Endpoint.ID != "runner-3" {
 			t.Fatalf("run moved to the evacuated runner %q", d.Endpoint.ID)
 		}
@@ -109,7 +109,7 @@
 				}
 			case 3:
 				if len(ids) > 0 {
-					check(s.Relocate(now, ids[0], port.Relocation{}), false)
+					check(s.Relocate(now, ids[0], port.RelocationConstraints{}), false)
 					s.Relocated(now, ids[0], rapid.Bool().Draw(t, "moved"))
 				}
 			default:
--- a/internal/core/routing/limits_test.go
+++ b/internal/core/routing/limits_test.go
@@ -72,7 +72,7 @@
 	s.Submit(start, request("run", 10))
 	es := rateLimitedRunners(2, 1, 1)
 	s.ChangeEndpoints(start, es)
-	terms := port.Relocation{FailureDomain: "a"}
+	terms := port.RelocationConstraints{FailureDomain: "a"}
 	wantVerdict(t, s.Relocate(start, "run", terms), port.VerdictPlace, ReasonRelocated)
 	s.Relocated(start, "run", false)
 	wantVerdict(t, s.Relocate(at(500*time.Millisecond), "run", terms), port.VerdictRefuse, ReasonRefusedNoCapacity)
@@ -110,7 +110,7 @@
 				running = nil
 			case 2:
 				if len(running) > 0 {
-					d := s.Relocate(now, running[0], port.Relocation{})
+					d := s.Relocate(now, running[0], port.RelocationConstraints{})
 					if d.Verdict == port.VerdictPlace {
 						sent[d.Endpoint.ID] = append(sent[d.Endpoint.ID], now)
 						s.Relocated(now, running[0], rapid.Bool().Draw(t, "moved"))
--- a/internal/core/routing/relocate.go
+++ b/internal/core/routing/relocate.go
@@ -15,7 +15,7 @@
 
 // Relocate implements port.Relocator. The run counts at both runners until
 // Relocated is called, because its tokens use cache at both during the copy.
-func (s *Scheduler) Relocate(now time.Time, requestID string, terms port.Relocation) port.Decision {
+func (s *Scheduler) Relocate(now time.Time, requestID string, terms port.RelocationConstraints) port.Decision {
 	e := s.find(requestID)
 	if e == nil {
 		return s.refusal(ReasonRefusedNotRunning, 0)
@@ -30,7 +30,7 @@
 	}
 }
 
-func (s *shard) relocate(now time.Time, e *entry, terms port.Relocation) port.Decision {
+func (s *shard) relocate(now time.Time, e *entry, terms port.RelocationConstraints) port.Decision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.now = now
@@ -59,7 +59,7 @@
 // accepted. Excluded are only runners that lack the capacity now, or will
 // after a little growth of their runs: a run that takes the last capacity
 // stalls another one there.
-func (s *shard) rankDestinations(now time.Time, e *entry, terms port.Relocation, out *ranking) {
+func (s *shard) rankDestinations(now time.Time, e *entry, terms port.RelocationConstraints, out *ranking) {
 	q := s.query(now, e)
 	runners := s.byModel[e.request.Model]
 	ratio, allowance := s.growthRatio(), s.allowance(len(runners))
--- a/internal/core/routing/relocate_test.go
+++ b/internal/core/routing/relocate_test.go
@@ -31,7 +31,7 @@
 	r := request("report", 3000)
 	from := s.Submit(start, r).Endpoint
 	s.Progress(at(time.Second), "report", 400)
-	terms := port.Relocation{FailureDomain: from.FailureDomain}
+	terms := port.RelocationConstraints{FailureDomain: from.FailureDomain}
 	d := s.Relocate(at(time.Second), "report", terms)
 	wantVerdict(t, d, port.VerdictPlace, ReasonRelocated)
 	if d.Endpoint.ID == from.ID || d.Endpoint.FailureDomain != from.FailureDomain {
@@ -84,7 +84,7 @@
 			case 2:
 				id := pick()
 				m := open[id]
-				d := s.Relocate(now, id, port.Relocation{})
+				d := s.Relocate(now, id, port.RelocationConstraints{})
 				m.to = ""
 				if d.Verdict == port.VerdictPlace {
 					m.to = d.Endpoint.ID
@@ -155,7 +155,7 @@
 			wantVerdict(t, s.Submit(start, other), port.VerdictPlace, ReasonPlaced)
 			wantVerdict(t, s.Submit(start, run), port.VerdictPlace, ReasonPlaced)
 			s.Progress(at(time.Second), "run", grown)
-			if d := s.Relocate(at(time.Second), "run", port.Relocation{FailureDomain: "a"}); d.Verdict != c.want {
+			if d := s.Relocate(at(time.Second), "run", port.RelocationConstraints{FailureDomain: "a"}); d.Verdict != c.want {
 				t.Fatalf("verdict %v for %q, want %v", d.Verdict, d.Reason, c.want)
 			}
 		})
--- a/internal/core/routing/shard.go
+++ b/internal/core/routing/shard.go
@@ -290,7 +290,7 @@
 	case port.FinishDone:
 		e.runner.breaker.succeeded(e.placedAt)
 		s.scheduler.lengths.Observe(lengthSubject(r), max(1, tokens))
-	case port.FinishElsewhere:
+	case port.FinishUntracked:
 		e.runner.breaker.abandoned()
 	case port.FinishCancelled:
 		e.runner.breaker.abandoned()
--- a/internal/ctl/why.go
+++ b/internal/ctl/why.go
@@ -313,10 +313,10 @@
 // which part of the time a late response spent waiting for a placement, for
 // the first event, or in the longest pause.
 func deliveryText(d *port.Delivery) string {
-	firstEventMillis := d.FirstMillis - d.HeldMillis
+	firstEventMillis := d.FirstEventMillis - d.HeldMillis
 	text := fmt.Sprintf("the caller had %d events: %d ms until a place, %d ms from there to the first event", d.Events, d.HeldMillis, firstEventMillis)
-	if d.GapMillis > 0 {
-		text += fmt.Sprintf(", the longest pause %d ms before event %d", d.GapMillis, d.GapEvent)
+	if d.LongestGapMillis > 0 {
+		text += fmt.Sprintf(", the longest pause %d ms before event %d", d.LongestGapMillis, d.LongestGapEvent)
 	}
 	if d.Runners > 1 {
 		text += fmt.Sprintf(", from %d runners", d.Runners)
--- a/internal/gateway/events.go
+++ b/internal/gateway/events.go
@@ -110,12 +110,12 @@
 	d := r.x.delivered
 	d.Events++
 	if r.lastEventAt.IsZero() {
-		d.FirstMillis = now.Sub(r.x.req.Arrived).Milliseconds()
+		d.FirstEventMillis = now.Sub(r.x.req.Arrived).Milliseconds()
 	} else {
 		gap := now.Sub(r.lastEventAt)
 		observe(r.x.g.metrics.eventGap, gap)
-		if gap.Milliseconds() > d.GapMillis {
-			d.GapMillis, d.GapEvent = gap.Milliseconds(), d.Events
+		if gap.Milliseconds() > d.LongestGapMillis {
+			d.LongestGapMillis, d.LongestGapEvent = gap.Milliseconds(), d.Events
 		}
 	}
 	r.lastEventAt = now
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -32,7 +32,7 @@
 	Progress(requestID string, tokens int)
 	Finished(requestID string, tokens int, kind port.FinishKind)
 	// Relocate chooses the runner that a run moves to.
-	Relocate(ctx context.Context, requestID string, constraints port.Relocation) port.Decision
+	Relocate(ctx context.Context, requestID string, constraints port.RelocationConstraints) port.Decision
 	// Relocated ends a relocation; to is the runner that has the run now.
 	Relocated(requestID string, moved bool, to string)
 	Admitter
--- a/internal/gateway/moves.go
+++ b/internal/gateway/moves.go
@@ -93,7 +93,7 @@
 // chooseDestination requests the runner to move to from the scheduler.
 func (m *mover) chooseDestination(ctx context.Context) bool {
 	x := m.run.x
-	d := m.g.Placer.Relocate(ctx, x.req.ID, port.Relocation{
+	d := m.g.Placer.Relocate(ctx, x.req.ID, port.RelocationConstraints{
 		Excluded: m.excluded, FailureDomain: m.from.FailureDomain,
 	})
 	x.recordConcurrent(verdictMove, d.Reason, d.Endpoint.ID, d.Candidates)
--- a/internal/gateway/panics.go
+++ b/internal/gateway/panics.go
@@ -25,7 +25,7 @@
 	}
 	x.recordPanic("serve", v)
 	if x.inFlight != nil {
-		x.endAttempt(x.inFlight, port.FinishElsewhere)
+		x.endAttempt(x.inFlight, port.FinishUntracked)
 	}
 	if x.attempts > x.ledger.Attempts() {
 		// The attempt that panicked may have run.
--- a/internal/keeper/recordsource.go
+++ b/internal/keeper/recordsource.go
@@ -148,7 +148,7 @@
 	for _, held := range k.node.CompleteRecords() {
 		// A missing tombstone means the same as a stored one.
 		if held.Kind == s.kind && !listed[held.Name] && !held.Deleted {
-			lost = append(lost, rewrite{held: held, storedVersion: uint64(at.None()), stored: &record.Envelope{Deleted: true}})
+			lost = append(lost, rewrite{held: held, storedVersion: uint64(at.AbsentVersion()), stored: &record.Envelope{Deleted: true}})
 		}
 	}
 	s.restorePending = len(lost) > 0
--- a/internal/port/explain.go
+++ b/internal/port/explain.go
@@ -58,11 +58,11 @@
 	// HeldMillis is the time until the request was placed, FirstMillis the time to
 	// the first event, both from the request's arrival.
 	HeldMillis  int64 `json:"held_ms"`
-	FirstMillis int64 `json:"first_event_ms"`
-	// GapMillis is the longest time between two events; GapEvent is the event that
+	FirstEventMillis int64 `json:"first_event_ms"`
+	// LongestGapMillis is the longest time between two events; GapEvent is the event that
 	// follows it.
-	GapMillis int64 `json:"longest_gap_ms"`
-	GapEvent  int   `json:"longest_gap_event"`
+	LongestGapMillis int64 `json:"longest_gap_ms"`
+	LongestGapEvent  int   `json:"longest_gap_event"`
 	// Runners is the number of runners that the stream came from.
 	Runners int `json:"runners"`
 }
--- a/internal/port/record.go
+++ b/internal/port/record.go
@@ -84,7 +84,7 @@
 
 // The outcomes of claims.
 const (
-	ClaimedOnly  ClaimOutcome = "claimed"
+	ClaimUnsettled  ClaimOutcome = "claimed"
 	ClaimDone    ClaimOutcome = "done"
 	ClaimFailed  ClaimOutcome = "failed"
 	ClaimNotRun  ClaimOutcome = "not_run"
--- a/internal/port/scheduler.go
+++ b/internal/port/scheduler.go
@@ -96,7 +96,7 @@
 	Scheduler
 	// Relocate chooses the runner that takes over a placed request from a leaving
 	// runner. From then on the request is counted at both.
-	Relocate(now time.Time, requestID string, terms Relocation) Decision
+	Relocate(now time.Time, requestID string, terms RelocationConstraints) Decision
 	// Relocated ends a relocation. If moved is set, the request now runs at the new
 	// runner, otherwise it stays at the old one.
 	Relocated(now time.Time, requestID string, moved bool)
@@ -111,8 +111,8 @@
 	Tokens     int
 }
 
-// Relocation constrains the choice of the runner that takes over a run.
-type Relocation struct {
+// RelocationConstraints constrains the choice of the runner that takes over a run.
+type RelocationConstraints struct {
 	// Excluded lists the runners that failed to take over the run.
 	Excluded []string
 	// FailureDomain is the failure domain in which the run is now; empty if that
@@ -130,9 +130,9 @@
 	FinishNotStarted
 	FinishFailed
 	FinishCancelled
-	// FinishElsewhere is the end of a run that another scheduler counts from now on,
+	// FinishUntracked is the end of a run that another scheduler counts from now on,
 	// or whose outcome is unknown; it does not update any estimate.
-	FinishElsewhere
+	FinishUntracked
 )
 
 // Scheduler decides on generations: admission, then routing. It is safe for
--- a/internal/port/storerevision.go
+++ b/internal/port/storerevision.go
@@ -45,8 +45,8 @@
 // Revision returns the revision within the era.
 func (r StoreRevision) Revision() uint64 { return uint64(r) & maxRevision }
 
-// None returns the version that stands for an absent object in the era.
-func (r StoreRevision) None() StoreRevision { return r &^ maxRevision }
+// AbsentVersion returns the version that stands for an absent object in the era.
+func (r StoreRevision) AbsentVersion() StoreRevision { return r &^ maxRevision }
 
 // String returns both parts, for example 2/57.
 func (r StoreRevision) String() string {
--- a/internal/router/claims.go
+++ b/internal/router/claims.go
@@ -104,7 +104,7 @@
 // reports the outcome of that request.
 func (r *Router) duplicateKeyRefusal(ctx context.Context, holder *port.ClaimState) *Refusal {
 	o := claimedOutcome(holder.Outcome)
-	if holder.Outcome == port.ClaimedOnly {
+	if holder.Outcome == port.ClaimUnsettled {
 		// The router that serves the holder may already know an outcome that the
 		// platform hasn't stored yet.
 		if s, known := r.lookupStatus(ctx, holder.RequestID); known && s.State == RequestFinished {
--- a/internal/router/service_test.go
+++ b/internal/router/service_test.go
@@ -159,7 +159,7 @@
 	b := serviceFixture()
 	b.scriptBoth(okReply("x"))
 	key := newClaimKey("kegsetu", "k")
-	b.claimer.Held[key.hash] = port.ClaimState{KeyHash: key.hash, RequestID: "r9.gone", Outcome: port.ClaimedOnly}
+	b.claimer.Held[key.hash] = port.ClaimState{KeyHash: key.hash, RequestID: "r9.gone", Outcome: port.ClaimUnsettled}
 	_, refusal := b.call(http.MethodPost, "k", true)
 	if refusal == nil || refusal.Cause != CauseDuplicateKey || refusal.Outcome != outcome.Unknown || b.services.count() != 0 {
 		t.Fatalf("got refusal %+v after %d calls, want CauseDuplicateKey, outcome.Unknown, 0 calls", refusal, b.services.count())
--- a/internal/scheduling/client.go
+++ b/internal/scheduling/client.go
@@ -31,7 +31,7 @@
 // no answer.
 type Peer interface {
 	Place(ctx context.Context, r *port.GenerationRequest, onHold func(*port.Decision)) (port.Decision, error)
-	Relocate(ctx context.Context, run *port.RunningRequest, terms port.Relocation) (port.Decision, error)
+	Relocate(ctx context.Context, run *port.RunningRequest, terms port.RelocationConstraints) (port.Decision, error)
 	Update(ctx context.Context, adopted []port.RunningRequest, events []RunEvent) error
 	// Admit returns ErrNotAdmitting if the daemon's build does not support admission.
 	Admit(ctx context.Context, pool string, asks []ratelimit.Candidate, maxWait time.Duration) (ratelimit.Grant, error)
@@ -198,7 +198,7 @@
 }
 
 // Relocate chooses the runner that takes over a run.
-func (c *Client) Relocate(ctx context.Context, requestID string, terms port.Relocation) port.Decision {
+func (c *Client) Relocate(ctx context.Context, requestID string, terms port.RelocationConstraints) port.Decision {
 	run, ok := c.running(requestID)
 	if !ok {
 		return port.Decision{Verdict: port.VerdictRefuse, Reason: "no_longer_running"}
--- a/internal/scheduling/coordinator.go
+++ b/internal/scheduling/coordinator.go
@@ -160,7 +160,7 @@
 		if r.coordinator == coordinator.id {
 			continue
 		}
-		c.reportEvent(r, RunEvent{RequestID: r.running.Request.RequestID, Finish: port.FinishElsewhere})
+		c.reportEvent(r, RunEvent{RequestID: r.running.Request.RequestID, Finish: port.FinishUntracked})
 		r.coordinator, r.reportedAt = coordinator.id, c.opts.Clock()
 		if coordinator.id == c.opts.Self {
 			c.local.Update([]port.RunningRequest{r.running}, nil)
--- a/internal/scheduling/poolscheduler.go
+++ b/internal/scheduling/poolscheduler.go
@@ -91,7 +91,7 @@
 
 // Relocate chooses the runner that takes over a run. The scheduler adopts the run
 // first if it does not have it yet.
-func (b *PoolScheduler) Relocate(run *port.RunningRequest, terms port.Relocation) port.Decision {
+func (b *PoolScheduler) Relocate(run *port.RunningRequest, terms port.RelocationConstraints) port.Decision {
 	b.adopt(run)
 	return b.scheduler.Relocate(b.clock(), run.Request.RequestID, terms)
 }
@@ -143,7 +143,7 @@
 func (b *PoolScheduler) Expire() {
 	now := b.clock()
 	for _, id := range b.removeExpired(now) {
-		b.scheduler.Finished(now, id, 0, port.FinishElsewhere)
+		b.scheduler.Finished(now, id, 0, port.FinishUntracked)
 	}
 }
 
--- a/internal/scheduling/scheduling_test.go
+++ b/internal/scheduling/scheduling_test.go
@@ -125,7 +125,7 @@
 	return d, err
 }
 
-func (l *fakePeer) Relocate(_ context.Context, run *port.RunningRequest, terms port.Relocation) (port.Decision, error) {
+func (l *fakePeer) Relocate(_ context.Context, run *port.RunningRequest, terms port.RelocationConstraints) (port.Decision, error) {
 	var d port.Decision
 	err := l.call(func() { d = l.fleet.schedulers[l.to].Relocate(run, terms) })
 	return d, err
@@ -274,7 +274,7 @@
 	r := newRequest(now, fmt.Sprint("probe", now.UnixNano()), 5000)
 	d := b.Place(ctx, r, func(*port.Decision) { held = true })
 	if d.Verdict == port.VerdictPlace {
-		b.Update(nil, []RunEvent{{RequestID: r.RequestID, Finish: port.FinishElsewhere}})
+		b.Update(nil, []RunEvent{{RequestID: r.RequestID, Finish: port.FinishUntracked}})
 	}
 	return held
 }
@@ -350,7 +350,7 @@
 				open = append(open[:at], open[at+1:]...)
 			case action == 4 && len(open) > 0:
 				r := open[rapid.IntRange(0, len(open)-1).Draw(t, "run")]
-				d := f.clients[r.at].Relocate(context.Background(), r.id, port.Relocation{})
+				d := f.clients[r.at].Relocate(context.Background(), r.id, port.RelocationConstraints{})
 				moved := d.Verdict == port.VerdictPlace && rapid.Bool().Draw(t, "moved")
 				f.clients[r.at].Relocated(r.id, moved, d.Endpoint.ID)
 			case action == 5:
--- a/internal/testkit/fakes/claims.go
+++ b/internal/testkit/fakes/claims.go
@@ -32,7 +32,7 @@
 		return port.ClaimHeld, held, nil
 	}
 	c.Held[e.KeyHash] = port.ClaimState{
-		KeyHash: e.KeyHash, RequestID: e.RequestID, AttemptID: e.AttemptID, Outcome: port.ClaimedOnly,
+		KeyHash: e.KeyHash, RequestID: e.RequestID, AttemptID: e.AttemptID, Outcome: port.ClaimUnsettled,
 	}
 	return port.ClaimGranted, port.ClaimState{}, nil
 }
