--- a/cmd/dragonfly-router/assemble.go
+++ b/cmd/dragonfly-router/assemble.go
@@ -106,7 +106,7 @@
 // shutDown drains the router, then closes the listeners. The admin listener stays
 // open during the drain, so that operators can observe it.
 func (a *assembly) shutDown() {
-	a.logger.Info().Str("event", "draining").Int("open_requests", a.app.Open()).Msg("")
+	a.logger.Info().Str("event", "draining").Int("open_requests", a.app.OpenRequests()).Msg("")
 	a.app.Drain(context.Background())
 	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
@@ -116,5 +116,5 @@
 		}
 	}
 	a.system.close()
-	a.logger.Info().Str("event", "stopped").Int("open_requests", a.app.Open()).Msg("")
+	a.logger.Info().Str("event", "stopped").Int("open_requests", a.app.OpenRequests()).Msg("")
 }
--- a/cmd/dragonfly-router/settings.go
+++ b/cmd/dragonfly-router/settings.go
@@ -116,9 +116,9 @@
 		HoldLimit: s.HoldLimit, StallTimeout: s.StallTimeout,
 		CancelTimeout: s.CancelTimeout, CancelLimit: s.CancelLimit,
 		ServiceTimeout: s.ServiceTimeout, ClaimTimeout: s.ClaimTimeout, PeerTimeout: s.PeerTimeout,
-		BufferFrames: s.BufferFrames, ReaderPatience: s.ReaderPatience,
-		LoadInterval: s.LoadInterval, LoadStale: s.LoadStale, LoadSubset: s.LoadSubset, LoadPollsPerSecond: s.LoadPollsPerSecond,
+		BufferFrames: s.BufferFrames, SlowReaderTimeout: s.ReaderPatience,
+		LoadInterval: s.LoadInterval, LoadMaxAge: s.LoadStale, LoadSubset: s.LoadSubset, LoadPollsPerSecond: s.LoadPollsPerSecond,
 		EntryValidity: s.EntryValidity, DrainTimeout: s.DrainTimeout,
-		RememberRequests: s.RememberRequests, RememberReplies: s.RememberReplyBytes,
+		MaxRequestStatuses: s.RememberRequests, ReplyCacheBytes: s.RememberReplyBytes,
 	}, nil
 }
--- a/cmd/dragonfly-router/system.go
+++ b/cmd/dragonfly-router/system.go
@@ -100,7 +100,7 @@
 	if err != nil {
 		return err
 	}
-	service := &grpcpeer.RouterService{Snapshot: s.view.Snapshot, Lookup: app.LocalRequest}
+	service := &grpcpeer.RouterService{Snapshot: s.view.Snapshot, Lookup: app.LocalStatusJSON}
 	service.Register(s.server)
 	go func() {
 		if err := s.server.Serve(listener); err != nil {
--- a/internal/adapter/httpcaller/deadline_test.go
+++ b/internal/adapter/httpcaller/deadline_test.go
@@ -17,7 +17,7 @@
 // connection is open and occupy the run's slot. The write deadline ends it.
 func TestWriteTimeoutEndsStreamOfNonReadingCaller(t *testing.T) {
 	ended := make(chan error, 1)
-	a := &fakeApplication{generate: func(answer router.Answer) *router.Refusal {
+	a := &fakeApplication{generate: func(answer router.FrameWriter) *router.Refusal {
 		f := port.Frame{Generation: "g", Text: strings.Repeat("t", 32<<10)}
 		for ; ; f.Index++ {
 			err := answer.Frame("token", &f)
--- a/internal/adapter/httpcaller/httpcaller.go
+++ b/internal/adapter/httpcaller/httpcaller.go
@@ -20,8 +20,8 @@
 // Application processes the requests.
 type Application interface {
 	NewRequestID() string
-	Generate(ctx context.Context, r *router.GenerationRequest, a router.Answer) *router.Refusal
-	Resume(ctx context.Context, r *router.ResumeRequest, a router.Answer) *router.Refusal
+	Generate(ctx context.Context, r *router.GenerationRequest, a router.FrameWriter) *router.Refusal
+	Resume(ctx context.Context, r *router.ResumeRequest, a router.FrameWriter) *router.Refusal
 	Cancel(ctx context.Context, organisation, token string) (port.GenerationStatus, *router.Refusal)
 	CallService(ctx context.Context, r *router.ServiceRequest) (*router.ServiceReply, *router.Refusal)
 	LookupRequest(ctx context.Context, organisation, requestID, idempotencyKey string) router.RequestStatus
--- a/internal/adapter/httpcaller/httpcaller_test.go
+++ b/internal/adapter/httpcaller/httpcaller_test.go
@@ -25,7 +25,7 @@
 
 // fakeApplication implements Application with the functions that a test sets.
 type fakeApplication struct {
-	generate func(a router.Answer) *router.Refusal
+	generate func(a router.FrameWriter) *router.Refusal
 	resume   func(r *router.ResumeRequest) *router.Refusal
 	service  func(r *router.ServiceRequest) (*router.ServiceReply, *router.Refusal)
 	leaving  bool
@@ -33,11 +33,11 @@
 
 func (*fakeApplication) NewRequestID() string { return "router-1.1" }
 
-func (a *fakeApplication) Generate(_ context.Context, _ *router.GenerationRequest, answer router.Answer) *router.Refusal {
+func (a *fakeApplication) Generate(_ context.Context, _ *router.GenerationRequest, answer router.FrameWriter) *router.Refusal {
 	return a.generate(answer)
 }
 
-func (a *fakeApplication) Resume(_ context.Context, r *router.ResumeRequest, _ router.Answer) *router.Refusal {
+func (a *fakeApplication) Resume(_ context.Context, r *router.ResumeRequest, _ router.FrameWriter) *router.Refusal {
 	return a.resume(r)
 }
 
@@ -126,7 +126,7 @@
 
 const validBody = `{"model":"m","prompt":"p","stream":true}`
 
-func writeFrames(a router.Answer, from, to int) {
+func writeFrames(a router.FrameWriter, from, to int) {
 	for i := from; i < to; i++ {
 		_ = a.Frame("tok", &port.Frame{Index: i, Text: "t"})
 	}
@@ -145,7 +145,7 @@
 }
 
 func TestStreamWritesEvents(t *testing.T) {
-	server := serve(t, &fakeApplication{generate: func(a router.Answer) *router.Refusal {
+	server := serve(t, &fakeApplication{generate: func(a router.FrameWriter) *router.Refusal {
 		writeFrames(a, 0, 2)
 		_ = a.Frame("tok", &port.Frame{Index: 2, FinishReason: "stop", TokenCount: 2})
 		return nil
@@ -164,7 +164,7 @@
 // later one is an error event whose ID lets the caller resume.
 func TestRefusalsBeforeAndAfterTheFirstEvent(t *testing.T) {
 	failAfterStart := false
-	server := serve(t, &fakeApplication{generate: func(a router.Answer) *router.Refusal {
+	server := serve(t, &fakeApplication{generate: func(a router.FrameWriter) *router.Refusal {
 		if failAfterStart {
 			writeFrames(a, 0, 3)
 			return &router.Refusal{
@@ -285,7 +285,7 @@
 // A router that shuts down closes kept-alive connections; their callers would
 // otherwise never look up another router.
 func TestShutdownClosesConnections(t *testing.T) {
-	a := &fakeApplication{generate: func(a router.Answer) *router.Refusal {
+	a := &fakeApplication{generate: func(a router.FrameWriter) *router.Refusal {
 		_ = a.Frame("tok", &port.Frame{Index: 0, FinishReason: "stop"})
 		return nil
 	}}
--- a/internal/adapter/httpcaller/status.go
+++ b/internal/adapter/httpcaller/status.go
@@ -13,7 +13,7 @@
 	switch r.Cause {
 	case router.CauseBadToken:
 		return http.StatusForbidden
-	case router.CauseGenerationGone:
+	case router.CauseGenerationNotHeld:
 		return http.StatusGone
 	case router.CauseDuplicateKey, router.CauseKeyExpired:
 		return http.StatusConflict
--- a/internal/router/attempt.go
+++ b/internal/router/attempt.go
@@ -9,8 +9,8 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// Answer writes a generation's frames to its caller.
-type Answer interface {
+// FrameWriter writes a generation's frames to its caller.
+type FrameWriter interface {
 	// Frame writes one frame with the resume token of its run. It may buffer the
 	// frame until Flush. An error means that the caller has disconnected.
 	Frame(token string, f *port.Frame) error
@@ -25,7 +25,7 @@
 type attempt struct {
 	r           *Router
 	machine     *stream.Machine
-	answer      Answer
+	answer      FrameWriter
 	endpoint    port.Endpoint
 	start       *port.GenerationStart
 	resumeToken string
@@ -115,7 +115,7 @@
 }
 
 func (a *attempt) startReading(s port.FrameStream) stream.Event {
-	a.pump = startPump(s, a.r.o.BufferFrames, a.r.o.ReaderPatience)
+	a.pump = startPump(s, a.r.o.BufferFrames, a.r.o.SlowReaderTimeout)
 	return stream.Event{Kind: stream.EventOpened}
 }
 
--- a/internal/router/fake_test.go
+++ b/internal/router/fake_test.go
@@ -240,7 +240,7 @@
 	if !ok {
 		return nil, false, errors.New("no router has this address")
 	}
-	raw, found := r.LocalRequest(id)
+	raw, found := r.LocalStatusJSON(id)
 	return raw, found, nil
 }
 
@@ -280,8 +280,8 @@
 		RetryShare: 0.1, RetryBurst: 10, MaxAttempts: 3, MaxOpen: 100,
 		HoldLimit: testTimeout, StallTimeout: testTimeout, CancelTimeout: testTimeout, CancelLimit: time.Hour,
 		ServiceTimeout: testTimeout, ClaimTimeout: testTimeout, PeerTimeout: testTimeout,
-		BufferFrames: 4, ReaderPatience: testTimeout, LoadInterval: time.Hour, LoadStale: time.Hour, LoadSubset: 8,
-		EntryValidity: time.Millisecond, DrainTimeout: testTimeout, RememberRequests: 1024, RememberReplies: 1 << 20,
+		BufferFrames: 4, SlowReaderTimeout: testTimeout, LoadInterval: time.Hour, LoadMaxAge: time.Hour, LoadSubset: 8,
+		EntryValidity: time.Millisecond, DrainTimeout: testTimeout, MaxRequestStatuses: 1024, ReplyCacheBytes: 1 << 20,
 	}
 }
 
@@ -314,7 +314,7 @@
 	return false
 }
 
-func (b *fixture) generate(a Answer, nonIdempotent bool) *Refusal {
+func (b *fixture) generate(a FrameWriter, nonIdempotent bool) *Refusal {
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	return b.Generate(ctx, &GenerationRequest{
--- a/internal/router/generate.go
+++ b/internal/router/generate.go
@@ -38,7 +38,7 @@
 type generation struct {
 	r                *Router
 	req              *GenerationRequest
-	answer           Answer
+	answer           FrameWriter
 	schedulerRequest port.GenerationRequest
 	ledger           outcome.Ledger
 	status           RequestStatus
@@ -57,7 +57,7 @@
 // Generate serves one request. It returns nil once the caller has the complete
 // answer, otherwise a refusal. If tokens were already delivered, the refusal's
 // LastIndex is the index of the last one.
-func (r *Router) Generate(ctx context.Context, req *GenerationRequest, answer Answer) *Refusal {
+func (r *Router) Generate(ctx context.Context, req *GenerationRequest, answer FrameWriter) *Refusal {
 	if refusal := r.admit(req.RequestID); refusal != nil {
 		return refusal
 	}
@@ -81,7 +81,7 @@
 	return newClaimKey(req.Organisation, req.IdempotencyKey)
 }
 
-func (r *Router) newGeneration(req *GenerationRequest, answer Answer) *generation {
+func (r *Router) newGeneration(req *GenerationRequest, answer FrameWriter) *generation {
 	now := r.Clock()
 	g := &generation{r: r, req: req, answer: answer, print: req.crashFingerprint()}
 	g.ledger.Idempotent = !req.NonIdempotent
--- a/internal/router/generate_test.go
+++ b/internal/router/generate_test.go
@@ -135,7 +135,7 @@
 // caller has read them.
 func TestSlowCallerIsDisconnectedFromEngineAndResumed(t *testing.T) {
 	o := testOptions("r1")
-	o.ReaderPatience = time.Millisecond
+	o.SlowReaderTimeout = time.Millisecond
 	b := newFixture(o, runner("e1"))
 	closed := make(chan struct{})
 	b.engine.OnStart = append(b.engine.OnStart, func(s *port.GenerationStart) (port.FrameStream, error) {
@@ -145,7 +145,7 @@
 		// From here on the caller reads normally. On a busy machine it may be late by
 		// more than a millisecond, and this test must not fail because of a second
 		// drop.
-		b.Router.o.ReaderPatience = testTimeout
+		b.Router.o.SlowReaderTimeout = testTimeout
 		return fakes.Rest(100)(generation, from)
 	})
 	r := &fakeCaller{onFrame: func(f *port.Frame) error {
@@ -154,7 +154,7 @@
 		}
 		return nil
 	}}
-	b.Router.o.ReaderPatience = time.Millisecond
+	b.Router.o.SlowReaderTimeout = time.Millisecond
 	done := make(chan *Refusal, 1)
 	go func() { done <- b.generate(r, false) }()
 	select {
@@ -305,7 +305,7 @@
 		EndpointID: "e1", Address: "127.0.0.1:1", Generation: "r9.x.1", Organisation: "kegsetu",
 	})
 	refusal := b.Resume(context.Background(), &ResumeRequest{RequestID: b.NewRequestID(), Organisation: "kegsetu", Token: token, From: 3}, &fakeCaller{})
-	if refusal == nil || refusal.Cause != CauseGenerationGone || refusal.Outcome != outcome.Failed {
+	if refusal == nil || refusal.Cause != CauseGenerationNotHeld || refusal.Outcome != outcome.Failed {
 		t.Fatalf("got refusal %+v, want CauseGenerationGone, outcome.Failed", refusal)
 	}
 }
@@ -345,7 +345,7 @@
 	second.Ports.Claimer = first.claimer
 	first.engine.OnStart = append(first.engine.OnStart, fakes.Whole(3))
 	second.engine.OnStart = append(second.engine.OnStart, fakes.Whole(3))
-	generate := func(b *fixture, a Answer) *Refusal {
+	generate := func(b *fixture, a FrameWriter) *Refusal {
 		return b.Generate(t.Context(), &GenerationRequest{
 			RequestID: b.NewRequestID(), Organisation: "kegsetu", Model: "m", Prompt: "p",
 			IdempotencyKey: "k", NonIdempotent: true,
--- a/internal/router/lifecycle.go
+++ b/internal/router/lifecycle.go
@@ -117,8 +117,8 @@
 // whatever started it.
 func (r *Router) Draining() <-chan struct{} { return r.lifecycle.drainStarted }
 
-// Open returns the number of open requests.
-func (r *Router) Open() int {
+// OpenRequests returns the number of open requests.
+func (r *Router) OpenRequests() int {
 	r.lifecycle.mu.Lock()
 	defer r.lifecycle.mu.Unlock()
 	return r.lifecycle.open
--- a/internal/router/loads.go
+++ b/internal/router/loads.go
@@ -91,7 +91,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	stale := slices.DeleteFunc(candidates, func(e port.Endpoint) bool {
-		return now.Sub(l.lastReport[e.ID]) <= l.r.o.LoadStale
+		return now.Sub(l.lastReport[e.ID]) <= l.r.o.LoadMaxAge
 	})
 	slices.SortStableFunc(stale, func(a, b port.Endpoint) int {
 		return l.lastReport[a.ID].Compare(l.lastReport[b.ID])
@@ -172,7 +172,7 @@
 
 func (l *loadPoller) poll(ctx context.Context, e port.Endpoint) {
 	// An endpoint that is slow to answer must not delay the round.
-	ctx, cancel := context.WithTimeout(ctx, l.r.o.LoadStale)
+	ctx, cancel := context.WithTimeout(ctx, l.r.o.LoadMaxAge)
 	defer cancel()
 	var report port.LoadReport
 	var err error
--- a/internal/router/loads_test.go
+++ b/internal/router/loads_test.go
@@ -17,7 +17,7 @@
 func (p fakePreferences) Preferred() []string { return p.ids }
 
 func newTestPoller(runners int, preferred ...string) *loadPoller {
-	r := &Router{o: Options{ID: "router-1", LoadStale: time.Second, LoadSubset: 64, LoadPollsPerSecond: 3}}
+	r := &Router{o: Options{ID: "router-1", LoadMaxAge: time.Second, LoadSubset: 64, LoadPollsPerSecond: 3}}
 	r.Scheduler = fakePreferences{ids: preferred}
 	t := &eligibleEndpoints{}
 	for i := range runners {
--- a/internal/router/lookup.go
+++ b/internal/router/lookup.go
@@ -28,9 +28,9 @@
 	return unknownRequest(requestID, "the router that decided is gone or no longer remembers it; it may or may not have run")
 }
 
-// LocalRequest returns the status of a request that this router served as JSON, for
+// LocalStatusJSON returns the status of a request that this router served as JSON, for
 // a peer, and false if it has no record of the request.
-func (r *Router) LocalRequest(requestID string) ([]byte, bool) {
+func (r *Router) LocalStatusJSON(requestID string) ([]byte, bool) {
 	s, known := r.statuses.get(requestID)
 	if !known {
 		return nil, false
--- a/internal/router/resume.go
+++ b/internal/router/resume.go
@@ -20,7 +20,7 @@
 
 // Resume continues the stream of a run that any router may have dispatched. It
 // neither dispatches nor cancels, so it can't start a second generation.
-func (r *Router) Resume(ctx context.Context, req *ResumeRequest, answer Answer) *Refusal {
+func (r *Router) Resume(ctx context.Context, req *ResumeRequest, answer FrameWriter) *Refusal {
 	if refusal := r.admit(req.RequestID); refusal != nil {
 		return refusal
 	}
@@ -96,7 +96,7 @@
 		Cause: CauseEndpointFailed, Outcome: outcome.Failed, Detail: result.reason, LastIndex: m.Next() - 1,
 	}
 	if result.fate == stream.OutcomeRan {
-		refusal.Cause = CauseGenerationGone
+		refusal.Cause = CauseGenerationNotHeld
 	}
 	if result.fate == stream.OutcomeDetached {
 		// The engine may still hold the generation, and another router may reach the
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -110,13 +110,13 @@
 	PeerTimeout time.Duration
 	// BufferFrames bounds the frames buffered for a caller.
 	BufferFrames int
-	// ReaderPatience is how long a full frame buffer may go unread before the
+	// SlowReaderTimeout is how long a full frame buffer may go unread before the
 	// connection to the engine is closed.
-	ReaderPatience time.Duration
+	SlowReaderTimeout time.Duration
 	// LoadInterval is the time between rounds of load polling. A round polls
 	// endpoints whose last report is older than LoadStale.
 	LoadInterval time.Duration
-	LoadStale    time.Duration
+	LoadMaxAge    time.Duration
 	// LoadSubset bounds the number of runners, and likewise of service endpoints,
 	// that this router polls.
 	LoadSubset int
@@ -127,10 +127,10 @@
 	// DrainTimeout bounds a graceful shutdown; see Router.Drain for the grace period
 	// after it.
 	DrainTimeout time.Duration
-	// RememberRequests bounds the number of request statuses kept.
-	RememberRequests int
-	// RememberReplies bounds the stored replies of keyed calls, in bytes.
-	RememberReplies int
+	// MaxRequestStatuses bounds the number of request statuses kept.
+	MaxRequestStatuses int
+	// ReplyCacheBytes bounds the stored replies of keyed calls, in bytes.
+	ReplyCacheBytes int
 }
 
 // Router admits requests, places them on endpoints and tracks them to their end.
@@ -170,11 +170,11 @@
 	r := &Router{
 		Ports:      p,
 		o:          o,
-		statuses:   newStatusStore(o.RememberRequests),
-		replyCache: newReplyCache(o.RememberReplies),
+		statuses:   newStatusStore(o.MaxRequestStatuses),
+		replyCache: newReplyCache(o.ReplyCacheBytes),
 		breakers:   breaker.NewSet(o.Breaker),
 		budget:     breaker.NewBudget(o.RetryShare, float64(o.RetryBurst)),
-		balancer:   balance.New(balance.Options{Draw: randIntN, ReportMaxAge: 10 * o.LoadStale}),
+		balancer:   balance.New(balance.Options{Draw: randIntN, ReportMaxAge: 10 * o.LoadMaxAge}),
 		metrics:    newInstruments(p.Metrics),
 	}
 	r.crashWatch = r.newCrashWatch()
