--- a/cmd/dragonfly-entry/assemble.go
+++ b/cmd/dragonfly-entry/assemble.go
@@ -72,7 +72,7 @@
 	// routers.
 	scheduler := routing.NewScheduler(routing.Options{RouterID: s.ID, BusyThreshold: busyThreshold, PrefillBacklogLimit: prefillBacklogLimit})
 	pools := scheduling.NewPoolScheduler(scheduler, nil)
-	registry.GetOrRegister("scheduling_runs_held", gometrics.NewFunctionalGauge(func() int64 { return int64(pools.Held()) }))
+	registry.GetOrRegister("scheduling_runs_held", gometrics.NewFunctionalGauge(func() int64 { return int64(pools.RunCount()) }))
 	a.placer = scheduling.NewClient(scheduling.Options{
 		Self: s.ID, Members: a.keeper, Logger: logger,
 		Dial: func(address string) scheduling.Peer { return grpcpeer.DialScheduling(address) },
--- a/internal/adapter/grpcpeer/scheduling.go
+++ b/internal/adapter/grpcpeer/scheduling.go
@@ -190,7 +190,7 @@
 	})
 	switch {
 	case status.Code(err) == codes.Unimplemented:
-		return ratelimit.Grant{}, scheduling.ErrNotAdmitting
+		return ratelimit.Grant{}, scheduling.ErrAdmissionUnsupported
 	case err != nil:
 		return ratelimit.Grant{}, merry.Prepend(ErrPeerLost, err.Error())
 	}
--- a/internal/adapter/grpcpeer/scheduling_test.go
+++ b/internal/adapter/grpcpeer/scheduling_test.go
@@ -75,7 +75,7 @@
 	peer := startSchedulingServer(t, func(r grpc.ServiceRegistrar) {
 		peerv1.RegisterSchedulingServer(r, peerv1.UnimplementedSchedulingServer{})
 	})
-	if _, err := peer.Admit(t.Context(), "pool", nil, 0); !errors.Is(err, scheduling.ErrNotAdmitting) {
+	if _, err := peer.Admit(t.Context(), "pool", nil, 0); !errors.Is(err, scheduling.ErrAdmissionUnsupported) {
 		t.Fatalf("got %v, want ErrNotAdmitting", err)
 	}
 }
@@ -121,7 +121,7 @@
 	if d := <-placed; d.Verdict != port.VerdictPlace || d.Reason != routing.ReasonReleased {
 		t.Fatalf("got decision %+v after the first run ended, want a placement on release", d)
 	}
-	if n := pools.Held(); n != 1 {
+	if n := pools.RunCount(); n != 1 {
 		t.Fatalf("the scheduler tracks %d runs, want only the second", n)
 	}
 }
@@ -132,8 +132,8 @@
 func TestAdoptAndRelocateOverGRPC(t *testing.T) {
 	pools, peer := startScheduler(t)
 	run := port.RunningRequest{Request: *generation("run", 100), EndpointID: "e", Tokens: 40}
-	if err := peer.Update(t.Context(), []port.RunningRequest{run}, nil); err != nil || pools.Held() != 1 {
-		t.Fatalf("the scheduler tracks %d runs, error %v, want 1", pools.Held(), err)
+	if err := peer.Update(t.Context(), []port.RunningRequest{run}, nil); err != nil || pools.RunCount() != 1 {
+		t.Fatalf("the scheduler tracks %d runs, error %v, want 1", pools.RunCount(), err)
 	}
 	d, err := peer.Relocate(t.Context(), &run, port.RelocationConstraints{FailureDomain: "d"})
 	if err != nil || d.Verdict != port.VerdictRefuse || d.Reason != routing.ReasonRefusedNoCapacity {
--- a/internal/scheduling/admit.go
+++ b/internal/scheduling/admit.go
@@ -9,9 +9,9 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// ErrNotAdmitting is returned for a coordinator of a build that does not support
+// ErrAdmissionUnsupported is returned for a coordinator of a build that does not support
 // admission.
-var ErrNotAdmitting = errors.New("the pool's coordinator does not admit requests")
+var ErrAdmissionUnsupported = errors.New("the pool's coordinator does not admit requests")
 
 // Admission is the result of a request for admission.
 type Admission struct {
@@ -33,7 +33,7 @@
 		if err == nil {
 			return Admission{Grant: grant, Coordinator: coordinator.id}
 		}
-		if ctx.Err() != nil || errors.Is(err, ErrNotAdmitting) {
+		if ctx.Err() != nil || errors.Is(err, ErrAdmissionUnsupported) {
 			break
 		}
 		c.handlePeerFailure(coordinator, err)
--- a/internal/scheduling/poolscheduler.go
+++ b/internal/scheduling/poolscheduler.go
@@ -182,8 +182,8 @@
 	delete(b.lastReport, requestID)
 }
 
-// Held returns the number of runs that are tracked.
-func (b *PoolScheduler) Held() int {
+// RunCount returns the number of runs that are tracked.
+func (b *PoolScheduler) RunCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.lastReport)
--- a/internal/scheduling/scheduling_test.go
+++ b/internal/scheduling/scheduling_test.go
@@ -137,7 +137,7 @@
 
 func (l *fakePeer) Admit(_ context.Context, pool string, asks []ratelimit.Candidate, maxWait time.Duration) (ratelimit.Grant, error) {
 	if l.fleet.noAdmission[l.to] {
-		return ratelimit.Grant{}, ErrNotAdmitting
+		return ratelimit.Grant{}, ErrAdmissionUnsupported
 	}
 	var g ratelimit.Grant
 	err := l.call(func() { g = l.fleet.clients[l.to].AdmitLocally(pool, asks, maxWait) })
@@ -233,7 +233,7 @@
 	if successor == coordinator {
 		t.Fatal("a daemon that is down is still the coordinator")
 	}
-	if n := f.schedulers[successor].Held(); n != 9 {
+	if n := f.schedulers[successor].RunCount(); n != 9 {
 		t.Fatalf("the new coordinator tracks %d runs, want 9", n)
 	}
 }
@@ -255,13 +255,13 @@
 	}
 	f.clock.advance(runExpiry - time.Millisecond)
 	b.Expire()
-	if b.Held() == 0 {
+	if b.RunCount() == 0 {
 		t.Fatal("runs expired before runExpiry")
 	}
 	f.clock.advance(time.Millisecond)
 	b.Expire()
-	if b.Held() != 0 || b.isFull(t, f.clock.Now()) {
-		t.Fatalf("%d runs remain or the runners are full after runExpiry", b.Held())
+	if b.RunCount() != 0 || b.isFull(t, f.clock.Now()) {
+		t.Fatalf("%d runs remain or the runners are full after runExpiry", b.RunCount())
 	}
 }
 
@@ -300,7 +300,7 @@
 		return fault
 	}
 	client.Place(t.Context(), newRequest(f.clock.Now(), "lost", 100), ignoreHold)
-	if n := f.schedulers[coordinator].Held(); n != 2 {
+	if n := f.schedulers[coordinator].RunCount(); n != 2 {
 		t.Fatalf("the coordinator tracks %d runs, want 2: the reported run and the one whose reply was lost", n)
 	}
 	client.Finished("lost", 0, port.FinishDone)
@@ -309,7 +309,7 @@
 		f.exchangeUpdates()
 		f.schedulers[coordinator].Expire()
 	}
-	if n := f.schedulers[coordinator].Held(); n != 1 {
+	if n := f.schedulers[coordinator].RunCount(); n != 1 {
 		t.Fatalf("the coordinator tracks %d runs, want only the reported run", n)
 	}
 }
@@ -378,7 +378,7 @@
 		f.clock.advance(runExpiry)
 		for _, name := range f.names {
 			f.schedulers[name].Expire()
-			if n := f.schedulers[name].Held(); n != 0 {
+			if n := f.schedulers[name].RunCount(); n != 0 {
 				t.Fatalf("scheduler %s tracks %d runs after all have ended", name, n)
 			}
 			if n := f.routingSchedulers[name].RunCount(); n != 0 {
@@ -405,7 +405,7 @@
 			t.Errorf("daemon %s: first attempt at %s, second attempt verdict %s at %q, reason %q", name, first.Endpoint.ID, second.Verdict, second.Endpoint.ID, second.Reason)
 		}
 		f.exchangeUpdates()
-		if held := f.schedulers[coordinator].Held(); held != 1 {
+		if held := f.schedulers[coordinator].RunCount(); held != 1 {
 			t.Errorf("daemon %s: the coordinator tracks %d runs, want 1", name, held)
 		}
 		f.clients[name].Finished(r.RequestID, 1, port.FinishDone)
