--- a/cmd/dragonfly-standin/commands.go
+++ b/cmd/dragonfly-standin/commands.go
@@ -101,8 +101,8 @@
 		ReportLag: c.ReportLag, CacheEventLag: c.CacheEventLag, CacheEventGap: c.CacheEventGap,
 		Retention: c.Retention, WeightsURL: c.Weights, Seed: c.Seed,
 		// A reclaimed engine exits without ending its streams.
-		Reclaimed: func() { os.Exit(daemon.ExitOK) },
-		Crashed:   func() { os.Exit(exitCrashed) },
+		OnReclaim: func() { os.Exit(daemon.ExitOK) },
+		OnCrash:   func() { os.Exit(exitCrashed) },
 	}
 	for model, version := range c.Models {
 		o.Models = append(o.Models, port.ModelVersion{Model: model, Version: version})
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -50,12 +50,12 @@
 	WeightsURL string
 	// Seed seeds the random output lengths.
 	Seed uint64
-	// Reclaimed is called when the notice period of a reclaim has passed. It
+	// OnReclaim is called when the notice period of a reclaim has passed. It
 	// is expected to end the process.
-	Reclaimed func()
-	// Crashed ends the process. It is called after the start of a generation
+	OnReclaim func()
+	// OnCrash ends the process. It is called after the start of a generation
 	// whose prompt contains CrashMark. If it is nil, such prompts run normally.
-	Crashed func()
+	OnCrash func()
 }
 
 // CrashMark in a prompt crashes the engine that runs it.
@@ -67,8 +67,8 @@
 // scheduleCrash ends the process after crashDelay if the prompt contains
 // CrashMark.
 func (e *Engine) scheduleCrash(prompt string) {
-	if e.options.Crashed != nil && strings.Contains(prompt, CrashMark) {
-		time.AfterFunc(crashDelay, e.options.Crashed)
+	if e.options.OnCrash != nil && strings.Contains(prompt, CrashMark) {
+		time.AfterFunc(crashDelay, e.options.OnCrash)
 	}
 }
 
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -290,7 +290,7 @@
 
 func TestReclaimSetsLeavingAndCallsReclaimed(t *testing.T) {
 	ended := make(chan struct{})
-	e, url := serve(t, func(o *Options) { o.Reclaimed = func() { close(ended) } })
+	e, url := serve(t, func(o *Options) { o.OnReclaim = func() { close(ended) } })
 	res, err := http.Post(url+"/standin/reclaim", "application/json", strings.NewReader(`{"notice_ms":1}`))
 	if err != nil {
 		t.Fatal(err)
@@ -403,7 +403,7 @@
 		if code != http.StatusOK || state.LastFence != 5 || len(state.Models[0].Adapters) != 1 {
 			t.Errorf("fences %v: adapter order: status %d, state %+v", fences, code, state)
 		}
-		var applied TakenOrders
+		var applied AppliedOrders
 		if err := json.NewDecoder(get(t, url+"/standin/orders").Body).Decode(&applied); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/standin/engine/faults.go
+++ b/internal/standin/engine/faults.go
@@ -46,8 +46,8 @@
 		return
 	}
 	e.faults.Update(func(f *Faults) { f.Leaving = true })
-	if e.options.Reclaimed != nil {
-		time.AfterFunc(time.Duration(body.NoticeMillis)*time.Millisecond, e.options.Reclaimed)
+	if e.options.OnReclaim != nil {
+		time.AfterFunc(time.Duration(body.NoticeMillis)*time.Millisecond, e.options.OnReclaim)
 	}
 	switches.WriteJSON(w, http.StatusOK, body)
 }
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -17,9 +17,9 @@
 // maxApplied bounds the orders that GET /standin/orders can return.
 const maxApplied = 1000
 
-// TakenOrders is the response to GET /standin/orders: the newest orders that
+// AppliedOrders is the response to GET /standin/orders: the newest orders that
 // the runner has applied, oldest first.
-type TakenOrders struct {
+type AppliedOrders struct {
 	Orders []port.Order `json:"orders"`
 }
 
@@ -195,7 +195,7 @@
 	e.orders.mu.Lock()
 	applied := append([]port.Order{}, e.orders.applied...)
 	e.orders.mu.Unlock()
-	switches.WriteJSON(w, http.StatusOK, TakenOrders{Orders: applied})
+	switches.WriteJSON(w, http.StatusOK, AppliedOrders{Orders: applied})
 }
 
 func (e *Engine) serveState(w http.ResponseWriter, _ *http.Request) {
--- a/test/keeper_test.go
+++ b/test/keeper_test.go
@@ -76,7 +76,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var taken engine.TakenOrders
+		var taken engine.AppliedOrders
 		if err := reply.Decode(&taken); err != nil {
 			t.Fatal(err)
 		}
