--- a/internal/placement/fake_test.go
+++ b/internal/placement/fake_test.go
@@ -110,7 +110,7 @@
 		s.leasePass(i)
 		s.pass(i)
 	}
-	s.fleet.Finish()
+	s.fleet.FinishLoads()
 	s.advance(2 * time.Second)
 }
 
--- a/internal/placement/oracle_test.go
+++ b/internal/placement/oracle_test.go
@@ -98,7 +98,7 @@
 	case action == "lose":
 		m.platform.loseReply = true
 	case action == "finish":
-		m.fleet.Finish()
+		m.fleet.FinishLoads()
 	case action == "deliver":
 		m.deliverDelayed(len(m.delayed))
 	case action == "restart":
@@ -138,9 +138,9 @@
 
 func (m *stateMachine) check() {
 	for id, r := range m.fleet.Runners {
-		for i := 1; i < len(r.Heard); i++ {
-			if r.Heard[i] < r.Heard[i-1] {
-				m.t.Fatalf("runner %s carried out an order with fencing number %d after %d", id, r.Heard[i], r.Heard[i-1])
+		for i := 1; i < len(r.AppliedFences); i++ {
+			if r.AppliedFences[i] < r.AppliedFences[i-1] {
+				m.t.Fatalf("runner %s carried out an order with fencing number %d after %d", id, r.AppliedFences[i], r.AppliedFences[i-1])
 			}
 		}
 	}
@@ -163,7 +163,7 @@
 			m.pass(i)
 		}
 		m.check()
-		m.fleet.Finish()
+		m.fleet.FinishLoads()
 		m.advance(2 * time.Second)
 	}
 	if serving, current := m.fleet.Serving("m", "final"); serving != 2 || current != 2 {
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -26,15 +26,15 @@
 		if n := s.fleet.Loading(); n > 2 {
 			t.Fatalf("%d loads at the same time, the budget is 2", n)
 		}
-		s.fleet.Finish()
+		s.fleet.FinishLoads()
 		s.leasePass(0)
 	}
 	if _, current := s.fleet.Serving("m", "1"); current != 5 {
 		t.Fatalf("%d replicas serve version 1, want 5", current)
 	}
-	sentBefore := s.fleet.Sent
+	sentBefore := s.fleet.OrderCalls
 	s.pass(0)
-	if s.fleet.Sent != sentBefore {
+	if s.fleet.OrderCalls != sentBefore {
 		t.Fatal("orders were sent after convergence")
 	}
 	orders, refusals := 0, 0
@@ -79,7 +79,7 @@
 		}
 	}
 	s.pass(0)
-	if s.fleet.Sent != 0 {
+	if s.fleet.OrderCalls != 0 {
 		t.Fatal("an order was sent after the lease expired")
 	}
 }
@@ -90,7 +90,7 @@
 	s := oneRunner(t, 1, false, "1")
 	s.ready = false
 	s.pass(0)
-	if s.fleet.Sent != 0 {
+	if s.fleet.OrderCalls != 0 {
 		t.Fatal("an order was sent on incomplete records")
 	}
 }
@@ -105,12 +105,12 @@
 	s.advance(testTerms.OrderTimeout + testTerms.Margin)
 	s.leasePass(1)
 	s.pass(0)
-	if s.fleet.Sent != 0 {
+	if s.fleet.OrderCalls != 0 {
 		t.Fatal("the former holder sent an order")
 	}
 	s.pass(1)
-	if s.fleet.Sent != 1 {
-		t.Fatalf("%d orders sent, want 1 by the successor", s.fleet.Sent)
+	if s.fleet.OrderCalls != 1 {
+		t.Fatalf("%d orders sent, want 1 by the successor", s.fleet.OrderCalls)
 	}
 }
 
@@ -125,14 +125,14 @@
 	s.members = s.members[1:]
 	s.acquireLease(t, 1)
 	s.pass(1)
-	if s.fleet.Sent != 1 {
-		t.Fatalf("%d orders, want the first one only", s.fleet.Sent)
+	if s.fleet.OrderCalls != 1 {
+		t.Fatalf("%d orders, want the first one only", s.fleet.OrderCalls)
 	}
 	ledger, _, err := s.loops[1].ledger.read(context.Background())
 	if err != nil || len(ledger.Permits) != 1 {
 		t.Fatalf("ledger %+v, error %v, want one permit", ledger, err)
 	}
-	s.fleet.Finish()
+	s.fleet.FinishLoads()
 	s.pass(1)
 	if ledger, _, _ = s.loops[1].ledger.read(context.Background()); len(ledger.Permits) != 0 {
 		t.Fatalf("the permit was not released after the load: %+v", ledger.Permits)
@@ -181,15 +181,15 @@
 		s.advance(2 * time.Second)
 		s.leasePass(0)
 		s.pass(0)
-		if s.fleet.Sent != 1 {
+		if s.fleet.OrderCalls != 1 {
 			t.Fatal("a second order was sent while the first may still arrive")
 		}
 	}
 	s.advance(time.Second)
 	s.leasePass(0)
 	s.pass(0)
-	if s.fleet.Sent != 2 {
-		t.Fatalf("%d orders sent", s.fleet.Sent)
+	if s.fleet.OrderCalls != 2 {
+		t.Fatalf("%d orders sent", s.fleet.OrderCalls)
 	}
 }
 
@@ -199,7 +199,7 @@
 func TestRolloutKeepsLastReadyRunner(t *testing.T) {
 	s := oneRunner(t, 1, false, "2", "m")
 	s.pass(0)
-	if s.fleet.Sent != 0 {
+	if s.fleet.OrderCalls != 0 {
 		t.Fatal("an order was sent to the last ready runner")
 	}
 	decisions := s.decisions(0)
@@ -213,7 +213,7 @@
 		if serving, _ := s.fleet.Serving("m", "2"); serving == 0 {
 			t.Fatal("no runner serves the model")
 		}
-		s.fleet.Finish()
+		s.fleet.FinishLoads()
 	}
 	if serving, current := s.fleet.Serving("m", "2"); serving != 1 || current != 1 {
 		t.Fatalf("%d runners serve the model, %d of them in the new version, want 1 of 1", serving, current)
@@ -268,14 +268,14 @@
 	s.leasePass(0)
 	s.deploy(deploymentRecord("m", "1", 0, 1))
 	s.pass(0)
-	if s.fleet.Sent != 0 {
+	if s.fleet.OrderCalls != 0 {
 		t.Fatal("an order was sent without a valid lease")
 	}
 	s.platform.down = false
 	s.acquireLease(t, 0)
 	s.pass(0)
-	if s.fleet.Sent != 1 {
-		t.Fatalf("%d orders after the outage", s.fleet.Sent)
+	if s.fleet.OrderCalls != 1 {
+		t.Fatalf("%d orders after the outage", s.fleet.OrderCalls)
 	}
 }
 
@@ -342,20 +342,20 @@
 	s := oneRunner(t, 1, false, "1", "m")
 	ctx := context.Background()
 	s.loops[0].tick(ctx)
-	askedBefore := s.fleet.Asked
+	askedBefore := s.fleet.StateReads
 	for range 5 {
 		s.advance(DefaultInterval)
 		s.leasePass(0)
 		s.loops[0].tick(ctx)
 	}
-	if s.fleet.Asked != askedBefore {
-		t.Fatalf("%d state reads while nothing changed", s.fleet.Asked-askedBefore)
+	if s.fleet.StateReads != askedBefore {
+		t.Fatalf("%d state reads while nothing changed", s.fleet.StateReads-askedBefore)
 	}
 	s.advance(DefaultIdleInterval)
 	s.leasePass(0)
 	s.leasePass(0)
 	s.loops[0].tick(ctx)
-	if s.fleet.Asked == askedBefore {
+	if s.fleet.StateReads == askedBefore {
 		t.Fatal("no state was read after IdleInterval")
 	}
 	r := deploymentRecord("m", "1", 0, 1)
@@ -364,7 +364,7 @@
 	s.advance(testTerms.OrderTimeout + testTerms.Margin)
 	s.leasePass(0)
 	s.loops[0].tick(ctx)
-	if s.fleet.Sent != 1 {
+	if s.fleet.OrderCalls != 1 {
 		t.Fatal("no order was sent after the record changed")
 	}
 }
@@ -391,13 +391,13 @@
 		}
 		s.deploy(deploymentRecord("m", "2", replicas, 1))
 		for quietRounds := 0; quietRounds < 3; quietRounds++ {
-			sent := s.fleet.Sent
+			sent := s.fleet.OrderCalls
 			s.round()
-			if s.fleet.Sent > sent {
+			if s.fleet.OrderCalls > sent {
 				quietRounds = 0
 			}
-			if s.fleet.Sent > 10*n {
-				rt.Fatalf("%d orders for %d runners, the rollout does not converge", s.fleet.Sent, n)
+			if s.fleet.OrderCalls > 10*n {
+				rt.Fatalf("%d orders for %d runners, the rollout does not converge", s.fleet.OrderCalls, n)
 			}
 			if serving, _ := s.fleet.Serving("m", ""); serving == 0 {
 				rt.Fatal("no runner serves the model")
--- a/internal/router/crashes_test.go
+++ b/internal/router/crashes_test.go
@@ -15,7 +15,7 @@
 // Guards against a generation that crashes one engine after the other.
 func TestGenerationCrashingEnginesIsQuarantined(t *testing.T) {
 	b := newFixture(testOptions("r1"), runner("e1"), runner("e2"), runner("e3"), runner("e4"))
-	b.engine.Gone = true
+	b.engine.NotListening = true
 	for range 3 {
 		b.engine.OnStart = append(b.engine.OnStart, fakes.Lost)
 	}
@@ -23,13 +23,13 @@
 		t.Fatal("the request was answered although every endpoint crashed")
 	}
 	eventually.True(t, "the request is quarantined", b.quarantine.Any)
-	sent, _, _ := b.engine.Seen()
+	sent, _, _ := b.engine.Calls()
 	b.engine.OnStart = append(b.engine.OnStart, fakes.Whole(3))
 	refusal := b.generate(&fakeCaller{}, false)
 	if refusal == nil || refusal.Cause != CauseQuarantined || refusal.Outcome != outcome.NotRun {
 		t.Fatalf("got refusal %+v, want CauseQuarantined, outcome.NotRun", refusal)
 	}
-	if resent, _, _ := b.engine.Seen(); len(resent) != len(sent) {
+	if resent, _, _ := b.engine.Calls(); len(resent) != len(sent) {
 		t.Fatalf("the quarantined request was dispatched: %d dispatches before, %d after", len(sent), len(resent))
 	}
 	other := &fakeCaller{}
@@ -113,7 +113,7 @@
 		if refusal == nil || refusal.Cause != CauseQuarantined || refusal.Outcome != outcome.NotRun {
 			t.Errorf("quarantined while waiting %v: refused with %+v, want CauseQuarantined, outcome.NotRun", whileWaiting, refusal)
 		}
-		if sent, _, _ := b.engine.Seen(); len(sent) > 0 || submitted != len(b.scheduler.finished) || (submitted > 0) != whileWaiting {
+		if sent, _, _ := b.engine.Calls(); len(sent) > 0 || submitted != len(b.scheduler.finished) || (submitted > 0) != whileWaiting {
 			t.Errorf("quarantined while waiting %v: %d dispatches, %d submissions, %d released", whileWaiting, len(sent), submitted, len(b.scheduler.finished))
 		}
 	}
--- a/internal/router/drain_test.go
+++ b/internal/router/drain_test.go
@@ -83,11 +83,11 @@
 	if refusal == nil || refusal.Cause != CauseStopping || refusal.ResumeToken == "" || refusal.LastIndex != 3 {
 		t.Fatalf("got refusal %+v, want router_stopping with a resume token and last index 3", refusal)
 	}
-	if _, _, cancels := b.engine.Seen(); len(cancels) != 0 {
+	if _, _, cancels := b.engine.Calls(); len(cancels) != 0 {
 		t.Fatal("the run was cancelled")
 	}
 	other := newFixture(testOptions("r2"))
-	other.engine.OnResume = append(other.engine.OnResume, fakes.Rest(9))
+	other.engine.OnResume = append(other.engine.OnResume, fakes.RemainingFrames(9))
 	resumed := &fakeCaller{}
 	if refusal := other.Resume(context.Background(), &ResumeRequest{
 		RequestID: other.NewRequestID(), Organisation: "kegsetu", Token: refusal.ResumeToken, From: refusal.LastIndex + 1,
--- a/internal/router/flush_test.go
+++ b/internal/router/flush_test.go
@@ -36,7 +36,7 @@
 	flushed := 0
 	b.engine.OnResume = append(b.engine.OnResume, func(generation string, from int) (port.FrameStream, error) {
 		flushed = r.flushedCount()
-		return fakes.Rest(9)(generation, from)
+		return fakes.RemainingFrames(9)(generation, from)
 	})
 	if refusal := b.generate(r, false); refusal != nil {
 		t.Fatalf("refused: %v", refusal)
--- a/internal/router/generate_test.go
+++ b/internal/router/generate_test.go
@@ -36,7 +36,7 @@
 			t.Fatalf("non-idempotent %v: refused: %v", nonIdempotent, refusal)
 		}
 		r.checkFrames(t, 0, 5)
-		starts, _, cancels := b.engine.Seen()
+		starts, _, cancels := b.engine.Calls()
 		if len(starts) != 2 || starts[0].Generation == starts[1].Generation || starts[1].Endpoint.ID != "e2" {
 			t.Fatalf("non-idempotent %v: got dispatches %+v, want a second one at e2 with a new generation id", nonIdempotent, starts)
 		}
@@ -55,7 +55,7 @@
 	if refusal == nil || refusal.Outcome != outcome.Unknown || refusal.RetryAfter == 0 {
 		t.Fatalf("got refusal %+v, want outcome.Unknown, a retry delay", refusal)
 	}
-	if starts, _, _ := b.engine.Seen(); len(starts) != 1 {
+	if starts, _, _ := b.engine.Calls(); len(starts) != 1 {
 		t.Fatalf("%d dispatches", len(starts))
 	}
 	if pending := b.cancelQueue.pending(); len(pending) != 1 {
@@ -75,7 +75,7 @@
 	if refusal == nil || refusal.Outcome != outcome.Unknown {
 		t.Fatalf("got refusal %+v, want outcome.Unknown", refusal)
 	}
-	if starts, _, _ := b.engine.Seen(); len(starts) != 1 {
+	if starts, _, _ := b.engine.Calls(); len(starts) != 1 {
 		t.Fatalf("%d dispatches", len(starts))
 	}
 }
@@ -87,7 +87,7 @@
 	if refusal == nil || refusal.Outcome != outcome.NotRun || refusal.DecisionID == "" {
 		t.Fatalf("got refusal %+v, want outcome.NotRun, a decision id", refusal)
 	}
-	if starts, _, _ := b.engine.Seen(); len(starts) != 2 {
+	if starts, _, _ := b.engine.Calls(); len(starts) != 2 {
 		t.Fatalf("%d dispatches, want one at each engine", len(starts))
 	}
 }
@@ -105,7 +105,7 @@
 	if refusal == nil || refusal.Outcome != outcome.Failed || refusal.LastIndex != 2 {
 		t.Fatalf("got refusal %+v, want outcome.Failed, last index 2", refusal)
 	}
-	if starts, _, _ := b.engine.Seen(); len(starts) != 1 || r.count() != 3 {
+	if starts, _, _ := b.engine.Calls(); len(starts) != 1 || r.count() != 3 {
 		t.Fatalf("%d dispatches, %d tokens", len(starts), r.count())
 	}
 }
@@ -119,13 +119,13 @@
 	})
 	b.engine.OnResume = append(b.engine.OnResume, func(g string, _ int) (port.FrameStream, error) {
 		return &fakes.Connection{Script: fakes.Tokens(g, 5, 9, 9)}, nil
-	}, fakes.Rest(9))
+	}, fakes.RemainingFrames(9))
 	r := &fakeCaller{}
 	if refusal := b.generate(r, true); refusal != nil {
 		t.Fatalf("refused: %v", refusal)
 	}
 	r.checkFrames(t, 0, 9)
-	if _, resumes, _ := b.engine.Seen(); !slices.Equal(resumes, []int{3, 3}) {
+	if _, resumes, _ := b.engine.Calls(); !slices.Equal(resumes, []int{3, 3}) {
 		t.Fatalf("resumed from %v, want twice from 3", resumes)
 	}
 }
@@ -146,7 +146,7 @@
 		// more than a millisecond, and this test must not fail because of a second
 		// drop.
 		b.Router.o.SlowReaderTimeout = testTimeout
-		return fakes.Rest(100)(generation, from)
+		return fakes.RemainingFrames(100)(generation, from)
 	})
 	r := &fakeCaller{onFrame: func(f *port.Frame) error {
 		if f.Index == 0 {
@@ -166,7 +166,7 @@
 		t.Fatal("the connection to the engine stays open although the caller reads nothing")
 	}
 	r.checkFrames(t, 0, 100)
-	if _, resumes, _ := b.engine.Seen(); len(resumes) != 1 || resumes[0] > 1+o.BufferFrames+1 {
+	if _, resumes, _ := b.engine.Calls(); len(resumes) != 1 || resumes[0] > 1+o.BufferFrames+1 {
 		t.Fatalf("resumed from %v", resumes)
 	}
 }
@@ -279,10 +279,10 @@
 	if refusal := first.generate(r, false); refusal == nil || refusal.Outcome != outcome.Unknown {
 		t.Fatalf("got refusal %+v, want outcome.Unknown", refusal)
 	}
-	if _, _, cancels := first.engine.Seen(); len(cancels) != 0 {
+	if _, _, cancels := first.engine.Calls(); len(cancels) != 0 {
 		t.Fatal("a generation that its caller may still resume was cancelled")
 	}
-	second.engine.OnResume = append(second.engine.OnResume, fakes.Rest(9))
+	second.engine.OnResume = append(second.engine.OnResume, fakes.RemainingFrames(9))
 	resumed := &fakeCaller{}
 	request := &ResumeRequest{RequestID: second.NewRequestID(), Organisation: "kegsetu", Token: r.resumeToken, From: r.count()}
 	if refusal := second.Resume(context.Background(), request, resumed); refusal != nil {
@@ -322,7 +322,7 @@
 	if _, refusal := b.Cancel(t.Context(), "bayani", token); refusal == nil || refusal.Cause != CauseBadToken {
 		t.Fatalf("another organisation: got refusal %+v, want CauseBadToken", refusal)
 	}
-	if _, _, cancels := b.engine.Seen(); len(cancels) != 0 {
+	if _, _, cancels := b.engine.Calls(); len(cancels) != 0 {
 		t.Fatal("another organisation's token reached the engine")
 	}
 	if status, refusal := b.Cancel(t.Context(), "kegsetu", token); refusal != nil || status != port.GenerationRunning {
@@ -367,7 +367,7 @@
 	if refusal := generate(second, &fakeCaller{}); refusal == nil || refusal.Cause != CauseDuplicateKey || refusal.Outcome != outcome.Done {
 		t.Fatalf("duplicate after the first has finished: got refusal %+v, want CauseDuplicateKey, outcome.Done", refusal)
 	}
-	if starts, _, _ := second.engine.Seen(); len(starts) != 0 {
+	if starts, _, _ := second.engine.Calls(); len(starts) != 0 {
 		t.Fatalf("%d generations were started for duplicates", len(starts))
 	}
 }
@@ -384,7 +384,7 @@
 	if refusal == nil || refusal.Cause != CauseRejected || refusal.Outcome != outcome.NotRun || refusal.RetryAfter != 0 {
 		t.Fatalf("got refusal %+v, want CauseRejected, outcome.NotRun, no retry delay", refusal)
 	}
-	if starts, _, cancels := b.engine.Seen(); len(starts) != 1 || len(cancels) != 0 {
+	if starts, _, cancels := b.engine.Calls(); len(starts) != 1 || len(cancels) != 0 {
 		t.Fatalf("%d dispatches, %d cancels", len(starts), len(cancels))
 	}
 	if !slices.Equal(b.scheduler.finished, []port.FinishKind{port.FinishCancelled}) {
--- a/internal/router/refusalpoll_test.go
+++ b/internal/router/refusalpoll_test.go
@@ -51,7 +51,7 @@
 	for range 5 {
 		b.engine.OnStart = append(b.engine.OnStart, refuseStart)
 		b.generate(&fakeCaller{}, false)
-		eventually.True(t, "the poll after the refusal has finished", func() bool { return b.engine.LoadsAsked() == 1 && !b.loadPoller.refusalPollOpen("e1") })
+		eventually.True(t, "the poll after the refusal has finished", func() bool { return b.engine.LoadCalls() == 1 && !b.loadPoller.refusalPollOpen("e1") })
 	}
 	if !b.schedulable("e1") {
 		t.Fatal("a full engine was treated as leaving")
@@ -59,5 +59,5 @@
 	now = now.Add(o.LoadInterval)
 	b.engine.OnStart = append(b.engine.OnStart, refuseStart)
 	b.generate(&fakeCaller{}, false)
-	eventually.True(t, "a refusal after the load interval triggers another poll", func() bool { return b.engine.LoadsAsked() == 2 })
+	eventually.True(t, "a refusal after the load interval triggers another poll", func() bool { return b.engine.LoadCalls() == 2 })
 }
--- a/internal/router/service_test.go
+++ b/internal/router/service_test.go
@@ -171,12 +171,12 @@
 func TestFailedClaimPreventsDispatch(t *testing.T) {
 	b := serviceFixture()
 	b.scriptBoth(okReply("x"))
-	b.claimer.Down = true
+	b.claimer.Unavailable = true
 	_, refusal := b.call(http.MethodPost, "k", true)
 	if refusal == nil || refusal.Outcome != outcome.NotRun || refusal.RetryAfter == 0 || b.services.count() != 0 {
 		t.Fatalf("got refusal %+v after %d calls, want outcome.NotRun, a retry delay, 0 calls", refusal, b.services.count())
 	}
-	b.claimer.Down = false
+	b.claimer.Unavailable = false
 	if _, refusal = b.call(http.MethodPost, "k", true); refusal != nil {
 		t.Fatalf("refused after the claimer recovered: %v", refusal)
 	}
--- a/internal/testkit/fakes/claims.go
+++ b/internal/testkit/fakes/claims.go
@@ -14,7 +14,7 @@
 	// Held contains the claims by key hash. Down makes Claim fail as unavailable.
 	// Settled contains all settled states in the order of their arrival.
 	Held    map[[16]byte]port.ClaimState
-	Down    bool
+	Unavailable    bool
 	Settled []port.ClaimState
 }
 
@@ -25,7 +25,7 @@
 func (c *Claims) Claim(_ context.Context, e port.ClaimEntry) (port.ClaimVerdict, port.ClaimState, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.Down {
+	if c.Unavailable {
 		return port.ClaimUnavailable, port.ClaimState{}, errors.New("down")
 	}
 	if held, ok := c.Held[e.KeyHash]; ok {
--- a/internal/testkit/fakes/engine.go
+++ b/internal/testkit/fakes/engine.go
@@ -55,8 +55,8 @@
 	// Report is returned by Load, unless LoadFails is set.
 	Report    port.LoadReport
 	LoadFails bool
-	// Gone makes Look report that nothing listens at any address.
-	Gone bool
+	// NotListening makes Look report that nothing listens at any address.
+	NotListening bool
 
 	loadCalls int
 	starts    []port.GenerationStart
@@ -134,22 +134,22 @@
 func (e *Engine) Look(context.Context, port.Endpoint) port.Presence {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.Gone {
+	if e.NotListening {
 		return port.PresenceGone
 	}
 	return port.PresenceServing
 }
 
-// LoadsAsked returns the number of calls of Load.
-func (e *Engine) LoadsAsked() int {
+// LoadCalls returns the number of calls of Load.
+func (e *Engine) LoadCalls() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.loadCalls
 }
 
-// Seen returns the calls so far: the arguments of Start, the indexes passed to
+// Calls returns the calls so far: the arguments of Start, the indexes passed to
 // Resume and the generations passed to Cancel.
-func (e *Engine) Seen() (starts []port.GenerationStart, resumes []int, cancels []string) {
+func (e *Engine) Calls() (starts []port.GenerationStart, resumes []int, cancels []string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append(starts, e.starts...), append(resumes, e.resumes...), append(cancels, e.cancels...)
@@ -178,9 +178,9 @@
 // Lost is a step for OnStart that returns port.ErrEndpointLost.
 func Lost(*port.GenerationStart) (port.FrameStream, error) { return nil, port.ErrEndpointLost }
 
-// Rest returns a step for OnResume that yields the remaining frames of a
+// RemainingFrames returns a step for OnResume that yields the remaining frames of a
 // generation.
-func Rest(total int) func(string, int) (port.FrameStream, error) {
+func RemainingFrames(total int) func(string, int) (port.FrameStream, error) {
 	return func(generation string, from int) (port.FrameStream, error) {
 		return &Connection{Script: Tokens(generation, from, total, total)}, nil
 	}
--- a/internal/testkit/fakes/fleet.go
+++ b/internal/testkit/fakes/fleet.go
@@ -14,9 +14,9 @@
 type Runner struct {
 	Endpoint port.Endpoint
 	State    port.RunnerState
-	// Heard contains the fencing number of each order, in the order in which they
+	// AppliedFences contains the fencing number of each order, in the order in which they
 	// were applied.
-	Heard []uint64
+	AppliedFences []uint64
 	// InPlace makes a load of another version remove the old version when the load
 	// starts.
 	InPlace bool
@@ -29,10 +29,10 @@
 	// Fault, if not nil, is called before an order is applied. If it returns an
 	// error, the order fails with it and is not applied.
 	Fault func(e port.Endpoint, o port.Order) error
-	// Sent counts the calls of Order, also those that failed.
-	Sent int
-	// Asked counts the calls of State.
-	Asked int
+	// OrderCalls counts the calls of Order, also those that failed.
+	OrderCalls int
+	// StateReads counts the calls of State.
+	StateReads int
 }
 
 // NewFleet returns a fleet without runners.
@@ -72,7 +72,7 @@
 func (f *Fleet) State(_ context.Context, e port.Endpoint) (port.RunnerState, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.Asked++
+	f.StateReads++
 	s := f.Runners[e.ID].State
 	s.Models, s.Loading = slices.Clone(s.Models), slices.Clone(s.Loading)
 	return s, nil
@@ -82,7 +82,7 @@
 func (f *Fleet) Order(_ context.Context, e port.Endpoint, o port.Order) error {
 	f.mu.Lock()
 	fault := f.Fault
-	f.Sent++
+	f.OrderCalls++
 	f.mu.Unlock()
 	if fault != nil {
 		if err := fault(e, o); err != nil {
@@ -108,7 +108,7 @@
 		return port.ErrStaleFence
 	}
 	r.State.LastFence = max(r.State.LastFence, o.Fence)
-	r.Heard = append(r.Heard, o.Fence)
+	r.AppliedFences = append(r.AppliedFences, o.Fence)
 	switch o.Kind {
 	case port.OrderLoadModel:
 		if r.InPlace {
@@ -127,8 +127,8 @@
 	r.State.Models = slices.DeleteFunc(r.State.Models, func(m port.ModelVersion) bool { return m.Model == model })
 }
 
-// Finish completes all model loads in progress.
-func (f *Fleet) Finish() {
+// FinishLoads completes all model loads in progress.
+func (f *Fleet) FinishLoads() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, r := range f.Runners {
