--- a/cmd/dragonfly-standin/fleet.go
+++ b/cmd/dragonfly-standin/fleet.go
@@ -18,8 +18,8 @@
 // Execute runs the stand-in until the process is stopped.
 func (c *fleetStoreCommand) Execute([]string) error {
 	s := standin.NewStore()
-	return c.serveWith("fleet-store", standin.Switched(s), hooks{
-		background: func(ctx context.Context, _ *log.Logger) { s.Lapse(ctx, standin.KindRunners, c.Lapse) },
+	return c.serveWith("fleet-store", standin.NewStoreHandler(s), hooks{
+		background: func(ctx context.Context, _ *log.Logger) { s.ExpireObjects(ctx, standin.KindRunners, c.Lapse) },
 	})
 }
 
@@ -45,7 +45,7 @@
 		OnCrash: func() { os.Exit(exitCrashed) }, Cold: standin.NewCold(c.ColdFor, c.ColdRate),
 	}
 	var registration *standin.Registration
-	return c.serveWith("fleet-runner", standin.SwitchedRunner(r), hooks{
+	return c.serveWith("fleet-runner", standin.NewRunnerHandler(r), hooks{
 		background: func(ctx context.Context, l *log.Logger) {
 			r.SetLogger(l)
 			address := c.Advertise
@@ -56,7 +56,7 @@
 				Store: standin.StoreClient{Address: c.Store}, ID: c.ID, Every: c.Beat, Cold: r.Cold, Logger: l,
 				Entry: standin.Entry(c.Service, address, c.FailureDomain, time.Now().UnixMilli(), nil),
 			}
-			registration.Keep(ctx)
+			registration.Run(ctx)
 		},
 		leave: func(l *log.Logger) { c.leave(r, registration, l) },
 	})
@@ -68,8 +68,8 @@
 // leave announces to the store that the runner leaves, or with c.WithoutNotice
 // only removes its entry, and then serves on for c.Notice.
 func (c *fleetRunnerCommand) leave(r *standin.Runner, registration *standin.Registration, l *log.Logger) {
-	r.SetLeaving(true)
-	notifyStore := registration.Leave
+	r.SetDraining(true)
+	notifyStore := registration.AnnounceDraining
 	if c.WithoutNotice {
 		notifyStore = registration.Remove
 	}
