--- a/internal/tools/measure/entry.go
+++ b/internal/tools/measure/entry.go
@@ -57,7 +57,7 @@
 	}
 	defer os.RemoveAll(dir)
 	l := testfleet.SmallLayout(c.BinDir, ".", dir)
-	l.Daemons, l.Engines, l.Plain, l.Lapse = c.Daemons, 0, 0, time.Hour
+	l.Daemons, l.Engines, l.Plain, l.EntryTTL = c.Daemons, 0, 0, time.Hour
 	f, err := testfleet.Launch(ctx, l)
 	if err != nil {
 		return err
--- a/test/cold_test.go
+++ b/test/cold_test.go
@@ -21,7 +21,7 @@
 // it too few requests.
 func TestColdRunnerReceivesLimitedRate(t *testing.T) {
 	t.Parallel()
-	f := startFleet(t, func(l *testfleet.Layout) { l.Plain, l.Work = 2, 20*time.Millisecond })
+	f := startFleet(t, func(l *testfleet.Layout) { l.Plain, l.CallDuration = 2, 20*time.Millisecond })
 	ctx, stop := context.WithCancel(testContext(t))
 	defer stop()
 	if err := f.Configure(ctx, 2, standin.WithColdRate(coldPerSecond)); err != nil {
--- a/test/entry_test.go
+++ b/test/entry_test.go
@@ -252,7 +252,7 @@
 // daemon must serve requests all the same.
 func TestEntryServesWithBlockedOutput(t *testing.T) {
 	t.Parallel()
-	f := startFleet(t, func(l *testfleet.Layout) { l.Work = 0 })
+	f := startFleet(t, func(l *testfleet.Layout) { l.CallDuration = 0 })
 	reader, writer, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
--- a/test/evacuation_test.go
+++ b/test/evacuation_test.go
@@ -61,8 +61,8 @@
 	domain := f.Layout.Domains[1]
 	// One daemon has no connection to the store, so it must learn of the
 	// evacuation from its peers.
-	f.Daemons[0].Store.Set(faultproxy.Harm{Refuse: true})
-	f.Daemons[0].Store.Reset()
+	f.Daemons[0].StoreProxy.Set(faultproxy.Harm{Refuse: true})
+	f.Daemons[0].StoreProxy.Reset()
 	f.evacuate(domain)
 	from := time.Now().Add(evacuatedWithin)
 	time.Sleep(evacuatedWithin)
@@ -81,7 +81,7 @@
 	if err := f.SetStoreFaults(ctx, standin.StoreFaults{}); err != nil {
 		t.Fatal(err)
 	}
-	f.Daemons[0].Store.Set(faultproxy.Harm{})
+	f.Daemons[0].StoreProxy.Set(faultproxy.Harm{})
 	// All daemons are killed, so only the store still has the evacuation.
 	for _, d := range f.Daemons {
 		d.Kill()
@@ -159,7 +159,7 @@
 // evacuate writes an evacuation of the domain to the store of the platform.
 func (f *fleetTest) evacuate(domain string) {
 	f.t.Helper()
-	client := standin.StoreClient{Address: f.Address}
+	client := standin.StoreClient{Address: f.StoreAddress}
 	if err := client.Put(testContext(f.t), standin.KindEvacuations, domain, standin.Fields{}); err != nil {
 		f.t.Fatal(err)
 	}
@@ -167,7 +167,7 @@
 
 func (f *fleetTest) endEvacuation(domain string) {
 	f.t.Helper()
-	client := standin.StoreClient{Address: f.Address}
+	client := standin.StoreClient{Address: f.StoreAddress}
 	if err := client.Delete(testContext(f.t), standin.KindEvacuations, domain); err != nil {
 		f.t.Fatal(err)
 	}
