--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -90,7 +90,7 @@
 // Engine is the HTTP handler of one runner.
 type Engine struct {
 	options Options
-	faults  switches.Switch[Faults]
+	faults  switches.FaultStore[Faults]
 	mux     *http.ServeMux
 	wake    chan struct{}
 	sampler sampler
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -80,7 +80,7 @@
 type Platform struct {
 	store    *store
 	hosts    hosts
-	faults   switches.Switch[Faults]
+	faults   switches.FaultStore[Faults]
 	reads    *rate.Limiter
 	writes   *rate.Limiter
 	counters counters
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -69,7 +69,7 @@
 type Service struct {
 	options Options
 	slots   chan struct{}
-	faults  switches.Switch[Faults]
+	faults  switches.FaultStore[Faults]
 	mux     *http.ServeMux
 
 	mu     sync.Mutex
--- a/internal/standin/switches/switches.go
+++ b/internal/standin/switches/switches.go
@@ -16,27 +16,27 @@
 	StatsPath  = "/standin/stats"
 )
 
-// Switch stores the faults of one stand-in. The zero value has no faults.
-type Switch[T any] struct {
+// FaultStore stores the faults of one stand-in. The zero value has no faults.
+type FaultStore[T any] struct {
 	mu      sync.Mutex
 	faults  T
 	changed chan struct{}
 }
 
 // Get returns the current faults.
-func (s *Switch[T]) Get() T {
+func (s *FaultStore[T]) Get() T {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults
 }
 
 // Set replaces the faults.
-func (s *Switch[T]) Set(faults T) {
+func (s *FaultStore[T]) Set(faults T) {
 	s.Update(func(f *T) { *f = faults })
 }
 
 // Update changes the faults under the lock, as faults that count down need.
-func (s *Switch[T]) Update(change func(*T)) {
+func (s *FaultStore[T]) Update(change func(*T)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change(&s.faults)
@@ -47,7 +47,7 @@
 }
 
 // Changed returns a channel that is closed at the next change of the faults.
-func (s *Switch[T]) Changed() <-chan struct{} {
+func (s *FaultStore[T]) Changed() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.changed == nil {
@@ -58,7 +58,7 @@
 
 // Register adds handlers to mux: FaultsPath reads and sets the faults, and
 // StatsPath returns the result of stats.
-func (s *Switch[T]) Register(mux *http.ServeMux, stats func() any) {
+func (s *FaultStore[T]) Register(mux *http.ServeMux, stats func() any) {
 	mux.HandleFunc("GET "+FaultsPath, func(w http.ResponseWriter, _ *http.Request) {
 		WriteJSON(w, http.StatusOK, s.Get())
 	})
--- a/internal/standin/weights/weights.go
+++ b/internal/standin/weights/weights.go
@@ -46,7 +46,7 @@
 type Store struct {
 	options Options
 	limit   *rate.Limiter
-	faults  switches.Switch[Faults]
+	faults  switches.FaultStore[Faults]
 	mux     *http.ServeMux
 
 	reads, bytes, reading atomic.Int64
