--- a/internal/testkit/faultproxy/faultproxy.go
+++ b/internal/testkit/faultproxy/faultproxy.go
@@ -11,9 +11,9 @@
 	"time"
 )
 
-// Harm is the set of faults that a proxy applies to open and new connections
+// Faults is the set of faults that a proxy applies to open and new connections
 // until the next call of Set. The zero value forwards all data unchanged.
-type Harm struct {
+type Faults struct {
 	// Refuse resets each new connection.
 	Refuse bool
 	// HoldUpstream holds data sent to the target, and HoldDownstream data sent to
@@ -33,7 +33,7 @@
 	target   string
 
 	mu      sync.Mutex
-	harm    Harm
+	harm    Faults
 	changed chan struct{}
 	links   map[*link]bool
 }
@@ -61,7 +61,7 @@
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
 // Set replaces the faults applied to open and new connections.
-func (p *Proxy) Set(h Harm) {
+func (p *Proxy) Set(h Faults) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.harm = h
@@ -90,7 +90,7 @@
 func (p *Proxy) Close() {
 	p.listener.Close()
 	p.Reset()
-	p.Set(Harm{})
+	p.Set(Faults{})
 }
 
 // notifyChanged makes held connections check the faults again. The caller must
--- a/internal/testkit/faultproxy/faultproxy_test.go
+++ b/internal/testkit/faultproxy/faultproxy_test.go
@@ -101,11 +101,11 @@
 	c := dial(t, p)
 	c.sendLine("one")
 	c.expectLine("one")
-	for _, harm := range []faultproxy.Harm{{HoldUpstream: true}, {HoldDownstream: true}} {
+	for _, harm := range []faultproxy.Faults{{HoldUpstream: true}, {HoldDownstream: true}} {
 		p.Set(harm)
 		c.sendLine("held")
 		c.expectNothing()
-		p.Set(faultproxy.Harm{})
+		p.Set(faultproxy.Faults{})
 		c.expectLine("held")
 	}
 }
@@ -139,7 +139,7 @@
 
 func TestRefusesNewConnections(t *testing.T) {
 	p := startProxy(t)
-	p.Set(faultproxy.Harm{Refuse: true})
+	p.Set(faultproxy.Faults{Refuse: true})
 	expectReset(t, p)
 }
 
@@ -159,7 +159,7 @@
 
 func TestDelaysBothDirections(t *testing.T) {
 	p := startProxy(t)
-	p.Set(faultproxy.Harm{Delay: holdCheckTime})
+	p.Set(faultproxy.Faults{Delay: holdCheckTime})
 	c := dial(t, p)
 	before := time.Now()
 	c.sendLine("one")
--- a/test/evacuation_test.go
+++ b/test/evacuation_test.go
@@ -61,7 +61,7 @@
 	domain := f.Layout.Domains[1]
 	// One daemon has no connection to the store, so it must learn of the
 	// evacuation from its peers.
-	f.Daemons[0].StoreProxy.Set(faultproxy.Harm{Refuse: true})
+	f.Daemons[0].StoreProxy.Set(faultproxy.Faults{Refuse: true})
 	f.Daemons[0].StoreProxy.Reset()
 	f.evacuate(domain)
 	from := time.Now().Add(evacuatedWithin)
@@ -81,7 +81,7 @@
 	if err := f.SetStoreFaults(ctx, standin.StoreFaults{}); err != nil {
 		t.Fatal(err)
 	}
-	f.Daemons[0].StoreProxy.Set(faultproxy.Harm{})
+	f.Daemons[0].StoreProxy.Set(faultproxy.Faults{})
 	// All daemons are killed, so only the store still has the evacuation.
 	for _, d := range f.Daemons {
 		d.Kill()
