--- a/internal/testkit/procs/example.go
+++ b/internal/testkit/procs/example.go
@@ -40,8 +40,8 @@
 	}, nil
 }
 
-// Records returns the sorted paths of an example's record files.
-func Records(dir string) ([]string, error) {
+// RecordFiles returns the sorted paths of an example's record files.
+func RecordFiles(dir string) ([]string, error) {
 	return filepath.Glob(filepath.Join(dir, "records", "*.json"))
 }
 
--- a/internal/tools/demo/updown.go
+++ b/internal/tools/demo/updown.go
@@ -78,7 +78,7 @@
 // applyRecords writes the example's records and waits until every router serves
 // requests.
 func (c *upCommand) applyRecords(ctx context.Context, system *procs.System) error {
-	files, err := procs.Records(c.Example)
+	files, err := procs.RecordFiles(c.Example)
 	if err != nil {
 		return err
 	}
--- a/test/examples_test.go
+++ b/test/examples_test.go
@@ -64,7 +64,7 @@
 				t.Fatal(err)
 			}
 			defer s.Stop()
-			files, err := procs.Records("../examples/" + name)
+			files, err := procs.RecordFiles("../examples/" + name)
 			if err != nil || len(files) < 12 {
 				t.Fatalf("%d records: %v", len(files), err)
 			}
