--- a/cmd/dragonfly-entry/assemble.go
+++ b/cmd/dragonfly-entry/assemble.go
@@ -39,7 +39,7 @@
 type assembly struct {
 	settings *entrySettings
 	logger   *log.Logger
-	store    *platform.Store
+	store    *platform.StoreClient
 	keeper   *keeper.Keeper
 	placer   *scheduling.Client
 	gateway  *gateway.Gateway
@@ -59,10 +59,10 @@
 func assemble(s *entrySettings, logger *log.Logger, registry gometrics.Registry) *assembly {
 	store := decisions.New(logger, s.RememberDecisions)
 	a := &assembly{settings: s, logger: logger, peers: grpc.NewServer(grpcpeer.ServerOptions()...)}
-	a.store = platform.NewStore(platform.StoreOptions{
+	a.store = platform.NewStoreClient(platform.StoreOptions{
 		Address: s.Store, Timeout: s.StoreTimeout, Logger: logger, Registry: registry,
 	})
-	runners := platform.NewRunners(platform.RunnersOptions{
+	runners := platform.NewRunnerClient(platform.RunnerClientOptions{
 		DialTimeout: s.ConnectTimeout, LoadTimeout: s.ReportTimeout,
 		IdleConnections: idleConnections, IdleTimeout: s.IdleTimeout,
 	})
@@ -84,7 +84,7 @@
 		PlatformAge: func() time.Duration { return a.keeper.PlatformAge(time.Now()) },
 		View:      a.keeper, Quarantine: a.keeper.Quarantine(), Limits: a.keeper, Announcer: a.keeper, Sink: store, Policy: record.Policy, Evacuations: record.Evacuations, Metrics: registry,
 	})
-	a.callers = httpserver.New(&platform.Callers{App: a.gateway, Logger: logger})
+	a.callers = httpserver.New(&platform.CallerHandler{App: a.gateway, Logger: logger})
 	a.servers = []httpListener{
 		{"listen.callers", s.Listen.Callers, a.callers},
 		{"directory", s.Directory, httpserver.New(platform.DirectoryHandler(a.gateway))},
@@ -97,8 +97,8 @@
 
 // keeperSources are the clients that the keeper reads state through.
 type keeperSources struct {
-	store   *platform.Store
-	runners *platform.Runners
+	store   *platform.StoreClient
+	runners *platform.RunnerClient
 }
 
 func newKeeper(s *entrySettings, src *keeperSources, logger *log.Logger, registry gometrics.Registry, sink port.DecisionSink) *keeper.Keeper {
