--- a/internal/adapter/httpcaller/entry_test.go
+++ b/internal/adapter/httpcaller/entry_test.go
@@ -17,7 +17,7 @@
 
 func (entryApplication) Leaving() bool { return false }
 
-func (entryApplication) Entry(string) ([]string, time.Duration) {
+func (entryApplication) EntryAddresses(string) ([]string, time.Duration) {
 	return []string{"127.0.0.1:7101"}, time.Second
 }
 
--- a/internal/adapter/httpcaller/httpcaller.go
+++ b/internal/adapter/httpcaller/httpcaller.go
@@ -25,7 +25,7 @@
 	Cancel(ctx context.Context, organisation, token string) (port.GenerationStatus, *router.Refusal)
 	CallService(ctx context.Context, r *router.ServiceRequest) (*router.ServiceReply, *router.Refusal)
 	LookupRequest(ctx context.Context, organisation, requestID, idempotencyKey string) router.RequestStatus
-	Entry(organisation string) ([]string, time.Duration)
+	EntryAddresses(organisation string) ([]string, time.Duration)
 	Leaving() bool
 }
 
@@ -165,7 +165,7 @@
 			return
 		}
 	}
-	addresses, valid := h.Application.Entry(q.Get("organisation"))
+	addresses, valid := h.Application.EntryAddresses(q.Get("organisation"))
 	if len(addresses) == 0 {
 		p := &problem.Problem{
 			Status: http.StatusServiceUnavailable, Title: "no live router is known", Reason: "no_router",
--- a/internal/adapter/httpcaller/httpcaller_test.go
+++ b/internal/adapter/httpcaller/httpcaller_test.go
@@ -56,7 +56,7 @@
 	return router.RequestStatus{}
 }
 
-func (*fakeApplication) Entry(string) ([]string, time.Duration) { return nil, 0 }
+func (*fakeApplication) EntryAddresses(string) ([]string, time.Duration) { return nil, 0 }
 
 func (a *fakeApplication) Leaving() bool { return a.leaving }
 
--- a/internal/adapter/httpengine/httpengine.go
+++ b/internal/adapter/httpengine/httpengine.go
@@ -103,8 +103,8 @@
 	return report, err
 }
 
-// Look checks whether an engine serves.
-func (e *Engine) Look(ctx context.Context, ep port.Endpoint) port.Presence {
+// CheckPresence checks whether an engine serves.
+func (e *Engine) CheckPresence(ctx context.Context, ep port.Endpoint) port.Presence {
 	report, err := e.Load(ctx, ep)
 	return oncehttp.PresenceOfReport(ep, &report, err)
 }
--- a/internal/adapter/httpservice/httpservice.go
+++ b/internal/adapter/httpservice/httpservice.go
@@ -88,8 +88,8 @@
 	}, nil
 }
 
-// Look checks whether an endpoint serves.
-func (c *Caller) Look(ctx context.Context, e port.Endpoint) port.Presence {
+// CheckPresence checks whether an endpoint serves.
+func (c *Caller) CheckPresence(ctx context.Context, e port.Endpoint) port.Presence {
 	report, err := c.Load(ctx, e)
 	return oncehttp.PresenceOfReport(e, &report, err)
 }
--- a/internal/crashwatch/crashwatch.go
+++ b/internal/crashwatch/crashwatch.go
@@ -41,8 +41,8 @@
 // Options configures a Watch.
 type Options struct {
 	Quarantine Quarantine
-	// Look probes over a new connection whether an endpoint serves.
-	Look func(ctx context.Context, e port.Endpoint) port.Presence
+	// CheckPresence probes over a new connection whether an endpoint serves.
+	CheckPresence func(ctx context.Context, e port.Endpoint) port.Presence
 	// IsLeaving reports whether an endpoint was known to be leaving, so that its
 	// end is no crash.
 	IsLeaving func(e port.Endpoint) bool
@@ -130,7 +130,7 @@
 func (w *Watch) probe(e port.Endpoint) port.Presence {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
-	return w.o.Look(ctx, e)
+	return w.o.CheckPresence(ctx, e)
 }
 
 // reportEnd reports the end of an endpoint, as a crash unless it was leaving.
--- a/internal/gateway/crashes.go
+++ b/internal/gateway/crashes.go
@@ -12,7 +12,7 @@
 // watchCrashes returns a crash watch for this gateway's attempts.
 func (g *Gateway) watchCrashes() *crashwatch.Watch {
 	return crashwatch.New(crashwatch.Options{
-		Quarantine: g.Quarantine, Look: g.probe, IsLeaving: g.isLeaving, OnCrash: g.recordCrash, Clock: g.Clock,
+		Quarantine: g.Quarantine, CheckPresence: g.probe, IsLeaving: g.isLeaving, OnCrash: g.recordCrash, Clock: g.Clock,
 	})
 }
 
@@ -24,7 +24,7 @@
 			path = p.HealthPath
 		}
 	}
-	return g.Endpoints.Look(ctx, e, path)
+	return g.Endpoints.CheckPresence(ctx, e, path)
 }
 
 func (g *Gateway) isLeaving(e port.Endpoint) bool {
--- a/internal/gateway/fake_test.go
+++ b/internal/gateway/fake_test.go
@@ -84,7 +84,7 @@
 	return f(from, to, stop)
 }
 
-func (e *fakeEndpoints) Look(_ context.Context, at port.Endpoint, _ string) port.Presence {
+func (e *fakeEndpoints) CheckPresence(_ context.Context, at port.Endpoint, _ string) port.Presence {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.probes++
@@ -248,7 +248,7 @@
 
 func (v *fakeView) SetLeaving() {}
 
-func (v *fakeView) TellLimit(endpoint string, incarnation uint64, perSecond float64) {
+func (v *fakeView) PublishLimit(endpoint string, incarnation uint64, perSecond float64) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for i := range v.endpoints {
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -18,9 +18,9 @@
 // LimitPublisher announces the rate limits that endpoints report to all
 // daemons.
 type LimitPublisher interface {
-	// TellLimit announces the requests per second that an incarnation of an
+	// PublishLimit announces the requests per second that an incarnation of an
 	// endpoint accepts from all daemons together; zero means no limit.
-	TellLimit(endpoint string, incarnation uint64, perSecond float64)
+	PublishLimit(endpoint string, incarnation uint64, perSecond float64)
 }
 
 // Admitter grants permission to send requests to endpoints with rate limits.
@@ -38,7 +38,7 @@
 	}
 	perSecond, changed := g.limitObserver.ObserveAnswer(g.Clock(), &h.Endpoint, reported)
 	if changed {
-		g.Limits.TellLimit(at.ID, at.Incarnation, perSecond)
+		g.Limits.PublishLimit(at.ID, at.Incarnation, perSecond)
 	}
 }
 
--- a/internal/gateway/limits_test.go
+++ b/internal/gateway/limits_test.go
@@ -37,7 +37,7 @@
 	if got := b.limitReasons(id); len(got) != 1 || !strings.Contains(got[0], "2.6 requests a second") {
 		t.Fatalf("decisions about the limit of %s: %q", id, got)
 	}
-	b.view.TellLimit(id, 1, 0)
+	b.view.PublishLimit(id, 1, 0)
 	b.apply()
 	if got := b.limitReasons(id); len(got) != 2 || !strings.Contains(got[1], "no limit any more") {
 		t.Fatalf("decisions about the limit of %s: %q", id, got)
@@ -79,7 +79,7 @@
 	b.Placer = a
 	b.setHandlers("s", reply(200, "fine"))
 	for i, perSecond := range limits {
-		b.view.TellLimit(fmt.Sprint("s", i), 1, perSecond)
+		b.view.PublishLimit(fmt.Sprint("s", i), 1, perSecond)
 		id := fmt.Sprint("s", i)
 		if perSecond > 0 {
 			b.backends.handlers[id] = replyWithLimit(perSecond)
@@ -223,7 +223,7 @@
 	if refusal := b.send(t, "/safe/x", &fakeCaller{}); refusal == nil {
 		t.Fatal("not refused")
 	}
-	b.view.TellLimit("s1", 1, 0)
+	b.view.PublishLimit("s1", 1, 0)
 	b.backends.handlers["s1"] = reply(200, "fine")
 	b.apply()
 	if refusal := b.send(t, "/safe/x", &fakeCaller{}); refusal != nil {
--- a/internal/keeper/hosts.go
+++ b/internal/keeper/hosts.go
@@ -74,9 +74,9 @@
 	})
 }
 
-// TellLimit announces to all daemons how many requests per second an endpoint
+// PublishLimit announces to all daemons how many requests per second an endpoint
 // accepts from all of them together; zero means no limit.
-func (k *Keeper) TellLimit(endpoint string, incarnation uint64, perSecond float64) {
+func (k *Keeper) PublishLimit(endpoint string, incarnation uint64, perSecond float64) {
 	known, ok := k.node.Endpoints.Get(endpoint)
 	if ok && known.Incarnation == incarnation {
 		k.node.PutEndpoint(membership.WithRateLimit(known, perSecond))
--- a/internal/port/engine.go
+++ b/internal/port/engine.go
@@ -71,8 +71,8 @@
 	Cancel(ctx context.Context, e Endpoint, generation string) (GenerationStatus, error)
 	Status(ctx context.Context, e Endpoint, generation string) (GenerationStatus, error)
 	Load(ctx context.Context, e Endpoint) (LoadReport, error)
-	// Look checks whether an engine serves requests.
-	Look(ctx context.Context, e Endpoint) Presence
+	// CheckPresence checks whether an engine serves requests.
+	CheckPresence(ctx context.Context, e Endpoint) Presence
 }
 
 // OrderKind is the action that an order requests from a runner.
--- a/internal/port/exchange.go
+++ b/internal/port/exchange.go
@@ -132,9 +132,9 @@
 	// only the new tokens. If stop is set, the run ends first, and only its
 	// continuation at either engine proceeds.
 	Copy(ctx context.Context, from Endpoint, requestID string, to Endpoint, stop bool) (Copy, error)
-	// Look checks over a new connection whether an endpoint serves; path is the
+	// CheckPresence checks over a new connection whether an endpoint serves; path is the
 	// path of its health check.
-	Look(ctx context.Context, e Endpoint, path string) Presence
+	CheckPresence(ctx context.Context, e Endpoint, path string) Presence
 	// Release frees a copy that will not be used.
 	Release(ctx context.Context, e Endpoint, handle string) error
 }
--- a/internal/router/crashes.go
+++ b/internal/router/crashes.go
@@ -15,15 +15,15 @@
 // newCrashWatch returns the crash watch for this router's attempts.
 func (r *Router) newCrashWatch() *crashwatch.Watch {
 	return crashwatch.New(crashwatch.Options{
-		Quarantine: r.Quarantine, Look: r.checkPresence, IsLeaving: r.endpointLeaving, OnCrash: r.recordCrash, Clock: r.Clock,
+		Quarantine: r.Quarantine, CheckPresence: r.checkPresence, IsLeaving: r.endpointLeaving, OnCrash: r.recordCrash, Clock: r.Clock,
 	})
 }
 
 func (r *Router) checkPresence(ctx context.Context, e port.Endpoint) port.Presence {
 	if e.Kind == port.KindService {
-		return r.Services.Look(ctx, e)
+		return r.Services.CheckPresence(ctx, e)
 	}
-	return r.Engine.Look(ctx, e)
+	return r.Engine.CheckPresence(ctx, e)
 }
 
 func (r *Router) endpointLeaving(e port.Endpoint) bool {
--- a/internal/router/drain_test.go
+++ b/internal/router/drain_test.go
@@ -35,7 +35,7 @@
 		// This request is sent here, because the requests sent below would consume
 		// the scripted answer that is meant for it.
 		defer close(served)
-		if addresses, _ := b.Entry("kegsetu"); slices.Contains(addresses, o.CallerAddress) {
+		if addresses, _ := b.EntryAddresses("kegsetu"); slices.Contains(addresses, o.CallerAddress) {
 			t.Error("Entry lists a router that is leaving")
 		}
 		if refusal := b.generate(lateCaller, true); refusal != nil {
@@ -134,7 +134,7 @@
 	<-drained
 }
 
-// Entry must list live routers only, start at different routers for different
+// EntryAddresses must list live routers only, start at different routers for different
 // organisations, and keep its order between calls.
 func TestEntry(t *testing.T) {
 	b := newFixture(testOptions("r1"))
@@ -149,8 +149,8 @@
 	add("k1", port.RoleKeeper, port.MemberLive)
 	firsts := make(map[string]bool)
 	for _, organisation := range []string{"a", "b", "c", "d", "e", "f", "g", "h", "i", "j"} {
-		got, valid := b.Entry(organisation)
-		second, _ := b.Entry(organisation)
+		got, valid := b.EntryAddresses(organisation)
+		second, _ := b.EntryAddresses(organisation)
 		if !slices.Equal(got, second) || valid != b.Router.o.EntryValidity {
 			t.Fatalf("Entry returned %v, then %v, want the same list twice and the configured validity", got, second)
 		}
--- a/internal/router/entry.go
+++ b/internal/router/entry.go
@@ -12,11 +12,11 @@
 // MaxEntryAddresses bounds the number of addresses that Entry returns.
 const MaxEntryAddresses = 8
 
-// Entry returns the addresses of the routers that a caller should use, in order of
+// EntryAddresses returns the addresses of the routers that a caller should use, in order of
 // preference, and how long they may be cached. Organisations start at different
 // routers, and the order for one organisation stays stable while routers come and
 // go.
-func (r *Router) Entry(organisation string) (addresses []string, valid time.Duration) {
+func (r *Router) EntryAddresses(organisation string) (addresses []string, valid time.Duration) {
 	remaining := r.entryCandidates()
 	for len(remaining) > 0 && len(addresses) < MaxEntryAddresses {
 		// The library returns only the top-ranked address, so the remaining ones are
--- a/internal/router/fake_test.go
+++ b/internal/router/fake_test.go
@@ -217,7 +217,7 @@
 	return port.LoadReport{}, port.ErrEndpointLost
 }
 
-func (s *fakeServices) Look(context.Context, port.Endpoint) port.Presence {
+func (s *fakeServices) CheckPresence(context.Context, port.Endpoint) port.Presence {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.endpointsGone {
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -30,8 +30,8 @@
 type Services interface {
 	Call(ctx context.Context, e port.Endpoint, r *ServiceRequest) (*ServiceReply, error)
 	Load(ctx context.Context, e port.Endpoint) (port.LoadReport, error)
-	// Look probes whether an endpoint is serving.
-	Look(ctx context.Context, e port.Endpoint) port.Presence
+	// CheckPresence probes whether an endpoint is serving.
+	CheckPresence(ctx context.Context, e port.Endpoint) port.Presence
 }
 
 // Peers queries other routers.
--- a/internal/testkit/fakes/engine.go
+++ b/internal/testkit/fakes/engine.go
@@ -55,7 +55,7 @@
 	// Report is returned by Load, unless LoadFails is set.
 	Report    port.LoadReport
 	LoadFails bool
-	// NotListening makes Look report that nothing listens at any address.
+	// NotListening makes CheckPresence report that nothing listens at any address.
 	NotListening bool
 
 	loadCalls int
@@ -130,8 +130,8 @@
 	return r, nil
 }
 
-// Look reports that the engine serves, unless Gone is set.
-func (e *Engine) Look(context.Context, port.Endpoint) port.Presence {
+// CheckPresence reports that the engine serves, unless Gone is set.
+func (e *Engine) CheckPresence(context.Context, port.Endpoint) port.Presence {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.NotListening {
