--- a/internal/adapter/httpcaller/answer.go
+++ b/internal/adapter/httpcaller/answer.go
@@ -55,8 +55,8 @@
 // Resumable is true because each event ID contains the resume token.
 func (s *streamWriter) Resumable() bool { return true }
 
-// Frame writes one event, which may stay in the response buffer until Flush.
-func (s *streamWriter) Frame(token string, f *port.Frame) error {
+// WriteFrame writes one event, which may stay in the response buffer until Flush.
+func (s *streamWriter) WriteFrame(token string, f *port.Frame) error {
 	var data any = tokenEvent{ID: s.requestID, Index: f.Index, Text: f.Text}
 	if f.Final() {
 		data = finalEvent{ID: s.requestID, Index: f.Index, FinishReason: f.FinishReason, TokenCount: f.TokenCount}
@@ -127,8 +127,8 @@
 // Flush does nothing because the answer is written at the end.
 func (c *collector) Flush() error { return nil }
 
-// Frame appends the frame's text or stores the final frame.
-func (c *collector) Frame(_ string, f *port.Frame) error {
+// WriteFrame appends the frame's text or stores the final frame.
+func (c *collector) WriteFrame(_ string, f *port.Frame) error {
 	if f.Final() {
 		c.final = *f
 		return nil
--- a/internal/adapter/httpcaller/deadline_test.go
+++ b/internal/adapter/httpcaller/deadline_test.go
@@ -20,7 +20,7 @@
 	a := &fakeApplication{generate: func(answer router.FrameWriter) *router.Refusal {
 		f := port.Frame{Generation: "g", Text: strings.Repeat("t", 32<<10)}
 		for ; ; f.Index++ {
-			err := answer.Frame("token", &f)
+			err := answer.WriteFrame("token", &f)
 			if err == nil {
 				err = answer.Flush()
 			}
--- a/internal/adapter/httpcaller/httpcaller_test.go
+++ b/internal/adapter/httpcaller/httpcaller_test.go
@@ -128,7 +128,7 @@
 
 func writeFrames(a router.FrameWriter, from, to int) {
 	for i := from; i < to; i++ {
-		_ = a.Frame("tok", &port.Frame{Index: i, Text: "t"})
+		_ = a.WriteFrame("tok", &port.Frame{Index: i, Text: "t"})
 	}
 }
 
@@ -147,7 +147,7 @@
 func TestStreamWritesEvents(t *testing.T) {
 	server := serve(t, &fakeApplication{generate: func(a router.FrameWriter) *router.Refusal {
 		writeFrames(a, 0, 2)
-		_ = a.Frame("tok", &port.Frame{Index: 2, FinishReason: "stop", TokenCount: 2})
+		_ = a.WriteFrame("tok", &port.Frame{Index: 2, FinishReason: "stop", TokenCount: 2})
 		return nil
 	}})
 	resp := do(t, server, http.MethodPost, "/v1/completions", validBody)
@@ -286,7 +286,7 @@
 // otherwise never look up another router.
 func TestShutdownClosesConnections(t *testing.T) {
 	a := &fakeApplication{generate: func(a router.FrameWriter) *router.Refusal {
-		_ = a.Frame("tok", &port.Frame{Index: 0, FinishReason: "stop"})
+		_ = a.WriteFrame("tok", &port.Frame{Index: 0, FinishReason: "stop"})
 		return nil
 	}}
 	server := serve(t, a)
--- a/internal/core/membership/heartbeats.go
+++ b/internal/core/membership/heartbeats.go
@@ -25,8 +25,8 @@
 	At time.Time
 	// InForceSince is when a heartbeat first reported HighestVersion.
 	InForceSince time.Time
-	// Closed is set when the member's stream has ended.
-	Closed bool
+	// StreamClosed is set when the member's stream has ended.
+	StreamClosed bool
 }
 
 // Heartbeats holds the last heartbeats of the members connected to this keeper. It
@@ -39,9 +39,9 @@
 // NewHeartbeats returns an empty Hearing.
 func NewHeartbeats() *Heartbeats { return &Heartbeats{heard: map[string]LastHeartbeat{}} }
 
-// Beat records a heartbeat. One with an older incarnation, or with a smaller
+// Record records a heartbeat. One with an older incarnation, or with a smaller
 // sequence of the same incarnation, is late and ignored.
-func (h *Heartbeats) Beat(now time.Time, b Heartbeat) {
+func (h *Heartbeats) Record(now time.Time, b Heartbeat) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	old, known := h.heard[b.ID]
@@ -55,14 +55,14 @@
 	h.heard[b.ID] = next
 }
 
-// Closed records that the stream of an incarnation has ended. It is ignored if a
+// StreamClosed records that the stream of an incarnation has ended. It is ignored if a
 // heartbeat with a larger sequence than the stream's last has arrived.
-func (h *Heartbeats) Closed(id string, incarnation, sequence uint64) {
+func (h *Heartbeats) StreamClosed(id string, incarnation, sequence uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	old, known := h.heard[id]
 	if known && old.Incarnation == incarnation && old.Sequence <= sequence {
-		old.Closed = true
+		old.StreamClosed = true
 		h.heard[id] = old
 	}
 }
@@ -101,7 +101,7 @@
 	var out []LastHeartbeat
 	for _, v := range h.All() {
 		age := now.Sub(v.At)
-		if age >= limit || v.Closed && age >= grace {
+		if age >= limit || v.StreamClosed && age >= grace {
 			out = append(out, v)
 		}
 	}
--- a/internal/core/membership/membership_test.go
+++ b/internal/core/membership/membership_test.go
@@ -41,24 +41,24 @@
 	h := NewHeartbeats()
 	start := time.Unix(1000, 0)
 	at := func(s int) time.Time { return start.Add(time.Duration(s) * time.Second) }
-	h.Beat(at(0), Heartbeat{ID: "m", Incarnation: 1, Sequence: 1, HighestVersion: 5})
-	h.Beat(at(1), Heartbeat{ID: "m", Incarnation: 1, Sequence: 2, HighestVersion: 5})
+	h.Record(at(0), Heartbeat{ID: "m", Incarnation: 1, Sequence: 1, HighestVersion: 5})
+	h.Record(at(1), Heartbeat{ID: "m", Incarnation: 1, Sequence: 2, HighestVersion: 5})
 	if v, _ := h.Get("m"); !v.InForceSince.Equal(at(0)) || !v.At.Equal(at(1)) {
 		t.Fatalf("got %+v", v)
 	}
-	h.Beat(at(9), Heartbeat{ID: "m", Incarnation: 1, Sequence: 1})
+	h.Record(at(9), Heartbeat{ID: "m", Incarnation: 1, Sequence: 1})
 	if v, _ := h.Get("m"); !v.At.Equal(at(1)) {
 		t.Fatal("a late heartbeat changed the time of the last heartbeat")
 	}
 	if got := h.Overdue(at(3), 3*time.Second, time.Second); len(got) != 0 {
 		t.Fatalf("overdue before the limit: %+v", got)
 	}
-	h.Closed("m", 1, 2)
+	h.StreamClosed("m", 1, 2)
 	if got := h.Overdue(at(2), 3*time.Second, time.Second); len(got) != 1 {
 		t.Fatal("member with a closed stream is not overdue after the grace period")
 	}
-	h.Beat(at(2), Heartbeat{ID: "m", Incarnation: 1, Sequence: 3})
-	h.Closed("m", 1, 2)
+	h.Record(at(2), Heartbeat{ID: "m", Incarnation: 1, Sequence: 3})
+	h.StreamClosed("m", 1, 2)
 	if got := h.Overdue(at(3), 3*time.Second, time.Second); len(got) != 0 {
 		t.Fatal("the end of the old stream marked the new one as closed")
 	}
--- a/internal/core/membership/probe.go
+++ b/internal/core/membership/probe.go
@@ -28,8 +28,8 @@
 	// probes by other keepers, in other failure domains where there are any.
 	Direct ProbeResult
 	Others []ProbeResult
-	// SilentFor is the time since the member's last heartbeat.
-	SilentFor time.Duration
+	// SinceHeartbeat is the time since the member's last heartbeat.
+	SinceHeartbeat time.Duration
 }
 
 // DeadAfter is the time without heartbeats after which a frozen or unreachable
@@ -47,9 +47,9 @@
 	case slices.Contains(results, ProbeRefused):
 		return port.MemberDead, ConditionRefused
 	case slices.Contains(results, ProbeAccepted):
-		return stateAfterSilence(e.SilentFor), ConditionFrozen
+		return stateAfterSilence(e.SinceHeartbeat), ConditionFrozen
 	default:
-		return stateAfterSilence(e.SilentFor), ConditionUnreachable
+		return stateAfterSilence(e.SinceHeartbeat), ConditionUnreachable
 	}
 }
 
--- a/internal/keeper/members.go
+++ b/internal/keeper/members.go
@@ -114,7 +114,7 @@
 
 // HandleHeartbeat processes a member's heartbeat.
 func (k *Keeper) HandleHeartbeat(m membership.Member, b membership.Heartbeat, first bool) {
-	k.heartbeats.Beat(time.Now(), b)
+	k.heartbeats.Record(time.Now(), b)
 	k.failures.removeOrphan(m.ID)
 	known, held := k.node.Members.Get(m.ID)
 	// An entry whose only source is the member itself is taken over by this
@@ -133,7 +133,7 @@
 
 // HandleStreamEnd processes the end of a member's stream.
 func (k *Keeper) HandleStreamEnd(b membership.Heartbeat) {
-	k.heartbeats.Closed(b.ID, b.Incarnation, b.Sequence)
+	k.heartbeats.StreamClosed(b.ID, b.Incarnation, b.Sequence)
 }
 
 // Directory lists the members whose heartbeats this keeper receives, and the
@@ -230,7 +230,7 @@
 }
 
 func (k *Keeper) checkSuspect(ctx context.Context, s suspect) {
-	e := membership.ProbeEvidence{Direct: k.Probe(ctx, s.member.PeerAddress), SilentFor: s.silentFor}
+	e := membership.ProbeEvidence{Direct: k.Probe(ctx, s.member.PeerAddress), SinceHeartbeat: s.silentFor}
 	if e.Direct != membership.ProbeAnswered && e.Direct != membership.ProbeRefused {
 		e.Others = k.probeIndirectly(ctx, &s.member)
 	}
--- a/internal/router/attempt.go
+++ b/internal/router/attempt.go
@@ -11,9 +11,9 @@
 
 // FrameWriter writes a generation's frames to its caller.
 type FrameWriter interface {
-	// Frame writes one frame with the resume token of its run. It may buffer the
+	// WriteFrame writes one frame with the resume token of its run. It may buffer the
 	// frame until Flush. An error means that the caller has disconnected.
-	Frame(token string, f *port.Frame) error
+	WriteFrame(token string, f *port.Frame) error
 	// Flush sends the frames that Frame has buffered.
 	Flush() error
 	// Resumable reports whether the caller receives resume tokens while it reads.
@@ -195,7 +195,7 @@
 }
 
 func (a *attempt) deliver(ctx context.Context, f *port.Frame) stream.Event {
-	if err := a.answer.Frame(a.resumeToken, f); err != nil {
+	if err := a.answer.WriteFrame(a.resumeToken, f); err != nil {
 		return stream.Event{Kind: stream.EventCallerGone}
 	}
 	a.unflushed = true
@@ -216,7 +216,7 @@
 }
 
 func (a *attempt) complete(c *stream.Command) attemptResult {
-	err := a.answer.Frame(a.resumeToken, &c.Frame)
+	err := a.answer.WriteFrame(a.resumeToken, &c.Frame)
 	if err == nil {
 		err = a.answer.Flush()
 	}
--- a/internal/router/fake_test.go
+++ b/internal/router/fake_test.go
@@ -34,7 +34,7 @@
 
 func (r *fakeCaller) Resumable() bool { return !r.notResumable }
 
-func (r *fakeCaller) Frame(token string, f *port.Frame) error {
+func (r *fakeCaller) WriteFrame(token string, f *port.Frame) error {
 	if r.onFrame != nil {
 		if err := r.onFrame(f); err != nil {
 			return err
