--- a/internal/adapter/grpcclaim/client.go
+++ b/internal/adapter/grpcclaim/client.go
@@ -50,7 +50,7 @@
 	// Partitions is the number of partitions of the key space. Claims are batched per
 	// partition, with at most CallsPerPartition concurrent calls for each. It
 	// should equal the number of shards at the keepers.
-	Partitions             int
+	Partitions        int
 	CallsPerPartition int
 	// Timeout bounds a claim, and TryTimeout the call to one keeper. At most
 	// MaxTries keepers are called for a claim.
--- a/internal/adapter/grpcpeer/convert.go
+++ b/internal/adapter/grpcpeer/convert.go
@@ -74,7 +74,7 @@
 			RateLimit: rateLimitFromWire(e.GetRateLimit()), ColdFor: coldFromWire(e.GetColdMillis()),
 		},
 		EntryRevision: entry,
-		ReportedState:          port.EndpointState(e.GetSaid()),
+		ReportedState: port.EndpointState(e.GetSaid()),
 		Observation:   e.GetVersion(), Confirmed: e.GetConfirmed(), LimitChanges: e.GetLimitChanges(),
 	}
 }
@@ -176,7 +176,7 @@
 		Complete:       s.GetComplete(),
 		Parts:          s.GetParts(),
 		WantedParts:    partIDsFromWire(s.GetWantedParts()),
-		SupportsParts:     s.GetTakesParts(),
+		SupportsParts:  s.GetTakesParts(),
 		Fallbacks:      mapSlice(s.GetFallbacks(), revisionFromWire),
 	}
 }
@@ -200,7 +200,7 @@
 }
 
 // coldFromWire limits a received cold time to the range from zero to
-// coldstart.Longest.
+// coldstart.MaxColdTime.
 func coldFromWire(millis int64) time.Duration {
 	return time.Duration(min(coldstart.MaxColdTime.Milliseconds(), max(0, millis))) * time.Millisecond
 }
--- a/internal/adapter/grpcpeer/identity.go
+++ b/internal/adapter/grpcpeer/identity.go
@@ -15,7 +15,7 @@
 }
 
 // NewIdentity returns the identity of a daemon that starts now. The incarnation
-// defaults to the start time, as hosts have no persistent storage. Outlive corrects it
+// defaults to the start time, as hosts have no persistent storage. ExceedIncarnation corrects it
 // if the clock was set back.
 func NewIdentity(m port.Member) *Identity {
 	incarnation := m.Incarnation
--- a/internal/adapter/grpcpeer/platformstatus.go
+++ b/internal/adapter/grpcpeer/platformstatus.go
@@ -40,7 +40,7 @@
 }
 
 // next returns the status to send, which may be empty. Between heartbeats, the status
-// is sent only if it is newer by FreshnessStep, or if the platform has started or
+// is sent only if it is newer by MinStatusAdvance, or if the platform has started or
 // stopped answering.
 func (f *platformStatusSender) next(now time.Time, heartbeat bool) platformStatus {
 	if f.relay == nil {
--- a/internal/adapter/grpcpeer/platformstatus_test.go
+++ b/internal/adapter/grpcpeer/platformstatus_test.go
@@ -8,14 +8,14 @@
 )
 
 // fakeRelay is a PlatformRelay that merges all statuses it receives.
-type fakeRelay struct{ news watchduty.StoreStatus }
+type fakeRelay struct{ status watchduty.StoreStatus }
 
-func (r *fakeRelay) Status() watchduty.StoreStatus       { return r.news }
-func (r *fakeRelay) ReceiveStatus(n watchduty.StoreStatus) { r.news = r.news.Merge(n) }
+func (r *fakeRelay) Status() watchduty.StoreStatus         { return r.status }
+func (r *fakeRelay) ReceiveStatus(n watchduty.StoreStatus) { r.status = r.status.Merge(n) }
 
 // recordAnswer replaces the status by an answer of the platform.
 func (r *fakeRelay) recordAnswer(at time.Time) {
-	r.news = watchduty.StoreStatus{Answered: at, Tried: at, By: 7}
+	r.status = watchduty.StoreStatus{Answered: at, Tried: at, By: 7}
 }
 
 // Keepers relay how long ago the platform last answered. If the status were sent only
@@ -58,7 +58,7 @@
 	}
 }
 
-// The platform stops answering. If a failed call were sent only after FreshnessStep,
+// The platform stops answering. If a failed call were sent only after MinStatusAdvance,
 // the keepers would start to probe runners more than a second later, and half of the
 // notice period of runners that leave at that moment would be lost.
 func TestFailureIsSentBeforeHeartbeat(t *testing.T) {
@@ -67,7 +67,7 @@
 	f := platformStatusSender{relay: r}
 	r.recordAnswer(start)
 	f.next(start, false)
-	r.news = r.news.Merge(watchduty.StoreStatus{Tried: start.Add(20 * time.Millisecond), By: 9})
+	r.status = r.status.Merge(watchduty.StoreStatus{Tried: start.Add(20 * time.Millisecond), By: 9})
 	n := f.next(start.Add(20*time.Millisecond), false)
 	if n.try.GetAgeMillis() != 1 || n.try.GetBy() != 9 {
 		t.Fatalf("got status %+v for a failed call, want an age of 1 ms by keeper 9", n)
@@ -76,7 +76,7 @@
 	if !received.Failing() {
 		t.Fatalf("received status %+v, want a failing platform", received)
 	}
-	r.news = r.news.Merge(watchduty.StoreStatus{Tried: start.Add(30 * time.Millisecond), By: 9})
+	r.status = r.status.Merge(watchduty.StoreStatus{Tried: start.Add(30 * time.Millisecond), By: 9})
 	if repeated := f.next(start.Add(30*time.Millisecond), false); !repeated.empty() {
 		t.Fatal("a second failed call is sent before the next heartbeat")
 	}
--- a/internal/adapter/grpcpeer/scheduling.go
+++ b/internal/adapter/grpcpeer/scheduling.go
@@ -174,7 +174,7 @@
 }
 
 // Admit requests permission to send one request. It returns
-// scheduling.ErrNotAdmitting if the peer's build does not support the call.
+// scheduling.ErrAdmissionUnsupported if the peer's build does not support the call.
 func (p *SchedulingPeer) Admit(ctx context.Context, pool string, asks []ratelimit.Candidate, patience time.Duration) (ratelimit.Grant, error) {
 	if p.err != nil {
 		return ratelimit.Grant{}, p.err
--- a/internal/adapter/grpcpeer/suspects.go
+++ b/internal/adapter/grpcpeer/suspects.go
@@ -33,8 +33,8 @@
 		}
 		out = append(out, quarantine.Suspect{
 			Fingerprint: f, Cleared: s.GetCleared(), Renewals: s.GetRenewals(),
-			Crashes: quarantine.Union(mapSlice(s.GetCrashes(), func(c uint64) quarantine.CrashID { return quarantine.CrashID(c) }), nil),
-			UpdatedAt:   now.Add(-age),
+			Crashes:   quarantine.Union(mapSlice(s.GetCrashes(), func(c uint64) quarantine.CrashID { return quarantine.CrashID(c) }), nil),
+			UpdatedAt: now.Add(-age),
 		})
 	}
 	return out
--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -119,8 +119,8 @@
 	Body    []byte
 	// IdempotencyKey is the idempotency key. NonIdempotent forbids running the call
 	// twice.
-	IdempotencyKey           string
-	NonIdempotent bool
+	IdempotencyKey string
+	NonIdempotent  bool
 }
 
 // Service calls a plain service through the router at address.
--- a/internal/core/admission/admission_test.go
+++ b/internal/core/admission/admission_test.go
@@ -216,7 +216,7 @@
 // Callers with the same retry time return together and are refused again. Retry
 // times must be no denser than the service rate, apart from rounding to whole
 // seconds, and must lie within their bounds.
-func TestPromisesAreSpacedByRate(t *testing.T) {
+func TestRetryBookingsAreSpacedByRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var p RetryBookings
 		rate := rapid.Float64Range(0.5, 20).Draw(t, "rate")
@@ -240,7 +240,7 @@
 	})
 }
 
-func TestPromisesAreRedeemedWithinGrace(t *testing.T) {
+func TestRetryBookingsAreRedeemedWithinGrace(t *testing.T) {
 	var p RetryBookings
 	wait := p.Book(start, 0, 10)
 	if p.Redeem(start) {
--- a/internal/core/claim/shard_test.go
+++ b/internal/core/claim/shard_test.go
@@ -18,7 +18,7 @@
 	MaxBytes:           1 << 20,
 	Retention:          time.Hour,
 	TombstoneRetention: 24 * time.Hour,
-	NotRunRetention:       5 * time.Minute,
+	NotRunRetention:    5 * time.Minute,
 }
 
 var start = time.UnixMilli(1_800_000_000_000)
--- a/internal/core/membership/endpoint.go
+++ b/internal/core/membership/endpoint.go
@@ -16,7 +16,7 @@
 	port.Endpoint
 	// EntryRevision is the revision of the registry entry that the fields other
 	// than State come from. It is larger than Revision where that entry doesn't
-	// prove the state, see FromCopy.
+	// prove the state, see FromRestoredEntry.
 	EntryRevision port.StoreRevision
 	// Confirmed is set once the endpoint itself has reported the incarnation.
 	Confirmed bool
@@ -208,7 +208,7 @@
 }
 
 // StateMayBeStale reports whether the registry entry may be older than the known
-// state, see FromCopy.
+// state, see FromRestoredEntry.
 func (e *Endpoint) StateMayBeStale() bool { return e.Revision < e.EntryRevision }
 
 // WithRenewedEntry returns the state of an endpoint that is still listed after the
--- a/internal/core/membership/eras.go
+++ b/internal/core/membership/eras.go
@@ -40,7 +40,7 @@
 }
 
 // Observe classifies the era of one response of the store. changed is false for
-// EraInForce, and for EraFell directly after another EraFell.
+// EraInForce, and for EraRegressed directly after another EraRegressed.
 func (e *Eras) Observe(era uint64) (verdict EraVerdict, changed bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/core/membership/heartbeats.go
+++ b/internal/core/membership/heartbeats.go
@@ -36,7 +36,7 @@
 	heard map[string]LastHeartbeat
 }
 
-// NewHeartbeats returns an empty Hearing.
+// NewHeartbeats returns an empty Heartbeats.
 func NewHeartbeats() *Heartbeats { return &Heartbeats{heard: map[string]LastHeartbeat{}} }
 
 // Record records a heartbeat. One with an older incarnation, or with a smaller
--- a/internal/core/membership/lattice_test.go
+++ b/internal/core/membership/lattice_test.go
@@ -37,13 +37,13 @@
 var memberGenerator = rapid.Custom(func(t *rapid.T) Member {
 	return Member{
 		ID: "m", Incarnation: oneOf[uint64](1, 2).Draw(t, "incarnation"),
-		Sequence:  oneOf[uint64](1, 2).Draw(t, "sequence"),
-		State:     oneOf(port.MemberJoining, port.MemberLive, port.MemberSuspect, port.MemberDead).Draw(t, "state"),
-		Condition: oneOf(ConditionNone, ConditionFrozen, ConditionRefused).Draw(t, "condition"),
-		DecidedBy:   oneOf("", "k1", "k2").Draw(t, "heard by"),
-		Left:      rapid.Bool().Draw(t, "left"),
-		PlatformUnreachable:     rapid.Bool().Draw(t, "blind"),
-		Host:      oneOf("h1", "h2").Draw(t, "host"),
+		Sequence:            oneOf[uint64](1, 2).Draw(t, "sequence"),
+		State:               oneOf(port.MemberJoining, port.MemberLive, port.MemberSuspect, port.MemberDead).Draw(t, "state"),
+		Condition:           oneOf(ConditionNone, ConditionFrozen, ConditionRefused).Draw(t, "condition"),
+		DecidedBy:           oneOf("", "k1", "k2").Draw(t, "heard by"),
+		Left:                rapid.Bool().Draw(t, "left"),
+		PlatformUnreachable: rapid.Bool().Draw(t, "blind"),
+		Host:                oneOf("h1", "h2").Draw(t, "host"),
 	}
 })
 
--- a/internal/core/membership/membership_test.go
+++ b/internal/core/membership/membership_test.go
@@ -10,7 +10,7 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-func TestJudge(t *testing.T) {
+func TestDetermineState(t *testing.T) {
 	const short = 3 * time.Second
 	cases := []struct {
 		name      string
--- a/internal/core/membership/probe.go
+++ b/internal/core/membership/probe.go
@@ -22,7 +22,7 @@
 	ProbeUnreachable ProbeResult = "unreachable"
 )
 
-// ProbeEvidence is the input of Judge for one member without heartbeats.
+// ProbeEvidence is the input of DetermineState for one member without heartbeats.
 type ProbeEvidence struct {
 	// Direct is the result of the keeper's own probe. Others are the results of
 	// probes by other keepers, in other failure domains where there are any.
--- a/internal/core/membership/prune_test.go
+++ b/internal/core/membership/prune_test.go
@@ -17,7 +17,7 @@
 
 // Guards against removing endpoints that are live or departed recently, and
 // against keeping departed endpoints without bound.
-func TestForgettableReturnsOnlyOldestDepartures(t *testing.T) {
+func TestPrunableDeparturesReturnsOnlyOldest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var all []Endpoint
 		live := rapid.IntRange(0, 50).Draw(t, "live")
--- a/internal/core/placement/placement.go
+++ b/internal/core/placement/placement.go
@@ -78,8 +78,8 @@
 	Endpoint port.Endpoint
 	Order    port.Order
 	// ReadsWeights: the step reads from the weight store.
-	ReadsWeights    bool
-	Disrupts []Disruption
+	ReadsWeights bool
+	Disrupts     []Disruption
 	// Deployment and ConfigurationVersion are the name and the version of the
 	// deployment record.
 	Deployment           string
--- a/internal/core/quarantine/flights.go
+++ b/internal/core/quarantine/attempts.go
@@ -46,8 +46,8 @@
 	started     time.Time
 }
 
-// NewFlights returns an empty Flights.
-func NewFlights() *Attempts { return &Attempts{endpoints: make(map[EndpointKey]*endpointAttempts)} }
+// NewAttempts returns an empty Attempts.
+func NewAttempts() *Attempts { return &Attempts{endpoints: make(map[EndpointKey]*endpointAttempts)} }
 
 // Begin records an attempt that is sent to an endpoint.
 func (f *Attempts) Begin(now time.Time, e EndpointKey, p Fingerprint) *Attempt {
@@ -93,7 +93,7 @@
 }
 
 // Lost records that the connection of an attempt broke. If probe is set, the caller
-// must find out whether the endpoint has ended, and call Gone or Alive. If ended is
+// must find out whether the endpoint has ended, and call Ended or Alive. If ended is
 // set, the endpoint is already known to have ended.
 func (f *Attempts) Lost(now time.Time, flight *Attempt) (probe, ended bool) {
 	f.mu.Lock()
--- a/internal/core/quarantine/flights_test.go
+++ b/internal/core/quarantine/attempts_test.go
@@ -10,7 +10,7 @@
 
 // Guards against lost attempts that are not reported when their endpoint ends.
 func TestEndedEndpointReportsLostAttempts(t *testing.T) {
-	f, now := NewFlights(), time.Unix(1000, 0)
+	f, now := NewAttempts(), time.Unix(1000, 0)
 	e := EndpointKey{ID: "e", Incarnation: 1}
 	first, second, late := f.Begin(now, e, fingerprint(1)), f.Begin(now, e, fingerprint(2)), f.Begin(now.Add(time.Second), e, fingerprint(3))
 	now = now.Add(2 * time.Second)
@@ -36,7 +36,7 @@
 
 // Guards against broken connections that are counted as crashes.
 func TestLossAtLiveEndpointIsDropped(t *testing.T) {
-	f, now := NewFlights(), time.Unix(1000, 0)
+	f, now := NewAttempts(), time.Unix(1000, 0)
 	e := EndpointKey{ID: "e", Incarnation: 1}
 	f.Lost(now, f.Begin(now, e, fingerprint(1)))
 	f.Alive(e)
@@ -49,9 +49,9 @@
 
 // Guards against lost attempts that are reported twice or wrongly, and against
 // attempts that are kept after their end.
-func TestFlightsAgainstOracle(t *testing.T) {
+func TestAttemptsAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f, now := NewFlights(), time.Unix(1000, 0)
+		f, now := NewAttempts(), time.Unix(1000, 0)
 		e := EndpointKey{ID: "e", Incarnation: 1}
 		var open []*Attempt
 		var unexplained []Fingerprint
--- a/internal/core/record/document.go
+++ b/internal/core/record/document.go
@@ -260,5 +260,5 @@
 	}
 }
 
-// splitPath splits the splitPath of a field into names.
+// splitPath splits a field's path into names.
 func splitPath(p string) []string { return strings.Split(p, ".") }
--- a/internal/core/record/policy.go
+++ b/internal/core/record/policy.go
@@ -54,7 +54,7 @@
 	spec   T
 }
 
-// decodeKind returns the decodeKind records of a kind, smallest version first, so
+// decodeKind returns the decoded records of a kind, smallest version first, so
 // that of two records for the same subject the newer one is applied last and
 // wins. A body that this build can't decode (a newer schema) is omitted; keepers
 // refuse such bodies when they are written.
--- a/internal/core/record/restore_test.go
+++ b/internal/core/record/restore_test.go
@@ -18,7 +18,7 @@
 
 // The store is restored from a backup. The version that operators wrote last must be
 // in force, whether the backup lacks it or it was written after the restore.
-func TestOutlasts(t *testing.T) {
+func TestOverridesStored(t *testing.T) {
 	held := func(era, revision uint64, body string) port.Record {
 		return port.Record{Version: versionInEra(t, era, revision), Body: json.RawMessage(body), Deleted: body == ""}
 	}
--- a/internal/core/route/table.go
+++ b/internal/core/route/table.go
@@ -108,10 +108,10 @@
 	// EventTokens is the number of tokens in one event of a stream.
 	EventTokens int `json:"event_tokens,omitempty"`
 	// CopiesOnRequest: the tokens of a running request can be copied to another
-	// engine. CopiesAlong: they can be sent there continuously while they are
+	// engine. CopiesContinuously: they can be sent there continuously while they are
 	// generated.
-	CopiesOnRequest bool `json:"copies_on_request,omitempty"`
-	CopiesContinuously     bool `json:"copies_along,omitempty"`
+	CopiesOnRequest    bool `json:"copies_on_request,omitempty"`
+	CopiesContinuously bool `json:"copies_along,omitempty"`
 	// CopyTTL is how long an unused copy is kept.
 	CopyTTL time.Duration `json:"copy_ttl,omitempty"`
 	Models  []string      `json:"models,omitempty"`
--- a/internal/core/routing/flood_test.go
+++ b/internal/core/routing/flood_test.go
@@ -58,7 +58,7 @@
 	wantVerdict(t, s.Submit(start, organisationRequest("again", "flood")), port.VerdictPlace, ReasonPlaced)
 }
 
-// Where generations end within seconds, an operator can set BusyUse to 1: an
+// Where generations end within seconds, an operator can set BusyThreshold to 1: an
 // organisation waits for others only when the pool is full. Its requests
 // must then not wait while half of the cache is free.
 func TestSurgeIsPlacedBelowBusyUse(t *testing.T) {
--- a/internal/core/routing/held.go
+++ b/internal/core/routing/held.go
@@ -97,7 +97,7 @@
 		Organisation: r.Organisation,
 		Lane:         s.lane(e),
 		Priority:     limits.Priority - r.Rank,
-		ServeBy:       s.placementDeadline(r),
+		ServeBy:      s.placementDeadline(r),
 		Cost:         e.cost,
 		Enqueued:     now,
 		Owner:        e,
--- a/internal/core/routing/options.go
+++ b/internal/core/routing/options.go
@@ -32,7 +32,7 @@
 	// which an organisation over its share must wait. Below it there is
 	// capacity for all. A pool whose generations end within seconds frees
 	// capacity soon and can have a higher value than one whose generations
-	// run for minutes. Zero means DefaultBusyUse.
+	// run for minutes. Zero means DefaultBusyThreshold.
 	BusyThreshold float64
 	// PrefillBacklogLimit is the number of prompt tokens awaiting prefill at a
 	// runner above which it gets no further prompts. Zero means no limit.
@@ -51,9 +51,9 @@
 
 // Defaults of Options.
 const (
-	DefaultReportLag = 300 * time.Millisecond
-	DefaultAgeStep   = 5 * time.Second
-	DefaultBusyThreshold   = 0.5
+	DefaultReportLag     = 300 * time.Millisecond
+	DefaultAgeStep       = 5 * time.Second
+	DefaultBusyThreshold = 0.5
 	// DefaultTokenGap is the operators' objective for 95 in 100 tokens.
 	DefaultTokenGap = 34 * time.Millisecond
 )
--- a/internal/core/routing/organisation.go
+++ b/internal/core/routing/organisation.go
@@ -32,7 +32,7 @@
 	share         float64
 }
 
-// Bounds of an organisation's use, tuned with internal/tools/policybench: a
+// Bounds of an organisation's use: a
 // burst of a few seconds must pass, a flood must not
 // (docs/design/routing.md).
 const (
--- a/internal/core/routing/reasons.go
+++ b/internal/core/routing/reasons.go
@@ -30,7 +30,7 @@
 	ReasonRefusedRetry       = "retry_budget_spent"
 	ReasonRefusedTooLarge    = "larger_than_any_cache"
 	ReasonRefusedNotRunning  = "no_longer_running"
-	ReasonRefusedNoCapacity        = "no_runner_has_room"
+	ReasonRefusedNoCapacity  = "no_runner_has_room"
 )
 
 // Reasons why a candidate was excluded.
--- a/internal/core/spread/node/link.go
+++ b/internal/core/spread/node/link.go
@@ -62,7 +62,7 @@
 	sentHighestVersion atomic.Uint64
 	// peerComplete is set once the peer has sent Complete.
 	peerComplete atomic.Bool
-	// peerTakesParts is set once the peer has sent TakesParts.
+	// peerTakesParts is set once the peer has sent SupportsParts.
 	peerTakesParts atomic.Bool
 	sentTakesParts atomic.Bool
 	// receivedMessage is set once a message from the peer was received.
--- a/internal/core/spread/node/node.go
+++ b/internal/core/spread/node/node.go
@@ -16,7 +16,7 @@
 // Node is the replicated state of one daemon. It is safe for concurrent use.
 type Node struct {
 	// Records holds revisions. Parts of large bodies may not have arrived yet, see
-	// Whole.
+	// CompleteRecords.
 	Records   *spread.Table[spread.Revision]
 	Endpoints *spread.Table[membership.Endpoint]
 	Members   *spread.Table[membership.Member]
--- a/internal/core/stream/machine.go
+++ b/internal/core/stream/machine.go
@@ -86,8 +86,8 @@
 	Delay time.Duration
 	// Outcome is set for CommandEnd and CommandComplete. Reason is also set for
 	// CommandResume, CommandProbe and CommandCancel.
-	Outcome   RunOutcome
-	Reason string
+	Outcome RunOutcome
+	Reason  string
 	// CancelPending: the engine has not confirmed the cancel, which must be
 	// repeated.
 	CancelPending bool
@@ -152,7 +152,7 @@
 	Failures        int
 	StartedFailures int
 	// QueuedRounds is the maximum number of probes before the first token that
-	// find the generation queued, and RunningRounds of those that find it running.
+	// find the generation queued, and RunningProbes of those that find it running.
 	QueuedRounds  int
 	RunningRounds int
 	// StartedRounds is the maximum number of probes between two tokens. It is
--- a/internal/core/stream/machine_test.go
+++ b/internal/core/stream/machine_test.go
@@ -168,7 +168,7 @@
 
 // The outcome of a dispatch without an answer depends on the engine's answer to the
 // cancel.
-func TestFateOfUnansweredDispatch(t *testing.T) {
+func TestOutcomeOfUnansweredDispatch(t *testing.T) {
 	cases := []struct {
 		name   string
 		answer Event
--- a/internal/core/watchduty/duty.go
+++ b/internal/core/watchduty/duty.go
@@ -45,7 +45,7 @@
 	// HashIndex is its index among all daemons in the order of the hashes of their
 	// ids; Hash is its own.
 	HashIndex int
-	Hash uint64
+	Hash      uint64
 	// Watchers are the hashes of the ids of the chosen watchers.
 	Watchers []uint64
 	// PeerReachable: a message from a peer has arrived recently.
@@ -54,7 +54,7 @@
 	Seed bool
 }
 
-// NotWatcher is the Place of a daemon that is not a chosen watcher.
+// NotWatcher is the WatcherIndex of a daemon that is not a chosen watcher.
 const NotWatcher = -1
 
 // The delays that decide when a daemon starts to read the store.
@@ -67,7 +67,7 @@
 	// daemons, for each of them.
 	relayDelayPerKeeper = 2 * time.Millisecond
 	// takeoverStep is the delay between daemons that find messages overdue, per
-	// position in Line: the first of them can inform the others before they act.
+	// position by HashIndex: the first of them can inform the others before they act.
 	takeoverStep = 5 * time.Millisecond
 )
 
@@ -89,7 +89,7 @@
 	role       Role
 }
 
-// New returns the Duty of a daemon that starts now. overdue is the age of the last
+// New returns the RoleTracker of a daemon that starts now. overdue is the age of the last
 // known call to the store from which on messages are overdue.
 func New(now time.Time, overdueAfter time.Duration) *RoleTracker {
 	return &RoleTracker{overdueAfter: overdueAfter, started: now}
--- a/internal/core/watchduty/duty_test.go
+++ b/internal/core/watchduty/duty_test.go
@@ -199,7 +199,7 @@
 
 // Join is commutative, associative and idempotent, so that daemons end with the same
 // status whatever the order and number of messages.
-func TestNewsJoin(t *testing.T) {
+func TestStoreStatusMerge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := drawNews.Draw(t, "a"), drawNews.Draw(t, "b"), drawNews.Draw(t, "c")
 		if a.Merge(a) != a || a.Merge(b) != b.Merge(a) || a.Merge(b).Merge(c) != a.Merge(b.Merge(c)) {
@@ -213,7 +213,7 @@
 
 // Between heartbeats a peer is informed when the store stops answering or answers
 // again, and otherwise only when a time has advanced by a step.
-func TestNewsAdds(t *testing.T) {
+func TestStoreStatusShouldSend(t *testing.T) {
 	const step = time.Second
 	lastSent := answeredCall(10, 1)
 	for _, c := range []struct {
--- a/internal/crashwatch/crashwatch.go
+++ b/internal/crashwatch/crashwatch.go
@@ -54,18 +54,18 @@
 
 // Watch tracks the attempts of one daemon. It is safe for concurrent use.
 type Watch struct {
-	o       Options
-	flights *quarantine.Attempts
+	o        Options
+	attempts *quarantine.Attempts
 }
 
 // New returns a Watch that tracks no attempts yet.
-func New(o Options) *Watch { return &Watch{o: o, flights: quarantine.NewFlights()} }
+func New(o Options) *Watch { return &Watch{o: o, attempts: quarantine.NewAttempts()} }
 
 // Attempt is one tracked attempt.
 type Attempt struct {
 	endpoint    port.Endpoint
 	fingerprint quarantine.Fingerprint
-	flight      *quarantine.Attempt
+	attempt     *quarantine.Attempt
 }
 
 func keyOf(e port.Endpoint) quarantine.EndpointKey {
@@ -74,7 +74,7 @@
 
 // Begin starts tracking an attempt when it is sent.
 func (w *Watch) Begin(e port.Endpoint, f quarantine.Fingerprint) *Attempt {
-	return &Attempt{endpoint: e, fingerprint: f, flight: w.flights.Begin(w.o.Clock(), keyOf(e), f)}
+	return &Attempt{endpoint: e, fingerprint: f, attempt: w.attempts.Begin(w.o.Clock(), keyOf(e), f)}
 }
 
 // End stops tracking an attempt; lost means that its connection broke. The
@@ -82,10 +82,10 @@
 // is running or it is known to have ended.
 func (w *Watch) End(a *Attempt, lost bool) {
 	if !lost {
-		w.flights.End(a.flight)
+		w.attempts.End(a.attempt)
 		return
 	}
-	probe, ended := w.flights.Lost(w.o.Clock(), a.flight)
+	probe, ended := w.attempts.Lost(w.o.Clock(), a.attempt)
 	switch {
 	case ended:
 		w.o.Quarantine.Crashed(w.o.Clock(), crashOf(a.endpoint), []quarantine.Fingerprint{a.fingerprint})
@@ -95,10 +95,10 @@
 }
 
 // Tick drops endpoints that ended some time ago.
-func (w *Watch) Tick() { w.flights.Tick(w.o.Clock()) }
+func (w *Watch) Tick() { w.attempts.Tick(w.o.Clock()) }
 
 // PendingChecks returns the number of endpoints that are being checked.
-func (w *Watch) PendingChecks() int { return w.flights.Probing() }
+func (w *Watch) PendingChecks() int { return w.attempts.Probing() }
 
 func crashOf(e port.Endpoint) quarantine.CrashID { return quarantine.NewCrashID(e.ID, e.Incarnation) }
 
@@ -110,7 +110,7 @@
 		time.Sleep(delay)
 		switch w.probe(e) {
 		case port.PresenceServing:
-			w.flights.Alive(keyOf(e))
+			w.attempts.Alive(keyOf(e))
 			return
 		case port.PresenceGone:
 			time.Sleep(lossDelay)
@@ -124,7 +124,7 @@
 	if silent == len(probeDelays) && w.reportEnd(e, "connections end without an answer") {
 		return
 	}
-	w.flights.Alive(keyOf(e))
+	w.attempts.Alive(keyOf(e))
 }
 
 func (w *Watch) probe(e port.Endpoint) port.Presence {
@@ -138,7 +138,7 @@
 // still open, as the endpoint may then still run.
 func (w *Watch) reportEnd(e port.Endpoint, reason string) bool {
 	now := w.o.Clock()
-	lost, uncertain := w.flights.Ended(now, keyOf(e))
+	lost, uncertain := w.attempts.Ended(now, keyOf(e))
 	if uncertain {
 		return false
 	}
--- a/internal/keeper/duty.go
+++ b/internal/keeper/duty.go
@@ -13,7 +13,7 @@
 	r := k.duty.Role(now, &watchduty.Position{
 		Keepers: len(s.live), WatcherIndex: s.watcherIndex, HashIndex: s.ringPosition, Hash: s.idHash, Watchers: s.watcherHashes,
 		PeerReachable: now.Sub(time.Unix(0, k.lastPeerMessage.Load())) < k.options.SilenceAfter,
-		Seed:   s.isSeed,
+		Seed:          s.isSeed,
 	})
 	if before := watchduty.Role(k.lastRole.Swap(int32(r))); before != r {
 		k.logRoleChange(now, before, r, s)
--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -93,10 +93,10 @@
 	// ExistenceKinds are kinds of objects that only the platform's own operators
 	// write: a record is in force as long as its object exists.
 	ExistenceKinds []string
-	Prober       EndpointProber
-	Decisions    port.DecisionSink
-	Logger       *log.Logger
-	Registry     gometrics.Registry
+	Prober         EndpointProber
+	Decisions      port.DecisionSink
+	Logger         *log.Logger
+	Registry       gometrics.Registry
 
 	Watchers       int
 	WatchWait      time.Duration
@@ -112,9 +112,9 @@
 	// answer. At other times its registry reports everything and drops
 	// endpoints that are silent, so a probe matters only if it reports that the
 	// endpoint is leaving.
-	ProbeOnlyDuringOutage     bool
-	OutcomeTimeout    time.Duration
-	OutcomeRetryPause time.Duration
+	ProbeOnlyDuringOutage bool
+	OutcomeTimeout        time.Duration
+	OutcomeRetryPause     time.Duration
 	// WatchPause lets a burst of changes arrive in one reply.
 	WatchPause time.Duration
 	// RoleCheckInterval is the time between two checks of the keeper's role.
@@ -131,7 +131,7 @@
 	DelistGrace time.Duration
 	// EntryTTL is how long the registry keeps an entry that its endpoint
 	// doesn't renew.
-	EntryTTL   time.Duration
+	EntryTTL    time.Duration
 	DialOptions []grpc.DialOption
 }
 
--- a/internal/keeper/members.go
+++ b/internal/keeper/members.go
@@ -240,7 +240,7 @@
 	state, condition := membership.DetermineState(e)
 	next := s.member
 	next.State, next.Condition, next.Sequence = state, condition, s.sequence
-	// HeardBy isn't changed, so that a check of an orphan doesn't make it look
+	// DecidedBy isn't changed, so that a check of an orphan doesn't make it look
 	// as if this keeper received its heartbeats.
 	if k.node.PutMember(next) {
 		k.recordVerdict("member", next.ID, string(next.Effective()), string(condition), 0)
--- a/internal/keeper/memberview.go
+++ b/internal/keeper/memberview.go
@@ -23,7 +23,7 @@
 	live    []membership.Member
 	// watcherHashes are the hashes of the keepers chosen to read the platform,
 	// watcherIndex is this keeper's index among them, ringPosition its position
-	// among all keepers by hash, see watchduty.Standing.
+	// among all keepers by hash, see watchduty.Position.
 	watcherHashes []uint64
 	watcherIndex  int
 	ringPosition  int
--- a/internal/port/explain.go
+++ b/internal/port/explain.go
@@ -55,11 +55,11 @@
 // Delivery describes the part of a stream that a caller received.
 type Delivery struct {
 	Events int `json:"events"`
-	// HeldMillis is the time until the request was placed, FirstMillis the time to
+	// HeldMillis is the time until the request was placed, FirstEventMillis the time to
 	// the first event, both from the request's arrival.
-	HeldMillis  int64 `json:"held_ms"`
+	HeldMillis       int64 `json:"held_ms"`
 	FirstEventMillis int64 `json:"first_event_ms"`
-	// LongestGapMillis is the longest time between two events; GapEvent is the event that
+	// LongestGapMillis is the longest time between two events; LongestGapEvent is the event that
 	// follows it.
 	LongestGapMillis int64 `json:"longest_gap_ms"`
 	LongestGapEvent  int   `json:"longest_gap_event"`
--- a/internal/port/record.go
+++ b/internal/port/record.go
@@ -84,11 +84,11 @@
 
 // The outcomes of claims.
 const (
-	ClaimUnsettled  ClaimOutcome = "claimed"
-	ClaimDone    ClaimOutcome = "done"
-	ClaimFailed  ClaimOutcome = "failed"
-	ClaimNotRun  ClaimOutcome = "not_run"
-	ClaimUnknown ClaimOutcome = "unknown"
+	ClaimUnsettled ClaimOutcome = "claimed"
+	ClaimDone      ClaimOutcome = "done"
+	ClaimFailed    ClaimOutcome = "failed"
+	ClaimNotRun    ClaimOutcome = "not_run"
+	ClaimUnknown   ClaimOutcome = "unknown"
 )
 
 // ClaimState is a claim as stored.
--- a/internal/router/attempt.go
+++ b/internal/router/attempt.go
@@ -14,7 +14,7 @@
 	// WriteFrame writes one frame with the resume token of its run. It may buffer the
 	// frame until Flush. An error means that the caller has disconnected.
 	WriteFrame(token string, f *port.Frame) error
-	// Flush sends the frames that Frame has buffered.
+	// Flush sends the frames that WriteFrame has buffered.
 	Flush() error
 	// Resumable reports whether the caller receives resume tokens while it reads.
 	Resumable() bool
@@ -43,7 +43,7 @@
 
 // attemptResult is how a run ended.
 type attemptResult struct {
-	fate          stream.RunOutcome
+	outcome       stream.RunOutcome
 	reason        string
 	cancelPending bool
 }
@@ -77,7 +77,7 @@
 		case stream.CommandComplete:
 			return a.complete(&c)
 		default:
-			return attemptResult{fate: c.Outcome, reason: c.Reason, cancelPending: c.CancelPending}
+			return attemptResult{outcome: c.Outcome, reason: c.Reason, cancelPending: c.CancelPending}
 		}
 	}
 }
@@ -221,9 +221,9 @@
 		err = a.answer.Flush()
 	}
 	if err != nil {
-		return attemptResult{fate: stream.OutcomeDetached, reason: "the caller has gone before the final event"}
+		return attemptResult{outcome: stream.OutcomeDetached, reason: "the caller has gone before the final event"}
 	}
-	return attemptResult{fate: c.Outcome, reason: c.Reason}
+	return attemptResult{outcome: c.Outcome, reason: c.Reason}
 }
 
 func (a *attempt) resume(ctx context.Context, c stream.Command) stream.Event {
--- a/internal/router/crashes.go
+++ b/internal/router/crashes.go
@@ -71,7 +71,9 @@
 
 // mayHaveCrashed reports whether the endpoint may have crashed during an attempt
 // that ended with this fate.
-func mayHaveCrashed(f stream.RunOutcome) bool { return f == stream.OutcomeUnknown || f == stream.OutcomeRan }
+func mayHaveCrashed(f stream.RunOutcome) bool {
+	return f == stream.OutcomeUnknown || f == stream.OutcomeRan
+}
 
 // crashFingerprint identifies the request when it is sent again.
 func (req *GenerationRequest) crashFingerprint() quarantine.Fingerprint {
--- a/internal/router/entry.go
+++ b/internal/router/entry.go
@@ -9,7 +9,7 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// MaxEntryAddresses bounds the number of addresses that Entry returns.
+// MaxEntryAddresses bounds the number of addresses that EntryAddresses returns.
 const MaxEntryAddresses = 8
 
 // EntryAddresses returns the addresses of the routers that a caller should use, in order of
--- a/internal/router/fake_test.go
+++ b/internal/router/fake_test.go
@@ -21,7 +21,7 @@
 // testTimeout bounds waits for events that must happen.
 const testTimeout = 20 * time.Second
 
-// fakeCaller is an Answer that records the frames it gets.
+// fakeCaller is a FrameWriter that records the frames it gets.
 type fakeCaller struct {
 	mu           sync.Mutex
 	frames       []port.Frame
--- a/internal/router/generate.go
+++ b/internal/router/generate.go
@@ -105,7 +105,7 @@
 			return g.recordRefusal(refusal)
 		}
 		g.runAttempt(ctx, &decision)
-		if g.lastResult.fate == stream.OutcomeDone {
+		if g.lastResult.outcome == stream.OutcomeDone {
 			g.r.Quarantine.Completed(g.r.Clock(), g.print)
 			g.finish(outcome.Done, g.lastResult.reason)
 			return nil
@@ -228,12 +228,12 @@
 	}
 	watched := r.crashWatch.Begin(d.Endpoint, g.print)
 	g.lastResult = a.run(ctx)
-	r.crashWatch.End(watched, ctx.Err() == nil && mayHaveCrashed(g.lastResult.fate))
-	g.ledger.Add(g.lastResult.fate, g.machine.Delivered())
+	r.crashWatch.End(watched, ctx.Err() == nil && mayHaveCrashed(g.lastResult.outcome))
+	g.ledger.Add(g.lastResult.outcome, g.machine.Delivered())
 	if g.lastResult.cancelPending {
 		r.cancelQueue.add(d.Endpoint, id)
 	}
-	r.Scheduler.Finished(r.Clock(), g.req.RequestID, g.machine.Next(), finishKind(g.lastResult.fate))
+	r.Scheduler.Finished(r.Clock(), g.req.RequestID, g.machine.Next(), finishKind(g.lastResult.outcome))
 }
 
 func finishKind(f stream.RunOutcome) port.FinishKind {
@@ -270,7 +270,7 @@
 		Cause: CauseEndpointFailed, Detail: g.lastResult.reason, DecisionID: g.decisionID,
 		RetryAfter: defaultRetryAfter, LastIndex: g.machine.Next() - 1,
 	}
-	if g.lastResult.fate == stream.OutcomeDetached {
+	if g.lastResult.outcome == stream.OutcomeDetached {
 		refusal.ResumeToken = g.resumeToken
 	}
 	select {
@@ -280,9 +280,9 @@
 	default:
 	}
 	switch {
-	case ctx.Err() != nil || g.lastResult.fate == stream.OutcomeDetached:
+	case ctx.Err() != nil || g.lastResult.outcome == stream.OutcomeDetached:
 		refusal.Cause = CauseCallerGone
-	case g.lastResult.fate == stream.OutcomeRejected:
+	case g.lastResult.outcome == stream.OutcomeRejected:
 		refusal.Cause, refusal.RetryAfter = CauseRejected, 0
 	case !g.ledger.MayRetry() || g.schedulerRequest.Attempt >= g.r.o.MaxAttempts:
 	default:
@@ -297,7 +297,7 @@
 	g.r.recordDecision(&port.DecisionRecord{
 		Subject: subjectRequest, SubjectID: g.req.RequestID, Organisation: g.req.Organisation,
 		Model: g.req.Model, Verdict: verdictMove, Reason: g.lastResult.reason, Endpoint: d.Endpoint.ID,
-		Attempt: g.schedulerRequest.Attempt, Outcome: g.lastResult.fate.String(), ConfigurationVersion: g.configurationVersion,
+		Attempt: g.schedulerRequest.Attempt, Outcome: g.lastResult.outcome.String(), ConfigurationVersion: g.configurationVersion,
 	})
 	g.schedulerRequest.Excluded = append(g.schedulerRequest.Excluded, d.Endpoint.ID)
 	g.schedulerRequest.Attempt++
--- a/internal/router/lifecycle.go
+++ b/internal/router/lifecycle.go
@@ -132,7 +132,7 @@
 // the latest shortly after DrainTimeout for streams, and ServiceTimeout later for
 // calls of plain services. Further calls wait for the same shutdown.
 //
-// The order matters. First the router announces that it is leaving, so that Entry
+// The order matters. First the router announces that it is leaving, so that EntryAddresses
 // no longer lists it anywhere. Then it keeps serving for as long as callers may
 // cache older addresses, but at most half of DrainTimeout, because a refusal in
 // that time would be an outage caused by a planned shutdown. Only then does it
--- a/internal/router/refusal.go
+++ b/internal/router/refusal.go
@@ -32,7 +32,7 @@
 	CauseKeyExpired        Cause = "key_expired"
 	CauseClaimsUnavailable Cause = "claims_unavailable"
 	CauseBadToken          Cause = "invalid_resume_token"
-	CauseGenerationNotHeld    Cause = "generation_not_held"
+	CauseGenerationNotHeld Cause = "generation_not_held"
 	CauseServiceTimeout    Cause = "service_timeout"
 )
 
--- a/internal/router/resume.go
+++ b/internal/router/resume.go
@@ -43,7 +43,7 @@
 		start: &port.GenerationStart{Endpoint: endpoint, Generation: tok.Generation},
 	}
 	result := a.run(ctx)
-	if result.fate == stream.OutcomeDone {
+	if result.outcome == stream.OutcomeDone {
 		r.finishResume(req, &tok, outcome.Done, result.reason)
 		return nil
 	}
@@ -95,10 +95,10 @@
 	refusal := &Refusal{
 		Cause: CauseEndpointFailed, Outcome: outcome.Failed, Detail: result.reason, LastIndex: m.Next() - 1,
 	}
-	if result.fate == stream.OutcomeRan {
+	if result.outcome == stream.OutcomeRan {
 		refusal.Cause = CauseGenerationNotHeld
 	}
-	if result.fate == stream.OutcomeDetached {
+	if result.outcome == stream.OutcomeDetached {
 		// The engine may still hold the generation, and another router may reach the
 		// engine.
 		refusal.Outcome = outcome.Unknown
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -114,15 +114,15 @@
 	// connection to the engine is closed.
 	SlowReaderTimeout time.Duration
 	// LoadInterval is the time between rounds of load polling. A round polls
-	// endpoints whose last report is older than LoadStale.
+	// endpoints whose last report is older than LoadMaxAge.
 	LoadInterval time.Duration
-	LoadMaxAge    time.Duration
+	LoadMaxAge   time.Duration
 	// LoadSubset bounds the number of runners, and likewise of service endpoints,
 	// that this router polls.
 	LoadSubset int
 	// LoadPollsPerSecond bounds the rate of load polls.
 	LoadPollsPerSecond float64
-	// EntryValidity is how long callers may cache the addresses that Entry returns.
+	// EntryValidity is how long callers may cache the addresses that EntryAddresses returns.
 	EntryValidity time.Duration
 	// DrainTimeout bounds a graceful shutdown; see Router.Drain for the grace period
 	// after it.
--- a/internal/router/service.go
+++ b/internal/router/service.go
@@ -269,8 +269,8 @@
 	return refusal
 }
 
-// callEndpoint calls one endpoint. It returns a reply with FateDone, or with
-// FateRan if the call should be retried at another endpoint.
+// callEndpoint calls one endpoint. It returns a reply with OutcomeDone, or with
+// OutcomeRan if the call should be retried at another endpoint.
 func (c *call) callEndpoint(ctx context.Context, e port.Endpoint) (*ServiceReply, stream.RunOutcome) {
 	r := c.r
 	start := r.Clock()
--- a/internal/scheduling/client.go
+++ b/internal/scheduling/client.go
@@ -33,7 +33,7 @@
 	Place(ctx context.Context, r *port.GenerationRequest, onHold func(*port.Decision)) (port.Decision, error)
 	Relocate(ctx context.Context, run *port.RunningRequest, terms port.RelocationConstraints) (port.Decision, error)
 	Update(ctx context.Context, adopted []port.RunningRequest, events []RunEvent) error
-	// Admit returns ErrNotAdmitting if the daemon's build does not support admission.
+	// Admit returns ErrAdmissionUnsupported if the daemon's build does not support admission.
 	Admit(ctx context.Context, pool string, asks []ratelimit.Candidate, maxWait time.Duration) (ratelimit.Grant, error)
 	Close()
 }
--- a/internal/standin/engine/faults.go
+++ b/internal/standin/engine/faults.go
@@ -38,7 +38,7 @@
 	NoticeMillis int64 `json:"notice_ms"`
 }
 
-// serveReclaim sets the Leaving fault at once and calls Options.Reclaimed when
+// serveReclaim sets the Leaving fault at once and calls Options.OnReclaim when
 // the notice period has passed.
 func (e *Engine) serveReclaim(w http.ResponseWriter, r *http.Request) {
 	var body ReclaimRequest
--- a/internal/testkit/fakes/claims.go
+++ b/internal/testkit/fakes/claims.go
@@ -13,9 +13,9 @@
 	mu sync.Mutex
 	// Held contains the claims by key hash. Down makes Claim fail as unavailable.
 	// Settled contains all settled states in the order of their arrival.
-	Held    map[[16]byte]port.ClaimState
-	Unavailable    bool
-	Settled []port.ClaimState
+	Held        map[[16]byte]port.ClaimState
+	Unavailable bool
+	Settled     []port.ClaimState
 }
 
 // NewClaims returns an empty claim store.
--- a/internal/testkit/fakes/engine.go
+++ b/internal/testkit/fakes/engine.go
@@ -130,7 +130,7 @@
 	return r, nil
 }
 
-// CheckPresence reports that the engine serves, unless Gone is set.
+// CheckPresence reports that the engine serves, unless NotListening is set.
 func (e *Engine) CheckPresence(context.Context, port.Endpoint) port.Presence {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/test/limited_test.go
+++ b/test/limited_test.go
@@ -54,7 +54,9 @@
 // coordinator among them, are killed.
 func TestLimitHoldsWhileDaemonsAreKilled(t *testing.T) {
 	t.Parallel()
-	f := startFleet(t, func(l *testfleet.Layout) { l.Daemons, l.Engines, l.Plain, l.CallDuration = 4, 1, 2, 10*time.Millisecond })
+	f := startFleet(t, func(l *testfleet.Layout) {
+		l.Daemons, l.Engines, l.Plain, l.CallDuration = 4, 1, 2, 10*time.Millisecond
+	})
 	ctx, stop := context.WithCancel(testContext(t))
 	defer stop()
 	var background sync.WaitGroup
