--- a/internal/core/stream/machine.go
+++ b/internal/core/stream/machine.go
@@ -152,7 +152,7 @@
 	Failures        int
 	StartedFailures int
 	// QueuedRounds is the maximum number of probes before the first token that
-	// find the generation queued, and RunningProbes of those that find it running.
+	// find the generation queued, and RunningRounds of those that find it running.
 	QueuedRounds  int
 	RunningRounds int
 	// StartedRounds is the maximum number of probes between two tokens. It is
