--- a/cmd/dragonfly-entry/assemble.go
+++ b/cmd/dragonfly-entry/assemble.go
@@ -39,7 +39,7 @@
 type assembly struct {
 	settings *entrySettings
 	logger   *log.Logger
-	store    *platform.Store
+	store    *platform.StoreClient
 	keeper   *keeper.Keeper
 	placer   *scheduling.Client
 	gateway  *gateway.Gateway
@@ -59,10 +59,10 @@
 func assemble(s *entrySettings, logger *log.Logger, registry gometrics.Registry) *assembly {
 	store := decisions.New(logger, s.RememberDecisions)
 	a := &assembly{settings: s, logger: logger, peers: grpc.NewServer(grpcpeer.ServerOptions()...)}
-	a.store = platform.NewStore(platform.StoreOptions{
+	a.store = platform.NewStoreClient(platform.StoreOptions{
 		Address: s.Store, Timeout: s.StoreTimeout, Logger: logger, Registry: registry,
 	})
-	runners := platform.NewRunners(platform.RunnersOptions{
+	runners := platform.NewRunnerClient(platform.RunnerClientOptions{
 		DialTimeout: s.ConnectTimeout, LoadTimeout: s.ReportTimeout,
 		IdleConnections: idleConnections, IdleTimeout: s.IdleTimeout,
 	})
@@ -70,9 +70,9 @@
 	a.keeper.Service(nil).Register(a.peers)
 	// A pool is scheduled by a single daemon, so the scheduler gets no list of other
 	// routers.
-	scheduler := routing.NewScheduler(routing.Options{RouterID: s.ID, BusyUse: busyThreshold, UnreadLimit: prefillBacklogLimit})
+	scheduler := routing.NewScheduler(routing.Options{RouterID: s.ID, BusyThreshold: busyThreshold, PrefillBacklogLimit: prefillBacklogLimit})
 	pools := scheduling.NewPoolScheduler(scheduler, nil)
-	registry.GetOrRegister("scheduling_runs_held", gometrics.NewFunctionalGauge(func() int64 { return int64(pools.Held()) }))
+	registry.GetOrRegister("scheduling_runs_held", gometrics.NewFunctionalGauge(func() int64 { return int64(pools.RunCount()) }))
 	a.placer = scheduling.NewClient(scheduling.Options{
 		Self: s.ID, Members: a.keeper, Logger: logger,
 		Dial: func(address string) scheduling.Peer { return grpcpeer.DialScheduling(address) },
@@ -81,10 +81,10 @@
 	a.gateway = gateway.New(s.options(), gateway.Ports{
 		Endpoints: runners,
 		Scheduler: scheduler, Placer: a.placer,
-		Freshness: func() time.Duration { return a.keeper.PlatformAge(time.Now()) },
-		View:      a.keeper, Quarantine: a.keeper.Quarantine(), Limits: a.keeper, Announcer: a.keeper, Sink: store, Policy: record.Policy, Evacuations: record.Evacuations, Metrics: registry,
+		PlatformAge: func() time.Duration { return a.keeper.PlatformAge(time.Now()) },
+		View:        a.keeper, Quarantine: a.keeper.Quarantine(), Limits: a.keeper, Announcer: a.keeper, Sink: store, Policy: record.Policy, Evacuations: record.Evacuations, Metrics: registry,
 	})
-	a.callers = httpserver.New(&platform.Callers{App: a.gateway, Logger: logger})
+	a.callers = httpserver.New(&platform.CallerHandler{App: a.gateway, Logger: logger})
 	a.servers = []httpListener{
 		{"listen.callers", s.Listen.Callers, a.callers},
 		{"directory", s.Directory, httpserver.New(platform.DirectoryHandler(a.gateway))},
@@ -97,8 +97,8 @@
 
 // keeperSources are the clients that the keeper reads state through.
 type keeperSources struct {
-	store   *platform.Store
-	runners *platform.Runners
+	store   *platform.StoreClient
+	runners *platform.RunnerClient
 }
 
 func newKeeper(s *entrySettings, src *keeperSources, logger *log.Logger, registry gometrics.Registry, sink port.DecisionSink) *keeper.Keeper {
@@ -107,13 +107,13 @@
 			ID: s.ID, Host: s.Host, FailureDomain: s.FailureDomain,
 			CallerAddress: s.callerAddress(), AdminAddress: s.Listen.Admin, PeerAddress: s.peerAddress(),
 		},
-		Keepers: s.Keepers, Platform: src.store, Endpoints: src.store, Prober: src.runners, Kinds: []string{route.RecordKind}, ListedKinds: record.Kinds(), PresentKinds: []string{port.ObjectPlatformEvacuation},
+		Keepers: s.Keepers, Platform: src.store, Endpoints: src.store, Prober: src.runners, Kinds: []string{route.RecordKind}, PolledKinds: record.Kinds(), ExistenceKinds: []string{port.ObjectPlatformEvacuation},
 		Decisions: sink, Logger: logger, Registry: registry,
 		Watchers: s.Watchers, WatchWait: s.WatchWait, WatchPause: s.WatchPause, FallbackAfter: s.FallbackAfter,
 		RelistEvery: s.RelistEvery, HeartbeatEvery: s.HeartbeatEvery, SilenceAfter: s.SilenceAfter,
-		ProbeWhenAway: true, ProbeEvery: s.ProbeEvery, ProbesPerSecond: probesPerSecond,
-		DutyCheck: roleCheckInterval, LinkRetry: linkRetry, RetryPause: retryPause, RetryPauseMax: retryPauseMax,
-		EntryLife: s.entryTTL(),
+		ProbeOnlyDuringOutage: true, ProbeEvery: s.ProbeEvery, ProbesPerSecond: probesPerSecond,
+		RoleCheckInterval: roleCheckInterval, LinkRetry: linkRetry, RetryPause: retryPause, RetryPauseMax: retryPauseMax,
+		EntryTTL: s.entryTTL(),
 	})
 }
 
@@ -185,7 +185,7 @@
 // during the drain, so that callers can be directed to other daemons and
 // operators can observe the drain.
 func (a *assembly) shutDown() {
-	a.logger.Info().Str("event", "draining").Int("open_requests", a.gateway.Open()).Msg("")
+	a.logger.Info().Str("event", "draining").Int("open_requests", a.gateway.OpenRequests()).Msg("")
 	a.gateway.Drain(context.Background())
 	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
@@ -195,5 +195,5 @@
 		}
 	}
 	a.peers.Stop()
-	a.logger.Info().Str("event", "stopped").Int("open_requests", a.gateway.Open()).Msg("")
+	a.logger.Info().Str("event", "stopped").Int("open_requests", a.gateway.OpenRequests()).Msg("")
 }
--- a/internal/adapter/grpcpeer/platformstatus.go
+++ b/internal/adapter/grpcpeer/platformstatus.go
@@ -7,17 +7,17 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/core/watchduty"
 )
 
-// FreshnessStep is how much newer the platform's last answer or the last call must be
+// MinStatusAdvance is how much newer the platform's last answer or the last call must be
 // than the status sent before, for a keeper to send it before the next heartbeat.
-const FreshnessStep = time.Second
+const MinStatusAdvance = time.Second
 
 // PlatformRelay holds a keeper's status of the platform, which keepers exchange.
 type PlatformRelay interface {
-	// News returns the status to send.
-	News() watchduty.News
-	// HeardNews merges a status received from a peer. Times that the message does
+	// Status returns the status to send.
+	Status() watchduty.StoreStatus
+	// ReceiveStatus merges a status received from a peer. Times that the message does
 	// not contain are zero.
-	HeardNews(n watchduty.News)
+	ReceiveStatus(n watchduty.StoreStatus)
 }
 
 // platformStatus holds the fields of a message that contain the status.
@@ -36,19 +36,19 @@
 	// relay is nil if the peer is not a keeper.
 	relay PlatformRelay
 	// lastSent is the status that was last sent to the peer.
-	lastSent watchduty.News
+	lastSent watchduty.StoreStatus
 }
 
 // next returns the status to send, which may be empty. Between heartbeats, the status
-// is sent only if it is newer by FreshnessStep, or if the platform has started or
+// is sent only if it is newer by MinStatusAdvance, or if the platform has started or
 // stopped answering.
 func (f *platformStatusSender) next(now time.Time, heartbeat bool) platformStatus {
 	if f.relay == nil {
 		return platformStatus{}
 	}
-	n := f.relay.News()
+	n := f.relay.Status()
 	newer := n.Tried.After(f.lastSent.Tried) || n.Answered.After(f.lastSent.Answered)
-	if !newer || !heartbeat && !n.Adds(f.lastSent, FreshnessStep) {
+	if !newer || !heartbeat && !n.ShouldSend(f.lastSent, MinStatusAdvance) {
 		return platformStatus{}
 	}
 	f.lastSent = n
@@ -65,8 +65,8 @@
 
 // statusFromWire returns the status in a message. Peers of older builds send only the
 // age of the last answer; it then also counts as the last call.
-func statusFromWire(now time.Time, answeredAgeMillis int64, try *peerv1.PlatformTry) watchduty.News {
-	var n watchduty.News
+func statusFromWire(now time.Time, answeredAgeMillis int64, try *peerv1.PlatformTry) watchduty.StoreStatus {
+	var n watchduty.StoreStatus
 	at := func(millis int64) time.Time { return now.Add(-time.Duration(millis) * time.Millisecond) }
 	if answeredAgeMillis > 0 {
 		n.Answered, n.Tried = at(answeredAgeMillis), at(answeredAgeMillis)
--- a/internal/adapter/grpcpeer/platformstatus_test.go
+++ b/internal/adapter/grpcpeer/platformstatus_test.go
@@ -8,14 +8,14 @@
 )
 
 // fakeRelay is a PlatformRelay that merges all statuses it receives.
-type fakeRelay struct{ news watchduty.News }
+type fakeRelay struct{ status watchduty.StoreStatus }
 
-func (r *fakeRelay) News() watchduty.News       { return r.news }
-func (r *fakeRelay) HeardNews(n watchduty.News) { r.news = r.news.Join(n) }
+func (r *fakeRelay) Status() watchduty.StoreStatus         { return r.status }
+func (r *fakeRelay) ReceiveStatus(n watchduty.StoreStatus) { r.status = r.status.Merge(n) }
 
 // recordAnswer replaces the status by an answer of the platform.
 func (r *fakeRelay) recordAnswer(at time.Time) {
-	r.news = watchduty.News{Answered: at, Tried: at, By: 7}
+	r.status = watchduty.StoreStatus{Answered: at, Tried: at, By: 7}
 }
 
 // Keepers relay how long ago the platform last answered. If the status were sent only
@@ -37,28 +37,28 @@
 	if sentAge(start, false) != 1 {
 		t.Fatal("the first answer is not sent before the next heartbeat")
 	}
-	r.recordAnswer(start.Add(FreshnessStep / 2))
-	if sentAge(start.Add(FreshnessStep/2), false) != 0 {
+	r.recordAnswer(start.Add(MinStatusAdvance / 2))
+	if sentAge(start.Add(MinStatusAdvance/2), false) != 0 {
 		t.Fatal("an answer newer by less than FreshnessStep is sent before the next heartbeat")
 	}
-	r.recordAnswer(start.Add(FreshnessStep))
-	if sentAge(start.Add(FreshnessStep), false) != 1 {
+	r.recordAnswer(start.Add(MinStatusAdvance))
+	if sentAge(start.Add(MinStatusAdvance), false) != 1 {
 		t.Fatal("an answer newer by FreshnessStep is not sent before the next heartbeat")
 	}
-	r.recordAnswer(start.Add(FreshnessStep + time.Millisecond))
+	r.recordAnswer(start.Add(MinStatusAdvance + time.Millisecond))
 	const age = 700 * time.Millisecond
-	if got := sentAge(start.Add(FreshnessStep+time.Millisecond+age), true); got != 701 {
+	if got := sentAge(start.Add(MinStatusAdvance+time.Millisecond+age), true); got != 701 {
 		t.Fatalf("got an age of %d ms in a heartbeat, want 701 ms", got)
 	}
-	if sentAge(start.Add(2*FreshnessStep+age), false) != 0 {
+	if sentAge(start.Add(2*MinStatusAdvance+age), false) != 0 {
 		t.Fatal("an answer that was already sent is sent again before the next heartbeat")
 	}
-	if sentAge(start.Add(2*FreshnessStep+age), true) != 0 {
+	if sentAge(start.Add(2*MinStatusAdvance+age), true) != 0 {
 		t.Fatal("an answer that was already sent is sent again with a heartbeat")
 	}
 }
 
-// The platform stops answering. If a failed call were sent only after FreshnessStep,
+// The platform stops answering. If a failed call were sent only after MinStatusAdvance,
 // the keepers would start to probe runners more than a second later, and half of the
 // notice period of runners that leave at that moment would be lost.
 func TestFailureIsSentBeforeHeartbeat(t *testing.T) {
@@ -67,7 +67,7 @@
 	f := platformStatusSender{relay: r}
 	r.recordAnswer(start)
 	f.next(start, false)
-	r.news = r.news.Join(watchduty.News{Tried: start.Add(20 * time.Millisecond), By: 9})
+	r.status = r.status.Merge(watchduty.StoreStatus{Tried: start.Add(20 * time.Millisecond), By: 9})
 	n := f.next(start.Add(20*time.Millisecond), false)
 	if n.try.GetAgeMillis() != 1 || n.try.GetBy() != 9 {
 		t.Fatalf("got status %+v for a failed call, want an age of 1 ms by keeper 9", n)
@@ -76,7 +76,7 @@
 	if !received.Failing() {
 		t.Fatalf("received status %+v, want a failing platform", received)
 	}
-	r.news = r.news.Join(watchduty.News{Tried: start.Add(30 * time.Millisecond), By: 9})
+	r.status = r.status.Merge(watchduty.StoreStatus{Tried: start.Add(30 * time.Millisecond), By: 9})
 	if repeated := f.next(start.Add(30*time.Millisecond), false); !repeated.empty() {
 		t.Fatal("a second failed call is sent before the next heartbeat")
 	}
--- a/internal/adapter/grpcpeer/scheduling_test.go
+++ b/internal/adapter/grpcpeer/scheduling_test.go
@@ -50,7 +50,7 @@
 // fakeAdmitter admits requests to any pool with a single limiter.
 type fakeAdmitter struct{ *ratelimit.Limiter }
 
-func (l fakeAdmitter) AdmitHere(_ string, asks []ratelimit.Ask, patience time.Duration) ratelimit.Grant {
+func (l fakeAdmitter) AdmitLocally(_ string, asks []ratelimit.Candidate, patience time.Duration) ratelimit.Grant {
 	return l.Admit(time.Now(), asks, patience)
 }
 
@@ -58,7 +58,7 @@
 // refused with the time after which to try again.
 func TestAdmitOverGRPC(t *testing.T) {
 	_, peer := startScheduler(t)
-	asks := []ratelimit.Ask{{Endpoint: "e", Limit: ratelimit.Limit{PerSecond: 0.5}}}
+	asks := []ratelimit.Candidate{{Endpoint: "e", Limit: ratelimit.Limit{PerSecond: 0.5}}}
 	g, err := peer.Admit(t.Context(), "pool", asks, 0)
 	if err != nil || g.Endpoint != "e" || g.Wait != 0 {
 		t.Fatalf("first request: got grant %+v, error %v, want endpoint e at once", g, err)
@@ -75,7 +75,7 @@
 	peer := startSchedulingServer(t, func(r grpc.ServiceRegistrar) {
 		peerv1.RegisterSchedulingServer(r, peerv1.UnimplementedSchedulingServer{})
 	})
-	if _, err := peer.Admit(t.Context(), "pool", nil, 0); !errors.Is(err, scheduling.ErrNotAdmitting) {
+	if _, err := peer.Admit(t.Context(), "pool", nil, 0); !errors.Is(err, scheduling.ErrAdmissionUnsupported) {
 		t.Fatalf("got %v, want ErrNotAdmitting", err)
 	}
 }
@@ -121,7 +121,7 @@
 	if d := <-placed; d.Verdict != port.VerdictPlace || d.Reason != routing.ReasonReleased {
 		t.Fatalf("got decision %+v after the first run ended, want a placement on release", d)
 	}
-	if n := pools.Held(); n != 1 {
+	if n := pools.RunCount(); n != 1 {
 		t.Fatalf("the scheduler tracks %d runs, want only the second", n)
 	}
 }
@@ -132,18 +132,18 @@
 func TestAdoptAndRelocateOverGRPC(t *testing.T) {
 	pools, peer := startScheduler(t)
 	run := port.RunningRequest{Request: *generation("run", 100), EndpointID: "e", Tokens: 40}
-	if err := peer.Update(t.Context(), []port.RunningRequest{run}, nil); err != nil || pools.Held() != 1 {
-		t.Fatalf("the scheduler tracks %d runs, error %v, want 1", pools.Held(), err)
+	if err := peer.Update(t.Context(), []port.RunningRequest{run}, nil); err != nil || pools.RunCount() != 1 {
+		t.Fatalf("the scheduler tracks %d runs, error %v, want 1", pools.RunCount(), err)
 	}
-	d, err := peer.Relocate(t.Context(), &run, port.Relocation{FailureDomain: "d"})
-	if err != nil || d.Verdict != port.VerdictRefuse || d.Reason != routing.ReasonRefusedRoom {
+	d, err := peer.Relocate(t.Context(), &run, port.RelocationConstraints{FailureDomain: "d"})
+	if err != nil || d.Verdict != port.VerdictRefuse || d.Reason != routing.ReasonRefusedNoCapacity {
 		t.Fatalf("got decision %+v, error %v, want a refusal for lack of capacity", d, err)
 	}
 	for _, e := range []scheduling.RunEvent{
 		{RequestID: "run", Relocated: true, Moved: true},
 		{RequestID: "run", Relocated: true},
 		{RequestID: "run", Tokens: 9},
-		{RequestID: "run", Finish: port.FinishElsewhere},
+		{RequestID: "run", Finish: port.FinishUntracked},
 	} {
 		if got := eventFromWire(eventToWire(e)); got != e {
 			t.Errorf("event %+v was converted to %+v", e, got)
@@ -165,7 +165,7 @@
 		t.Fatalf("got %v, want ErrPeerLost", err)
 	}
 	run := port.RunningRequest{Request: *generation("run", 100), EndpointID: "e"}
-	if _, err := peer.Relocate(t.Context(), &run, port.Relocation{}); !errors.Is(err, ErrPeerLost) {
+	if _, err := peer.Relocate(t.Context(), &run, port.RelocationConstraints{}); !errors.Is(err, ErrPeerLost) {
 		t.Fatalf("got %v, want ErrPeerLost", err)
 	}
 	if _, err := peer.Admit(t.Context(), "pool", nil, 0); !errors.Is(err, ErrPeerLost) {
--- a/internal/core/claim/shard.go
+++ b/internal/core/claim/shard.go
@@ -51,8 +51,8 @@
 	Retention time.Duration
 	// TombstoneRetention is how long after Retention the key is still refused.
 	TombstoneRetention time.Duration
-	// NotRunMemory is how long an attempt that was settled as not_run is barred.
-	NotRunMemory time.Duration
+	// NotRunRetention is how long an attempt that was settled as not_run is barred.
+	NotRunRetention time.Duration
 	// SealBytes is the size of the tombstones in the head from which on they
 	// are moved to a sealed part; zero or less keeps them in the head.
 	SealBytes int
@@ -154,7 +154,7 @@
 	// The reply was lost, or another keeper has already recorded this attempt.
 	// Granting it again is safe: an attempt dispatches once, however many grants
 	// it receives.
-	if held.AttemptID == e.AttemptID && held.Outcome == port.ClaimedOnly {
+	if held.AttemptID == e.AttemptID && held.Outcome == port.ClaimUnsettled {
 		return Result{Verdict: port.ClaimGranted}
 	}
 	if held.Outcome == port.ClaimNotRun && held.AttemptID != e.AttemptID {
@@ -174,7 +174,7 @@
 // pending at a frozen keeper, and the write that bars the attempt also makes that
 // keeper's write fail.
 func (s *Shard) Settle(now time.Time, st port.ClaimState, l *Limits) bool {
-	if st.Outcome == port.ClaimedOnly {
+	if st.Outcome == port.ClaimUnsettled {
 		return false
 	}
 	i, found := s.index[st.KeyHash]
@@ -197,7 +197,7 @@
 // validTransition reports whether an outcome may replace another. A known outcome,
 // not_run included, is final; unknown may only be replaced by a known one.
 func validTransition(from, to port.ClaimOutcome) bool {
-	return from == port.ClaimedOnly || (from == port.ClaimUnknown && to != port.ClaimUnknown)
+	return from == port.ClaimUnsettled || (from == port.ClaimUnknown && to != port.ClaimUnknown)
 }
 
 func (s *Shard) bar(now time.Time, st *port.ClaimState, l *Limits) bool {
@@ -220,7 +220,7 @@
 // time bucket, so that the cost does not arise at every write.
 func (s *Shard) Prune(now time.Time, l *Limits) {
 	s.dropOldTombstones(now, l)
-	if s.barred.dropBefore(now.Add(-l.NotRunMemory).UnixMilli()) {
+	if s.barred.dropBefore(now.Add(-l.NotRunRetention).UnixMilli()) {
 		s.changed = true
 	}
 	slack := time.Duration(l.bucketMillis()) * time.Millisecond
@@ -257,7 +257,7 @@
 
 func retentionOf(c *port.ClaimState, l *Limits) time.Duration {
 	if c.Outcome == port.ClaimNotRun {
-		return l.NotRunMemory
+		return l.NotRunRetention
 	}
 	return l.Retention
 }
@@ -277,7 +277,7 @@
 		KeyHash:           e.KeyHash,
 		RequestID:         e.RequestID,
 		AttemptID:         e.AttemptID,
-		Outcome:           port.ClaimedOnly,
+		Outcome:           port.ClaimUnsettled,
 		ClaimedUnixMillis: now.UnixMilli(),
 	}
 }
--- a/internal/core/coldstart/coldstart.go
+++ b/internal/core/coldstart/coldstart.go
@@ -11,9 +11,9 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// Longest bounds how long one announcement marks an endpoint as cold. An endpoint
+// MaxColdTime bounds how long one announcement marks an endpoint as cold. An endpoint
 // that stays cold for longer announces it again.
-const Longest = time.Minute
+const MaxColdTime = time.Minute
 
 // Tracker tracks the cold endpoints. It is safe for concurrent use.
 type Tracker struct {
@@ -40,10 +40,10 @@
 // NewTracker returns a tracker without endpoints.
 func NewTracker() *Tracker { return &Tracker{endpoints: make(map[string]*endpointState)} }
 
-// Listed applies the registry entry of an endpoint. The cold time counts from when
+// ApplyEntry applies the registry entry of an endpoint. The cold time counts from when
 // the entry was first received, as the age of an entry is unknown; an endpoint that
 // is taken for cold too long only gets fewer requests.
-func (t *Tracker) Listed(now time.Time, e *port.Endpoint) {
+func (t *Tracker) ApplyEntry(now time.Time, e *port.Endpoint) {
 	if e.ColdFor <= 0 && t.count.Load() == 0 {
 		return
 	}
@@ -57,7 +57,7 @@
 	default:
 		updated := t.entry(e)
 		updated.revision, updated.announced = e.Revision, e.ColdFor
-		updated.coldUntil, updated.reportedWarm = now.Add(min(Longest, e.ColdFor)), false
+		updated.coldUntil, updated.reportedWarm = now.Add(min(MaxColdTime, e.ColdFor)), false
 	}
 }
 
@@ -66,9 +66,9 @@
 	return k.incarnation == e.Incarnation && k.revision == e.Revision && k.announced == e.ColdFor
 }
 
-// Answered applies the remaining cold time that an endpoint states with an answer,
+// ApplyAnswer applies the remaining cold time that an endpoint states with an answer,
 // nil for none. It reports whether the endpoint changed between cold and warm.
-func (t *Tracker) Answered(now time.Time, e *port.Endpoint, remaining *time.Duration) (changed bool) {
+func (t *Tracker) ApplyAnswer(now time.Time, e *port.Endpoint, remaining *time.Duration) (changed bool) {
 	if remaining == nil || *remaining <= 0 && t.count.Load() == 0 {
 		return false
 	}
@@ -86,7 +86,7 @@
 		return wasCold
 	}
 	updated := t.entry(e)
-	updated.coldUntil, updated.reportedWarm = now.Add(min(Longest, *remaining)), false
+	updated.coldUntil, updated.reportedWarm = now.Add(min(MaxColdTime, *remaining)), false
 	return !wasCold
 }
 
--- a/internal/core/membership/prune_test.go
+++ b/internal/core/membership/prune_test.go
@@ -17,7 +17,7 @@
 
 // Guards against removing endpoints that are live or departed recently, and
 // against keeping departed endpoints without bound.
-func TestForgettableReturnsOnlyOldestDepartures(t *testing.T) {
+func TestPrunableDeparturesReturnsOnlyOldest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var all []Endpoint
 		live := rapid.IntRange(0, 50).Draw(t, "live")
@@ -40,7 +40,7 @@
 			all = append(all, departedEndpoint(fmt.Sprint("left-", i), revision(i)))
 		}
 		shuffled := rapid.Permutation(all).Draw(t, "order")
-		ids := Forgettable(slices.Values(shuffled))
+		ids := PrunableDepartures(slices.Values(shuffled))
 		forgotten := map[string]bool{}
 		for _, id := range ids {
 			forgotten[id] = true
--- a/internal/core/routing/organisation.go
+++ b/internal/core/routing/organisation.go
@@ -27,12 +27,12 @@
 	// when placed.
 	peak          float64
 	rates         [2]rate
-	retryBookings [2]admission.Promises
+	retryBookings [2]admission.RetryBookings
 	lastRequest   time.Time
 	share         float64
 }
 
-// Bounds of an organisation's use, tuned with internal/tools/policybench: a
+// Bounds of an organisation's use: a
 // burst of a few seconds must pass, a flood must not
 // (docs/design/routing.md).
 const (
@@ -123,7 +123,7 @@
 // too late for the fair order of the queue to help.
 func (s *shard) overShare(e *entry) bool {
 	s.updateFlooding(e.org)
-	if e.item.Lane != admission.LaneLong || s.utilisation < s.scheduler.options.BusyUse {
+	if e.item.Lane != admission.LaneLong || s.utilisation < s.scheduler.options.BusyThreshold {
 		return false
 	}
 	if s.overSurgeLimit(e.org) {
--- a/internal/core/routing/shard.go
+++ b/internal/core/routing/shard.go
@@ -154,7 +154,7 @@
 	e.org.work.add(now, e.cost)
 	e.org.rates[e.item.Lane].add(now, 1)
 	c.runner.breaker.dispatched()
-	c.runner.meter.Take(now, ratelimit.Of(&c.runner.endpoint))
+	c.runner.meter.Take(now, ratelimit.LimitOf(&c.runner.endpoint))
 	s.dispatchRate.add(now, e.print.peak())
 	s.prefixes.record(now, e.request.PrefixHashes, c.runner)
 }
@@ -290,7 +290,7 @@
 	case port.FinishDone:
 		e.runner.breaker.succeeded(e.placedAt)
 		s.scheduler.lengths.Observe(lengthSubject(r), max(1, tokens))
-	case port.FinishElsewhere:
+	case port.FinishUntracked:
 		e.runner.breaker.abandoned()
 	case port.FinishCancelled:
 		e.runner.breaker.abandoned()
--- a/internal/gateway/fake_test.go
+++ b/internal/gateway/fake_test.go
@@ -84,7 +84,7 @@
 	return f(from, to, stop)
 }
 
-func (e *fakeEndpoints) Look(_ context.Context, at port.Endpoint, _ string) port.Presence {
+func (e *fakeEndpoints) CheckPresence(_ context.Context, at port.Endpoint, _ string) port.Presence {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.probes++
@@ -248,7 +248,7 @@
 
 func (v *fakeView) SetLeaving() {}
 
-func (v *fakeView) TellLimit(endpoint string, incarnation uint64, perSecond float64) {
+func (v *fakeView) PublishLimit(endpoint string, incarnation uint64, perSecond float64) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for i := range v.endpoints {
@@ -317,10 +317,10 @@
 	scheduler := routing.NewScheduler(routing.Options{RouterID: "g"})
 	placer := scheduling.NewClient(scheduling.Options{Self: "g", Members: b.view, Logger: discardLogger()}, scheduling.NewPoolScheduler(scheduler, nil))
 	b.Gateway = New(Options{
-		ID: "g", CallerAddress: "127.0.0.1:1", MaxOpen: 100, RefusalsTried: 3, ReportMaxAge: time.Second,
+		ID: "g", CallerAddress: "127.0.0.1:1", MaxOpen: 100, MaxRefusals: 3, ReportMaxAge: time.Second,
 		RetryShare: 0.2, RetryBurst: 20, EntryValidity: time.Second, ReclaimNotice: 1500 * time.Millisecond,
 		Breaker: breaker.Options{Failures: 1000, OpenFor: time.Minute, MaxOpenFor: time.Minute, MaxEndpoints: 100},
-		Drain:   DrainOptions{TakeGenerations: time.Hour, TakeCalls: time.Hour, End: 2 * time.Hour},
+		Drain:   DrainOptions{AcceptGenerationsFor: time.Hour, AcceptCallsFor: time.Hour, ForceCloseAfter: 2 * time.Hour},
 	}, Ports{
 		Endpoints: b.backends, Scheduler: scheduler, Placer: placer, View: b.view, Announcer: b.view,
 		Quarantine: b.quarantine, Limits: b.view,
@@ -369,11 +369,11 @@
 		return refusal
 	}
 	req := &Request{
-		ID: id, Method: "POST", Target: path, Host: "h", Header: http.Header{}, Pass: pass,
-		Arrived: time.Now(), Patience: time.Minute,
+		ID: id, Method: "POST", Target: path, Host: "h", Header: http.Header{}, Admission: pass,
+		Arrived: time.Now(), CallerTimeout: time.Minute,
 	}
 	if pass.Route.Streams {
-		req.Generation = &GenerationAsk{Model: "m", PromptTokens: 1000, MaxTokens: 400}
+		req.Generation = &GenerationParams{Model: "m", PromptTokens: 1000, MaxTokens: 400}
 	}
 	return b.Serve(t.Context(), req, c)
 }
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -18,15 +18,15 @@
 // LimitPublisher announces the rate limits that endpoints report to all
 // daemons.
 type LimitPublisher interface {
-	// TellLimit announces the requests per second that an incarnation of an
+	// PublishLimit announces the requests per second that an incarnation of an
 	// endpoint accepts from all daemons together; zero means no limit.
-	TellLimit(endpoint string, incarnation uint64, perSecond float64)
+	PublishLimit(endpoint string, incarnation uint64, perSecond float64)
 }
 
 // Admitter grants permission to send requests to endpoints with rate limits.
 type Admitter interface {
 	// Admit requests permission to send one request to one of the endpoints.
-	Admit(ctx context.Context, pool string, asks []ratelimit.Ask, maxWait time.Duration) scheduling.Admission
+	Admit(ctx context.Context, pool string, asks []ratelimit.Candidate, maxWait time.Duration) scheduling.Admission
 }
 
 // observeLimit evaluates the rate limit reported with an endpoint's answer and
@@ -36,9 +36,9 @@
 	if !found || h.Incarnation != at.Incarnation || h.State == port.EndpointGone {
 		return
 	}
-	perSecond, changed := g.limitObserver.Answered(g.Clock(), &h.Endpoint, reported)
+	perSecond, changed := g.limitObserver.ObserveAnswer(g.Clock(), &h.Endpoint, reported)
 	if changed {
-		g.Limits.TellLimit(at.ID, at.Incarnation, perSecond)
+		g.Limits.PublishLimit(at.ID, at.Incarnation, perSecond)
 	}
 }
 
@@ -105,18 +105,18 @@
 // refused because all endpoints were at their limits.
 type poolPromises struct {
 	mu sync.Mutex
-	m  map[string]*admission.Promises
+	m  map[string]*admission.RetryBookings
 }
 
 // with calls f with a pool's promises, under the lock.
-func (p *poolPromises) with(pool string, f func(*admission.Promises)) {
+func (p *poolPromises) with(pool string, f func(*admission.RetryBookings)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.m == nil {
-		p.m = make(map[string]*admission.Promises)
+		p.m = make(map[string]*admission.RetryBookings)
 	}
 	if p.m[pool] == nil {
-		p.m[pool] = &admission.Promises{}
+		p.m[pool] = &admission.RetryBookings{}
 	}
 	f(p.m[pool])
 }
@@ -129,7 +129,7 @@
 	return slices.DeleteFunc(slices.Clone(es), isLimited)
 }
 
-func isLimited(e port.Endpoint) bool { return ratelimit.Of(&e).PerSecond > 0 }
+func isLimited(e port.Endpoint) bool { return ratelimit.LimitOf(&e).PerSecond > 0 }
 
 // placeWithinLimits chooses an endpoint that accepts a call now. Admission to
 // an endpoint with a rate limit is requested only after the balancer has chosen
@@ -184,10 +184,10 @@
 	return p
 }
 
-func asksOf(es []port.Endpoint) []ratelimit.Ask {
-	asks := make([]ratelimit.Ask, len(es))
+func asksOf(es []port.Endpoint) []ratelimit.Candidate {
+	asks := make([]ratelimit.Candidate, len(es))
 	for i := range es {
-		asks[i] = ratelimit.Ask{Endpoint: es[i].ID, Limit: ratelimit.Of(&es[i])}
+		asks[i] = ratelimit.Candidate{Endpoint: es[i].ID, Limit: ratelimit.LimitOf(&es[i])}
 	}
 	return asks
 }
@@ -250,13 +250,13 @@
 // allowedTurnWait returns how long the call may wait for its turn, and whether
 // it is retried at the time it was given.
 func (x *exchange) allowedTurnWait(now time.Time) (maxWait time.Duration, scheduledRetry bool) {
-	x.g.promises.with(x.pool, func(p *admission.Promises) { scheduledRetry = p.Redeem(now) })
+	x.g.promises.with(x.pool, func(p *admission.RetryBookings) { scheduledRetry = p.Redeem(now) })
 	maxWait = maxTurnWait
 	if scheduledRetry {
 		maxWait *= 2
 	}
 	timeLeft := x.deadline.Sub(now)
-	if onTime := x.req.Arrived.Add(x.req.Pass.Route.Objective).Sub(now); onTime > 0 {
+	if onTime := x.req.Arrived.Add(x.req.Admission.Route.Objective).Sub(now); onTime > 0 {
 		timeLeft = min(timeLeft, onTime)
 	}
 	return max(0, min(maxWait, timeLeft/turnWaitDivisor)), scheduledRetry
@@ -269,13 +269,13 @@
 	x.g.metrics.limitHits.Inc(1)
 	perSecond := 0.0
 	for i := range limited {
-		perSecond += ratelimit.Of(&limited[i]).PerSecond
+		perSecond += ratelimit.LimitOf(&limited[i]).PerSecond
 	}
 	refusal := &Refusal{
 		Cause:  CauseOverloaded,
 		Detail: fmt.Sprintf("at_rate_limit: the %d endpoints of pool %s take %.4g requests a second", len(limited), x.pool, perSecond),
 	}
 	share := perSecond / float64(x.g.daemonCount())
-	x.g.promises.with(x.pool, func(p *admission.Promises) { refusal.RetryAfter = p.Book(now, 0, share) })
+	x.g.promises.with(x.pool, func(p *admission.RetryBookings) { refusal.RetryAfter = p.Book(now, 0, share) })
 	return refusal
 }
--- a/internal/gateway/panics.go
+++ b/internal/gateway/panics.go
@@ -25,11 +25,11 @@
 	}
 	x.recordPanic("serve", v)
 	if x.inFlight != nil {
-		x.endAttempt(x.inFlight, port.FinishElsewhere)
+		x.endAttempt(x.inFlight, port.FinishUntracked)
 	}
 	if x.attempts > x.ledger.Attempts() {
 		// The attempt that panicked may have run.
-		x.ledger.Add(stream.FateUnknown, x.responseStarted)
+		x.ledger.Add(stream.OutcomeUnknown, x.responseStarted)
 	}
 	*refusal = x.refuse(&Refusal{Cause: CauseInternal, Detail: "a fault of this daemon"})
 }
--- a/internal/keeper/duty.go
+++ b/internal/keeper/duty.go
@@ -10,10 +10,10 @@
 // role decides how this keeper currently reads the platform.
 func (k *Keeper) role(now time.Time) watchduty.Role {
 	s := k.memberView()
-	r := k.duty.Role(now, &watchduty.Standing{
-		Keepers: len(s.live), Place: s.watcherIndex, Line: s.ringPosition, Hash: s.idHash, Watchers: s.watcherHashes,
-		Linked: now.Sub(time.Unix(0, k.lastPeerMessage.Load())) < k.options.SilenceAfter,
-		Seed:   s.isSeed,
+	r := k.duty.Role(now, &watchduty.Position{
+		Keepers: len(s.live), WatcherIndex: s.watcherIndex, HashIndex: s.ringPosition, Hash: s.idHash, Watchers: s.watcherHashes,
+		PeerReachable: now.Sub(time.Unix(0, k.lastPeerMessage.Load())) < k.options.SilenceAfter,
+		Seed:          s.isSeed,
 	})
 	if before := watchduty.Role(k.lastRole.Swap(int32(r))); before != r {
 		k.logRoleChange(now, before, r, s)
@@ -23,7 +23,7 @@
 
 // logRoleChange logs a change of role with the values that it was decided on.
 func (k *Keeper) logRoleChange(now time.Time, before, r watchduty.Role, s *memberView) {
-	n := k.duty.News()
+	n := k.duty.Status()
 	k.options.Logger.Info().Str("event", "watch_role").Str("role", r.String()).Str("before", before.String()).
 		Int("place", s.watcherIndex).Int("line", s.ringPosition).Int("keepers", len(s.live)).
 		Int64("answered_ago_ms", millisSince(now, n.Answered)).Int64("tried_ago_ms", millisSince(now, n.Tried)).Msg("")
@@ -41,35 +41,35 @@
 // fewer keepers read than other kinds.
 func (k *Keeper) readsHostList(now time.Time) bool {
 	r := k.role(now)
-	return k.memberView().pollsHosts || r == watchduty.Alone || r == watchduty.Blind
+	return k.memberView().pollsHosts || r == watchduty.Isolated || r == watchduty.Refused
 }
 
 // recordPlatformCall records the outcome of a call that this keeper made to the
 // platform, and relays it to peers.
 func (k *Keeper) recordPlatformCall(now time.Time, answered bool) {
-	k.duty.Called(now, k.memberView().idHash, answered)
+	k.duty.RecordCall(now, k.memberView().idHash, answered)
 	k.relayNews()
 }
 
-// News implements grpcpeer.PlatformRelay.
-func (k *Keeper) News() watchduty.News { return k.duty.News() }
+// Status implements grpcpeer.PlatformRelay.
+func (k *Keeper) Status() watchduty.StoreStatus { return k.duty.Status() }
 
-// HeardNews implements grpcpeer.PlatformRelay.
-func (k *Keeper) HeardNews(n watchduty.News) {
+// ReceiveStatus implements grpcpeer.PlatformRelay.
+func (k *Keeper) ReceiveStatus(n watchduty.StoreStatus) {
 	k.lastPeerMessage.Store(time.Now().UnixNano())
 	if n.Tried.IsZero() {
 		return
 	}
-	k.duty.Heard(n)
+	k.duty.RecordPeerStatus(n)
 	k.relayNews()
 }
 
 // relayNews wakes the links if peers should learn of the platform's state
 // before the next heartbeat.
 func (k *Keeper) relayNews() {
-	n := k.duty.News()
+	n := k.duty.Status()
 	k.lastRelayed.mu.Lock()
-	relay := n.Adds(k.lastRelayed.news, grpcpeer.FreshnessStep)
+	relay := n.ShouldSend(k.lastRelayed.news, grpcpeer.MinStatusAdvance)
 	if relay {
 		k.lastRelayed.news = n
 	}
@@ -82,7 +82,7 @@
 // PlatformAge returns the time since the platform last answered any keeper, as
 // far as this keeper knows. It is negative if no answer is known.
 func (k *Keeper) PlatformAge(now time.Time) time.Duration {
-	answered := k.duty.News().Answered
+	answered := k.duty.Status().Answered
 	if answered.IsZero() {
 		return -1
 	}
--- a/internal/keeper/eras.go
+++ b/internal/keeper/eras.go
@@ -18,14 +18,14 @@
 // so it only changes what no other source has reported.
 func (k *Keeper) checkEra(kind string, at port.StoreRevision) error {
 	before := k.eras.Current()
-	verdict, isNew := k.eras.Answer(at.Era())
+	verdict, isNew := k.eras.Observe(at.Era())
 	switch verdict {
-	case membership.EraBegun:
+	case membership.EraConfirmed:
 		k.logEraBegan(before, at, "")
 	case membership.EraAnnounced:
 		k.logEraAnomaly("store_era_announced", kind, before, at)
 		return errEraUnconfirmed
-	case membership.EraFell:
+	case membership.EraRegressed:
 		if isNew {
 			k.logEraAnomaly("store_era_fell", kind, before, at)
 		}
@@ -46,11 +46,11 @@
 	return port.ErrRevisionGone
 }
 
-// EraHeard processes a revision that a peer relayed. It may be of an era in
+// EraReceived processes a revision that a peer relayed. It may be of an era in
 // which the platform hasn't answered this keeper yet.
-func (k *Keeper) EraHeard(at port.StoreRevision, from string) {
+func (k *Keeper) EraReceived(at port.StoreRevision, from string) {
 	before := k.eras.Current()
-	if k.eras.Heard(at.Era()) {
+	if k.eras.Adopt(at.Era()) {
 		k.logEraBegan(before, at, from)
 	}
 }
--- a/internal/router/attempt.go
+++ b/internal/router/attempt.go
@@ -9,12 +9,12 @@
 	"github.com/dragonflyrail/dragonflyrail/internal/port"
 )
 
-// Answer writes a generation's frames to its caller.
-type Answer interface {
-	// Frame writes one frame with the resume token of its run. It may buffer the
+// FrameWriter writes a generation's frames to its caller.
+type FrameWriter interface {
+	// WriteFrame writes one frame with the resume token of its run. It may buffer the
 	// frame until Flush. An error means that the caller has disconnected.
-	Frame(token string, f *port.Frame) error
-	// Flush sends the frames that Frame has buffered.
+	WriteFrame(token string, f *port.Frame) error
+	// Flush sends the frames that WriteFrame has buffered.
 	Flush() error
 	// Resumable reports whether the caller receives resume tokens while it reads.
 	Resumable() bool
@@ -25,7 +25,7 @@
 type attempt struct {
 	r           *Router
 	machine     *stream.Machine
-	answer      Answer
+	answer      FrameWriter
 	endpoint    port.Endpoint
 	start       *port.GenerationStart
 	resumeToken string
@@ -43,7 +43,7 @@
 
 // attemptResult is how a run ended.
 type attemptResult struct {
-	fate          stream.Fate
+	outcome       stream.RunOutcome
 	reason        string
 	cancelPending bool
 }
@@ -77,7 +77,7 @@
 		case stream.CommandComplete:
 			return a.complete(&c)
 		default:
-			return attemptResult{fate: c.Fate, reason: c.Reason, cancelPending: c.CancelPending}
+			return attemptResult{outcome: c.Outcome, reason: c.Reason, cancelPending: c.CancelPending}
 		}
 	}
 }
@@ -110,12 +110,12 @@
 	case errors.Is(err, port.ErrNotSent):
 		return stream.Event{Kind: stream.EventNotSent}
 	default:
-		return stream.Event{Kind: stream.EventLost}
+		return stream.Event{Kind: stream.EventNoAnswer}
 	}
 }
 
 func (a *attempt) startReading(s port.FrameStream) stream.Event {
-	a.pump = startPump(s, a.r.o.BufferFrames, a.r.o.ReaderPatience)
+	a.pump = startPump(s, a.r.o.BufferFrames, a.r.o.SlowReaderTimeout)
 	return stream.Event{Kind: stream.EventOpened}
 }
 
@@ -178,7 +178,7 @@
 	case f, ok := <-a.pump.frames:
 		return a.frameEvent(f, ok)
 	case <-a.stallTimer.C:
-		return stream.Event{Kind: stream.EventSilent}
+		return stream.Event{Kind: stream.EventStalled}
 	case <-ctx.Done():
 		return stream.Event{Kind: stream.EventCallerGone}
 	case <-a.r.lifecycle.handover:
@@ -195,7 +195,7 @@
 }
 
 func (a *attempt) deliver(ctx context.Context, f *port.Frame) stream.Event {
-	if err := a.answer.Frame(a.resumeToken, f); err != nil {
+	if err := a.answer.WriteFrame(a.resumeToken, f); err != nil {
 		return stream.Event{Kind: stream.EventCallerGone}
 	}
 	a.unflushed = true
@@ -216,14 +216,14 @@
 }
 
 func (a *attempt) complete(c *stream.Command) attemptResult {
-	err := a.answer.Frame(a.resumeToken, &c.Frame)
+	err := a.answer.WriteFrame(a.resumeToken, &c.Frame)
 	if err == nil {
 		err = a.answer.Flush()
 	}
 	if err != nil {
-		return attemptResult{fate: stream.FateLeft, reason: "the caller has gone before the final event"}
+		return attemptResult{outcome: stream.OutcomeDetached, reason: "the caller has gone before the final event"}
 	}
-	return attemptResult{fate: c.Fate, reason: c.Reason}
+	return attemptResult{outcome: c.Outcome, reason: c.Reason}
 }
 
 func (a *attempt) resume(ctx context.Context, c stream.Command) stream.Event {
@@ -243,7 +243,7 @@
 	case ctx.Err() != nil:
 		return stream.Event{Kind: stream.EventCallerGone}
 	default:
-		return stream.Event{Kind: stream.EventLost}
+		return stream.Event{Kind: stream.EventNoAnswer}
 	}
 }
 
@@ -258,7 +258,7 @@
 	case ctx.Err() != nil:
 		return stream.Event{Kind: stream.EventCallerGone}
 	default:
-		return stream.Event{Kind: stream.EventLost}
+		return stream.Event{Kind: stream.EventNoAnswer}
 	}
 }
 
@@ -268,10 +268,10 @@
 	a.wait(context.Background(), c.Delay)
 	status, err := a.r.cancelOnce(context.Background(), a.endpoint, a.start.Generation)
 	if err != nil {
-		return stream.Event{Kind: stream.EventLost}
+		return stream.Event{Kind: stream.EventNoAnswer}
 	}
 	if status == port.GenerationUnknown && !a.sameIncarnation() {
-		return stream.Event{Kind: stream.EventForgotten}
+		return stream.Event{Kind: stream.EventEngineRestarted}
 	}
 	return stream.Event{Kind: stream.EventStatus, Status: status}
 }
--- a/internal/router/generate.go
+++ b/internal/router/generate.go
@@ -38,7 +38,7 @@
 type generation struct {
 	r                *Router
 	req              *GenerationRequest
-	answer           Answer
+	answer           FrameWriter
 	schedulerRequest port.GenerationRequest
 	ledger           outcome.Ledger
 	status           RequestStatus
@@ -57,7 +57,7 @@
 // Generate serves one request. It returns nil once the caller has the complete
 // answer, otherwise a refusal. If tokens were already delivered, the refusal's
 // LastIndex is the index of the last one.
-func (r *Router) Generate(ctx context.Context, req *GenerationRequest, answer Answer) *Refusal {
+func (r *Router) Generate(ctx context.Context, req *GenerationRequest, answer FrameWriter) *Refusal {
 	if refusal := r.admit(req.RequestID); refusal != nil {
 		return refusal
 	}
@@ -81,7 +81,7 @@
 	return newClaimKey(req.Organisation, req.IdempotencyKey)
 }
 
-func (r *Router) newGeneration(req *GenerationRequest, answer Answer) *generation {
+func (r *Router) newGeneration(req *GenerationRequest, answer FrameWriter) *generation {
 	now := r.Clock()
 	g := &generation{r: r, req: req, answer: answer, print: req.crashFingerprint()}
 	g.ledger.Idempotent = !req.NonIdempotent
@@ -105,7 +105,7 @@
 			return g.recordRefusal(refusal)
 		}
 		g.runAttempt(ctx, &decision)
-		if g.lastResult.fate == stream.FateDone {
+		if g.lastResult.outcome == stream.OutcomeDone {
 			g.r.Quarantine.Completed(g.r.Clock(), g.print)
 			g.finish(outcome.Done, g.lastResult.reason)
 			return nil
@@ -228,21 +228,21 @@
 	}
 	watched := r.crashWatch.Begin(d.Endpoint, g.print)
 	g.lastResult = a.run(ctx)
-	r.crashWatch.End(watched, ctx.Err() == nil && mayHaveCrashed(g.lastResult.fate))
-	g.ledger.Add(g.lastResult.fate, g.machine.Delivered())
+	r.crashWatch.End(watched, ctx.Err() == nil && mayHaveCrashed(g.lastResult.outcome))
+	g.ledger.Add(g.lastResult.outcome, g.machine.Delivered())
 	if g.lastResult.cancelPending {
 		r.cancelQueue.add(d.Endpoint, id)
 	}
-	r.Scheduler.Finished(r.Clock(), g.req.RequestID, g.machine.Next(), finishKind(g.lastResult.fate))
+	r.Scheduler.Finished(r.Clock(), g.req.RequestID, g.machine.Next(), finishKind(g.lastResult.outcome))
 }
 
-func finishKind(f stream.Fate) port.FinishKind {
+func finishKind(f stream.RunOutcome) port.FinishKind {
 	switch f {
-	case stream.FateDone:
+	case stream.OutcomeDone:
 		return port.FinishDone
-	case stream.FateNotSent, stream.FateRefused, stream.FateBarred:
+	case stream.OutcomeNotSent, stream.OutcomeRefused, stream.OutcomeBarred:
 		return port.FinishNotStarted
-	case stream.FateLeft, stream.FateRejected:
+	case stream.OutcomeDetached, stream.OutcomeRejected:
 		// The engine hasn't failed: a caller that sends invalid requests must not
 		// open the circuit breakers of a pool.
 		return port.FinishCancelled
@@ -270,7 +270,7 @@
 		Cause: CauseEndpointFailed, Detail: g.lastResult.reason, DecisionID: g.decisionID,
 		RetryAfter: defaultRetryAfter, LastIndex: g.machine.Next() - 1,
 	}
-	if g.lastResult.fate == stream.FateLeft {
+	if g.lastResult.outcome == stream.OutcomeDetached {
 		refusal.ResumeToken = g.resumeToken
 	}
 	select {
@@ -280,9 +280,9 @@
 	default:
 	}
 	switch {
-	case ctx.Err() != nil || g.lastResult.fate == stream.FateLeft:
+	case ctx.Err() != nil || g.lastResult.outcome == stream.OutcomeDetached:
 		refusal.Cause = CauseCallerGone
-	case g.lastResult.fate == stream.FateRejected:
+	case g.lastResult.outcome == stream.OutcomeRejected:
 		refusal.Cause, refusal.RetryAfter = CauseRejected, 0
 	case !g.ledger.MayRetry() || g.schedulerRequest.Attempt >= g.r.o.MaxAttempts:
 	default:
@@ -297,7 +297,7 @@
 	g.r.recordDecision(&port.DecisionRecord{
 		Subject: subjectRequest, SubjectID: g.req.RequestID, Organisation: g.req.Organisation,
 		Model: g.req.Model, Verdict: verdictMove, Reason: g.lastResult.reason, Endpoint: d.Endpoint.ID,
-		Attempt: g.schedulerRequest.Attempt, Outcome: g.lastResult.fate.String(), ConfigurationVersion: g.configurationVersion,
+		Attempt: g.schedulerRequest.Attempt, Outcome: g.lastResult.outcome.String(), ConfigurationVersion: g.configurationVersion,
 	})
 	g.schedulerRequest.Excluded = append(g.schedulerRequest.Excluded, d.Endpoint.ID)
 	g.schedulerRequest.Attempt++
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -30,8 +30,8 @@
 type Services interface {
 	Call(ctx context.Context, e port.Endpoint, r *ServiceRequest) (*ServiceReply, error)
 	Load(ctx context.Context, e port.Endpoint) (port.LoadReport, error)
-	// Look probes whether an endpoint is serving.
-	Look(ctx context.Context, e port.Endpoint) port.Presence
+	// CheckPresence probes whether an endpoint is serving.
+	CheckPresence(ctx context.Context, e port.Endpoint) port.Presence
 }
 
 // Peers queries other routers.
@@ -110,27 +110,27 @@
 	PeerTimeout time.Duration
 	// BufferFrames bounds the frames buffered for a caller.
 	BufferFrames int
-	// ReaderPatience is how long a full frame buffer may go unread before the
+	// SlowReaderTimeout is how long a full frame buffer may go unread before the
 	// connection to the engine is closed.
-	ReaderPatience time.Duration
+	SlowReaderTimeout time.Duration
 	// LoadInterval is the time between rounds of load polling. A round polls
-	// endpoints whose last report is older than LoadStale.
+	// endpoints whose last report is older than LoadMaxAge.
 	LoadInterval time.Duration
-	LoadStale    time.Duration
+	LoadMaxAge   time.Duration
 	// LoadSubset bounds the number of runners, and likewise of service endpoints,
 	// that this router polls.
 	LoadSubset int
 	// LoadPollsPerSecond bounds the rate of load polls.
 	LoadPollsPerSecond float64
-	// EntryValidity is how long callers may cache the addresses that Entry returns.
+	// EntryValidity is how long callers may cache the addresses that EntryAddresses returns.
 	EntryValidity time.Duration
 	// DrainTimeout bounds a graceful shutdown; see Router.Drain for the grace period
 	// after it.
 	DrainTimeout time.Duration
-	// RememberRequests bounds the number of request statuses kept.
-	RememberRequests int
-	// RememberReplies bounds the stored replies of keyed calls, in bytes.
-	RememberReplies int
+	// MaxRequestStatuses bounds the number of request statuses kept.
+	MaxRequestStatuses int
+	// ReplyCacheBytes bounds the stored replies of keyed calls, in bytes.
+	ReplyCacheBytes int
 }
 
 // Router admits requests, places them on endpoints and tracks them to their end.
@@ -170,11 +170,11 @@
 	r := &Router{
 		Ports:      p,
 		o:          o,
-		statuses:   newStatusStore(o.RememberRequests),
-		replyCache: newReplyCache(o.RememberReplies),
+		statuses:   newStatusStore(o.MaxRequestStatuses),
+		replyCache: newReplyCache(o.ReplyCacheBytes),
 		breakers:   breaker.NewSet(o.Breaker),
 		budget:     breaker.NewBudget(o.RetryShare, float64(o.RetryBurst)),
-		balancer:   balance.New(balance.Options{Draw: randIntN, ReportMaxAge: 10 * o.LoadStale}),
+		balancer:   balance.New(balance.Options{Draw: randIntN, ReportMaxAge: 10 * o.LoadMaxAge}),
 		metrics:    newInstruments(p.Metrics),
 	}
 	r.crashWatch = r.newCrashWatch()
@@ -272,8 +272,8 @@
 	t.runners = reachable(t.runners)
 	r.eligible.Store(t)
 	r.Scheduler.SetEndpoints(r.Clock(), t.runners)
-	r.balancer.Keep(known)
-	r.departures.Keep(known)
+	r.balancer.Retain(known)
+	r.departures.Retain(known)
 }
 
 // applyEvacuations updates the active evacuations from the records and records a
--- a/internal/scheduling/scheduling_test.go
+++ b/internal/scheduling/scheduling_test.go
@@ -125,7 +125,7 @@
 	return d, err
 }
 
-func (l *fakePeer) Relocate(_ context.Context, run *port.RunningRequest, terms port.Relocation) (port.Decision, error) {
+func (l *fakePeer) Relocate(_ context.Context, run *port.RunningRequest, terms port.RelocationConstraints) (port.Decision, error) {
 	var d port.Decision
 	err := l.call(func() { d = l.fleet.schedulers[l.to].Relocate(run, terms) })
 	return d, err
@@ -135,12 +135,12 @@
 	return l.call(func() { l.fleet.schedulers[l.to].Update(adopted, events) })
 }
 
-func (l *fakePeer) Admit(_ context.Context, pool string, asks []ratelimit.Ask, maxWait time.Duration) (ratelimit.Grant, error) {
+func (l *fakePeer) Admit(_ context.Context, pool string, asks []ratelimit.Candidate, maxWait time.Duration) (ratelimit.Grant, error) {
 	if l.fleet.noAdmission[l.to] {
-		return ratelimit.Grant{}, ErrNotAdmitting
+		return ratelimit.Grant{}, ErrAdmissionUnsupported
 	}
 	var g ratelimit.Grant
-	err := l.call(func() { g = l.fleet.clients[l.to].AdmitHere(pool, asks, maxWait) })
+	err := l.call(func() { g = l.fleet.clients[l.to].AdmitLocally(pool, asks, maxWait) })
 	return g, err
 }
 
@@ -233,7 +233,7 @@
 	if successor == coordinator {
 		t.Fatal("a daemon that is down is still the coordinator")
 	}
-	if n := f.schedulers[successor].Held(); n != 9 {
+	if n := f.schedulers[successor].RunCount(); n != 9 {
 		t.Fatalf("the new coordinator tracks %d runs, want 9", n)
 	}
 }
@@ -255,13 +255,13 @@
 	}
 	f.clock.advance(runExpiry - time.Millisecond)
 	b.Expire()
-	if b.Held() == 0 {
+	if b.RunCount() == 0 {
 		t.Fatal("runs expired before runExpiry")
 	}
 	f.clock.advance(time.Millisecond)
 	b.Expire()
-	if b.Held() != 0 || b.isFull(t, f.clock.Now()) {
-		t.Fatalf("%d runs remain or the runners are full after runExpiry", b.Held())
+	if b.RunCount() != 0 || b.isFull(t, f.clock.Now()) {
+		t.Fatalf("%d runs remain or the runners are full after runExpiry", b.RunCount())
 	}
 }
 
@@ -274,7 +274,7 @@
 	r := newRequest(now, fmt.Sprint("probe", now.UnixNano()), 5000)
 	d := b.Place(ctx, r, func(*port.Decision) { held = true })
 	if d.Verdict == port.VerdictPlace {
-		b.Update(nil, []RunEvent{{RequestID: r.RequestID, Finish: port.FinishElsewhere}})
+		b.Update(nil, []RunEvent{{RequestID: r.RequestID, Finish: port.FinishUntracked}})
 	}
 	return held
 }
@@ -300,7 +300,7 @@
 		return fault
 	}
 	client.Place(t.Context(), newRequest(f.clock.Now(), "lost", 100), ignoreHold)
-	if n := f.schedulers[coordinator].Held(); n != 2 {
+	if n := f.schedulers[coordinator].RunCount(); n != 2 {
 		t.Fatalf("the coordinator tracks %d runs, want 2: the reported run and the one whose reply was lost", n)
 	}
 	client.Finished("lost", 0, port.FinishDone)
@@ -309,7 +309,7 @@
 		f.exchangeUpdates()
 		f.schedulers[coordinator].Expire()
 	}
-	if n := f.schedulers[coordinator].Held(); n != 1 {
+	if n := f.schedulers[coordinator].RunCount(); n != 1 {
 		t.Fatalf("the coordinator tracks %d runs, want only the reported run", n)
 	}
 }
@@ -350,7 +350,7 @@
 				open = append(open[:at], open[at+1:]...)
 			case action == 4 && len(open) > 0:
 				r := open[rapid.IntRange(0, len(open)-1).Draw(t, "run")]
-				d := f.clients[r.at].Relocate(context.Background(), r.id, port.Relocation{})
+				d := f.clients[r.at].Relocate(context.Background(), r.id, port.RelocationConstraints{})
 				moved := d.Verdict == port.VerdictPlace && rapid.Bool().Draw(t, "moved")
 				f.clients[r.at].Relocated(r.id, moved, d.Endpoint.ID)
 			case action == 5:
@@ -378,10 +378,10 @@
 		f.clock.advance(runExpiry)
 		for _, name := range f.names {
 			f.schedulers[name].Expire()
-			if n := f.schedulers[name].Held(); n != 0 {
+			if n := f.schedulers[name].RunCount(); n != 0 {
 				t.Fatalf("scheduler %s tracks %d runs after all have ended", name, n)
 			}
-			if n := f.routingSchedulers[name].Placed(); n != 0 {
+			if n := f.routingSchedulers[name].RunCount(); n != 0 {
 				t.Fatalf("the routing scheduler of %s counts %d placed runs after all have ended", name, n)
 			}
 		}
@@ -405,7 +405,7 @@
 			t.Errorf("daemon %s: first attempt at %s, second attempt verdict %s at %q, reason %q", name, first.Endpoint.ID, second.Verdict, second.Endpoint.ID, second.Reason)
 		}
 		f.exchangeUpdates()
-		if held := f.schedulers[coordinator].Held(); held != 1 {
+		if held := f.schedulers[coordinator].RunCount(); held != 1 {
 			t.Errorf("daemon %s: the coordinator tracks %d runs, want 1", name, held)
 		}
 		f.clients[name].Finished(r.RequestID, 1, port.FinishDone)
--- a/internal/testkit/fakes/claims.go
+++ b/internal/testkit/fakes/claims.go
@@ -13,9 +13,9 @@
 	mu sync.Mutex
 	// Held contains the claims by key hash. Down makes Claim fail as unavailable.
 	// Settled contains all settled states in the order of their arrival.
-	Held    map[[16]byte]port.ClaimState
-	Down    bool
-	Settled []port.ClaimState
+	Held        map[[16]byte]port.ClaimState
+	Unavailable bool
+	Settled     []port.ClaimState
 }
 
 // NewClaims returns an empty claim store.
@@ -25,14 +25,14 @@
 func (c *Claims) Claim(_ context.Context, e port.ClaimEntry) (port.ClaimVerdict, port.ClaimState, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.Down {
+	if c.Unavailable {
 		return port.ClaimUnavailable, port.ClaimState{}, errors.New("down")
 	}
 	if held, ok := c.Held[e.KeyHash]; ok {
 		return port.ClaimHeld, held, nil
 	}
 	c.Held[e.KeyHash] = port.ClaimState{
-		KeyHash: e.KeyHash, RequestID: e.RequestID, AttemptID: e.AttemptID, Outcome: port.ClaimedOnly,
+		KeyHash: e.KeyHash, RequestID: e.RequestID, AttemptID: e.AttemptID, Outcome: port.ClaimUnsettled,
 	}
 	return port.ClaimGranted, port.ClaimState{}, nil
 }
