--- a/cmd/dragonfly-router/system.go
+++ b/cmd/dragonfly-router/system.go
@@ -100,7 +100,7 @@
 	if err != nil {
 		return err
 	}
-	service := &grpcpeer.RouterService{Snapshot: s.view.Snapshot, Lookup: app.LocalRequest}
+	service := &grpcpeer.RouterService{Snapshot: s.view.Snapshot, Lookup: app.LocalStatusJSON}
 	service.Register(s.server)
 	go func() {
 		if err := s.server.Serve(listener); err != nil {
@@ -112,7 +112,7 @@
 
 // run keeps the view current until the context ends.
 func (s *system) run(ctx context.Context) {
-	go crashwatch.Keep(ctx, s.view, s.quarantine)
+	go crashwatch.RunRegister(ctx, s.view, s.quarantine)
 	if err := s.view.Run(ctx); err != nil && !errors.Is(err, context.Canceled) {
 		s.logger.Error().Err(err).Str("event", "view_failed").Msg("")
 	}
--- a/internal/adapter/grpcclaim/grpcclaim_test.go
+++ b/internal/adapter/grpcclaim/grpcclaim_test.go
@@ -28,7 +28,7 @@
 	claimOverride func(ctx context.Context, entries []port.ClaimEntry) []claim.Result
 }
 
-var limits = claim.Limits{MaxBytes: 1 << 20, Retention: time.Hour, TombstoneRetention: time.Hour, NotRunMemory: time.Hour}
+var limits = claim.Limits{MaxBytes: 1 << 20, Retention: time.Hour, TombstoneRetention: time.Hour, NotRunRetention: time.Hour}
 
 func newFakeStore() *fakeStore { return &fakeStore{shard: claim.NewShard()} }
 
@@ -122,7 +122,7 @@
 func newTestClient(t *testing.T, o Options, addresses ...string) *Client {
 	t.Helper()
 	o.Keepers = func() []string { return addresses }
-	o.Lanes = 1
+	o.Partitions = 1
 	setDefault(&o.Timeout, testTimeout)
 	setDefault(&o.TryTimeout, testTimeout)
 	o.SettleDelay, o.SettleRetry = time.Millisecond, time.Millisecond
--- a/internal/adapter/grpcpeer/keeper.go
+++ b/internal/adapter/grpcpeer/keeper.go
@@ -24,10 +24,10 @@
 
 // Listener handles the members that subscribe to a keeper.
 type Listener interface {
-	// Heard handles a heartbeat; first is set for the first one of a stream.
-	Heard(m membership.Member, b membership.Beat, first bool)
-	// Closed handles the end of a member's stream; b is its last heartbeat.
-	Closed(b membership.Beat)
+	// HandleHeartbeat handles a heartbeat; first is set for the first one of a stream.
+	HandleHeartbeat(m membership.Member, b membership.Heartbeat, first bool)
+	// HandleStreamEnd handles the end of a member's stream; b is its last heartbeat.
+	HandleStreamEnd(b membership.Heartbeat)
 	// SendsEndpoints reports whether endpoints are sent on the link to a member.
 	SendsEndpoints(to *membership.Member) bool
 	// Directory returns the members that send their heartbeats to this keeper.
@@ -106,7 +106,7 @@
 			// alive.
 			status := statusSender.next(time.Now(), true)
 			update.PlatformAgeMillis, update.PlatformTry = status.ageMillis, status.try
-		case <-link.Woken():
+		case <-link.Wakeups():
 			if err := pause(stream.Context(), coalesceDelay); err != nil {
 				return err
 			}
@@ -134,14 +134,14 @@
 	listener Listener
 	link     *node.Link
 	member   membership.Member
-	lastBeat membership.Beat
+	lastBeat membership.Heartbeat
 	started  bool
 	// relay is nil if the member is not a keeper.
 	relay PlatformRelay
 }
 
 func (s *session) receiveAll(stream peerv1.Keeper_SubscribeServer) error {
-	defer func() { s.listener.Closed(s.lastBeat) }()
+	defer func() { s.listener.HandleStreamEnd(s.lastBeat) }()
 	for {
 		h, err := stream.Recv()
 		if err != nil {
@@ -159,12 +159,12 @@
 	if h.GetSequence() != 0 {
 		// Checked with each heartbeat, as it depends on the ring of keepers, which
 		// changes.
-		s.link.HoldEndpoints(!s.listener.SendsEndpoints(&s.member))
+		s.link.PauseEndpoints(!s.listener.SendsEndpoints(&s.member))
 	}
 	m := heartbeatFromWire(h)
 	s.link.Receive(&m)
 	if s.relay != nil {
-		s.relay.HeardNews(statusFromWire(time.Now(), h.GetPlatformAgeMillis(), h.GetPlatformTry()))
+		s.relay.ReceiveStatus(statusFromWire(time.Now(), h.GetPlatformAgeMillis(), h.GetPlatformTry()))
 	}
 	// Between heartbeats a subscriber also sends changes. Such a message has no
 	// sequence and does not count as a heartbeat.
@@ -176,7 +176,7 @@
 	}
 	s.member.Sequence = h.GetSequence()
 	s.lastBeat.ID, s.lastBeat.Incarnation, s.lastBeat.Sequence = s.member.ID, s.member.Incarnation, s.member.Sequence
-	s.listener.Heard(s.member, s.lastBeat, !s.started)
+	s.listener.HandleHeartbeat(s.member, s.lastBeat, !s.started)
 	s.started = true
 }
 
--- a/internal/adapter/grpcpeer/scheduling.go
+++ b/internal/adapter/grpcpeer/scheduling.go
@@ -36,7 +36,7 @@
 // Admitter decides, with this daemon's own limiter, whether requests may be sent to
 // endpoints that have rate limits.
 type Admitter interface {
-	AdmitHere(pool string, asks []ratelimit.Ask, patience time.Duration) ratelimit.Grant
+	AdmitLocally(pool string, asks []ratelimit.Candidate, patience time.Duration) ratelimit.Grant
 }
 
 // Register registers the service with a server.
@@ -59,7 +59,7 @@
 // Relocate chooses the runner that takes over a run.
 func (s *SchedulingService) Relocate(_ context.Context, r *peerv1.RelocateRequest) (*peerv1.PlaceReply, error) {
 	run := runFromWire(r.GetRun())
-	d := s.Scheduler.Relocate(&run, port.Relocation{
+	d := s.Scheduler.Relocate(&run, port.RelocationConstraints{
 		Excluded: r.GetExcluded(), FailureDomain: r.GetFailureDomain(),
 	})
 	return decisionToWire(&d), nil
@@ -73,12 +73,12 @@
 
 // Admit decides where and when one request may be sent.
 func (s *SchedulingService) Admit(_ context.Context, r *peerv1.AdmitRequest) (*peerv1.AdmitReply, error) {
-	asks := mapSlice(r.GetEndpoints(), func(e *peerv1.LimitedEndpoint) ratelimit.Ask {
-		return ratelimit.Ask{Endpoint: e.GetId(), Limit: ratelimit.Limit{
+	asks := mapSlice(r.GetEndpoints(), func(e *peerv1.LimitedEndpoint) ratelimit.Candidate {
+		return ratelimit.Candidate{Endpoint: e.GetId(), Limit: ratelimit.Limit{
 			PerSecond: rateLimitFromWire(e.GetRateLimit()), IsCold: e.GetCold(),
 		}}
 	})
-	g := s.Admitter.AdmitHere(r.GetPool(), asks, millis(r.GetPatienceMillis()))
+	g := s.Admitter.AdmitLocally(r.GetPool(), asks, millis(r.GetPatienceMillis()))
 	return &peerv1.AdmitReply{Endpoint: g.Endpoint, WaitMicros: g.Wait.Microseconds()}, nil
 }
 
@@ -142,7 +142,7 @@
 }
 
 // Relocate requests a runner that takes over a run.
-func (p *SchedulingPeer) Relocate(ctx context.Context, run *port.RunningRequest, constraints port.Relocation) (port.Decision, error) {
+func (p *SchedulingPeer) Relocate(ctx context.Context, run *port.RunningRequest, constraints port.RelocationConstraints) (port.Decision, error) {
 	if p.err != nil {
 		return port.Decision{}, p.err
 	}
@@ -174,8 +174,8 @@
 }
 
 // Admit requests permission to send one request. It returns
-// scheduling.ErrNotAdmitting if the peer's build does not support the call.
-func (p *SchedulingPeer) Admit(ctx context.Context, pool string, asks []ratelimit.Ask, patience time.Duration) (ratelimit.Grant, error) {
+// scheduling.ErrAdmissionUnsupported if the peer's build does not support the call.
+func (p *SchedulingPeer) Admit(ctx context.Context, pool string, asks []ratelimit.Candidate, patience time.Duration) (ratelimit.Grant, error) {
 	if p.err != nil {
 		return ratelimit.Grant{}, p.err
 	}
@@ -183,14 +183,14 @@
 	defer cancel()
 	reply, err := peerv1.NewSchedulingClient(p.conn).Admit(ctx, &peerv1.AdmitRequest{
 		Pool: pool,
-		Endpoints: mapSlice(asks, func(a ratelimit.Ask) *peerv1.LimitedEndpoint {
+		Endpoints: mapSlice(asks, func(a ratelimit.Candidate) *peerv1.LimitedEndpoint {
 			return &peerv1.LimitedEndpoint{Id: a.Endpoint, RateLimit: a.PerSecond, Cold: a.IsCold}
 		}),
 		PatienceMillis: patience.Milliseconds(),
 	})
 	switch {
 	case status.Code(err) == codes.Unimplemented:
-		return ratelimit.Grant{}, scheduling.ErrNotAdmitting
+		return ratelimit.Grant{}, scheduling.ErrAdmissionUnsupported
 	case err != nil:
 		return ratelimit.Grant{}, merry.Prepend(ErrPeerLost, err.Error())
 	}
@@ -281,7 +281,7 @@
 	"not_started": port.FinishNotStarted,
 	"failed":      port.FinishFailed,
 	"cancelled":   port.FinishCancelled,
-	"elsewhere":   port.FinishElsewhere,
+	"elsewhere":   port.FinishUntracked,
 }
 
 // Wire names of the results of relocations.
@@ -309,7 +309,7 @@
 func eventFromWire(e *peerv1.RunEvent) scheduling.RunEvent {
 	finish, known := finishKinds[e.GetFinish()]
 	if !known {
-		finish = port.FinishElsewhere
+		finish = port.FinishUntracked
 	}
 	return scheduling.RunEvent{
 		RequestID: e.GetRequestId(), Tokens: int(e.GetTokens()), Finish: finish,
--- a/internal/core/admission/admission_test.go
+++ b/internal/core/admission/admission_test.go
@@ -121,7 +121,7 @@
 				}
 			},
 			"expire": func(t *rapid.T) {
-				for _, i := range q.Expired(func(i *Item) bool { return now.Sub(i.Enqueued) > 2*time.Second }) {
+				for _, i := range q.RemoveExpired(func(i *Item) bool { return now.Sub(i.Enqueued) > 2*time.Second }) {
 					delete(held, i.ID)
 				}
 			},
@@ -216,9 +216,9 @@
 // Callers with the same retry time return together and are refused again. Retry
 // times must be no denser than the service rate, apart from rounding to whole
 // seconds, and must lie within their bounds.
-func TestPromisesAreSpacedByRate(t *testing.T) {
+func TestRetryBookingsAreSpacedByRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var p Promises
+		var p RetryBookings
 		rate := rapid.Float64Range(0.5, 20).Draw(t, "rate")
 		now := start
 		due := map[int64]int{}
@@ -240,8 +240,8 @@
 	})
 }
 
-func TestPromisesAreRedeemedWithinGrace(t *testing.T) {
-	var p Promises
+func TestRetryBookingsAreRedeemedWithinGrace(t *testing.T) {
+	var p RetryBookings
 	wait := p.Book(start, 0, 10)
 	if p.Redeem(start) {
 		t.Fatal("promise redeemed before it was due")
--- a/internal/core/quarantine/flights_test.go
+++ b/internal/core/quarantine/attempts_test.go
@@ -10,21 +10,21 @@
 
 // Guards against lost attempts that are not reported when their endpoint ends.
 func TestEndedEndpointReportsLostAttempts(t *testing.T) {
-	f, now := NewFlights(), time.Unix(1000, 0)
+	f, now := NewAttempts(), time.Unix(1000, 0)
 	e := EndpointKey{ID: "e", Incarnation: 1}
 	first, second, late := f.Begin(now, e, fingerprint(1)), f.Begin(now, e, fingerprint(2)), f.Begin(now.Add(time.Second), e, fingerprint(3))
 	now = now.Add(2 * time.Second)
 	if probe, ended := f.Lost(now, first); !probe || ended {
 		t.Fatalf("first loss: probe %v, ended %v", probe, ended)
 	}
-	if _, uncertain := f.Gone(now, e); !uncertain {
+	if _, uncertain := f.Ended(now, e); !uncertain {
 		t.Fatal("the end is not uncertain although an older attempt is still open")
 	}
 	if probe, ended := f.Lost(now, second); probe || ended {
 		t.Fatalf("second loss: probe %v, ended %v", probe, ended)
 	}
 	f.End(late)
-	lost, uncertain := f.Gone(now, e)
+	lost, uncertain := f.Ended(now, e)
 	if uncertain || !slices.Equal(lost, []Fingerprint{fingerprint(1), fingerprint(2)}) {
 		t.Fatalf("lost %v, uncertain %v", lost, uncertain)
 	}
@@ -36,12 +36,12 @@
 
 // Guards against broken connections that are counted as crashes.
 func TestLossAtLiveEndpointIsDropped(t *testing.T) {
-	f, now := NewFlights(), time.Unix(1000, 0)
+	f, now := NewAttempts(), time.Unix(1000, 0)
 	e := EndpointKey{ID: "e", Incarnation: 1}
 	f.Lost(now, f.Begin(now, e, fingerprint(1)))
 	f.Alive(e)
 	probe, _ := f.Lost(now.Add(time.Second), f.Begin(now, e, fingerprint(2)))
-	lost, _ := f.Gone(now.Add(time.Second), e)
+	lost, _ := f.Ended(now.Add(time.Second), e)
 	if !probe || !slices.Equal(lost, []Fingerprint{fingerprint(2)}) {
 		t.Fatalf("probe %v, lost %v", probe, lost)
 	}
@@ -49,14 +49,14 @@
 
 // Guards against lost attempts that are reported twice or wrongly, and against
 // attempts that are kept after their end.
-func TestFlightsAgainstOracle(t *testing.T) {
+func TestAttemptsAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f, now := NewFlights(), time.Unix(1000, 0)
+		f, now := NewAttempts(), time.Unix(1000, 0)
 		e := EndpointKey{ID: "e", Incarnation: 1}
-		var open []*Flight
+		var open []*Attempt
 		var unexplained []Fingerprint
 		probing, next := false, 0
-		takeOpen := func() *Flight {
+		takeOpen := func() *Attempt {
 			i := rapid.IntRange(0, len(open)-1).Draw(t, "attempt")
 			flight := open[i]
 			open = slices.Delete(open, i, i+1)
@@ -82,7 +82,7 @@
 				}
 				probing = true
 			case event == "gone" && probing:
-				lost, uncertain := f.Gone(now, e)
+				lost, uncertain := f.Ended(now, e)
 				if uncertain {
 					break
 				}
--- a/internal/core/record/restore_test.go
+++ b/internal/core/record/restore_test.go
@@ -18,7 +18,7 @@
 
 // The store is restored from a backup. The version that operators wrote last must be
 // in force, whether the backup lacks it or it was written after the restore.
-func TestOutlasts(t *testing.T) {
+func TestOverridesStored(t *testing.T) {
 	held := func(era, revision uint64, body string) port.Record {
 		return port.Record{Version: versionInEra(t, era, revision), Body: json.RawMessage(body), Deleted: body == ""}
 	}
@@ -47,7 +47,7 @@
 		for _, v := range c.basedOn {
 			e.Audit = append(e.Audit, AuditEntry{BasedOn: v})
 		}
-		if got := Outlasts(&c.held, &port.Object{Version: versionInEra(t, c.era, c.revision)}, e); got != c.want {
+		if got := OverridesStored(&c.held, &port.Object{Version: versionInEra(t, c.era, c.revision)}, e); got != c.want {
 			t.Errorf("%s: outlasts %v, want %v", c.name, got, c.want)
 		}
 	}
--- a/internal/core/routing/flood_test.go
+++ b/internal/core/routing/flood_test.go
@@ -58,13 +58,13 @@
 	wantVerdict(t, s.Submit(start, organisationRequest("again", "flood")), port.VerdictPlace, ReasonPlaced)
 }
 
-// Where generations end within seconds, an operator can set BusyUse to 1: an
+// Where generations end within seconds, an operator can set BusyThreshold to 1: an
 // organisation waits for others only when the pool is full. Its requests
 // must then not wait while half of the cache is free.
 func TestSurgeIsPlacedBelowBusyUse(t *testing.T) {
 	s := floodedPool(t, 8, 1)
-	s.options.BusyUse = 1
-	if use := s.shards["pool"].utilisation; use < DefaultBusyUse || use >= 1 {
+	s.options.BusyThreshold = 1
+	if use := s.shards["pool"].utilisation; use < DefaultBusyThreshold || use >= 1 {
 		t.Fatalf("pool utilisation %v, want at least DefaultBusyUse and below 1", use)
 	}
 	wantVerdict(t, s.Submit(start, organisationRequest("again", "flood")), port.VerdictPlace, ReasonPlaced)
--- a/internal/core/routing/held.go
+++ b/internal/core/routing/held.go
@@ -97,7 +97,7 @@
 		Organisation: r.Organisation,
 		Lane:         s.lane(e),
 		Priority:     limits.Priority - r.Rank,
-		OnTime:       s.placementDeadline(r),
+		ServeBy:      s.placementDeadline(r),
 		Cost:         e.cost,
 		Enqueued:     now,
 		Owner:        e,
@@ -443,7 +443,7 @@
 }
 
 func (s *shard) refuseOverdue(now time.Time) {
-	overdue := s.queue.Expired(func(i *admission.Item) bool {
+	overdue := s.queue.RemoveExpired(func(i *admission.Item) bool {
 		e := i.Owner.(*entry)
 		w := s.scheduler.weights(e.request.Model)
 		late := !e.request.Deadline.IsZero() && !now.Before(e.request.Deadline)
--- a/internal/core/watchduty/duty_test.go
+++ b/internal/core/watchduty/duty_test.go
@@ -21,17 +21,17 @@
 }
 
 // answeredCall returns the status after the store answered a call of a daemon.
-func answeredCall(seconds float64, by uint64) News {
-	return News{Answered: after(seconds), Tried: after(seconds), By: by}
+func answeredCall(seconds float64, by uint64) StoreStatus {
+	return StoreStatus{Answered: after(seconds), Tried: after(seconds), By: by}
 }
 
 // notWatcher returns the position of a daemon in the middle of a large fleet that is
 // not a chosen watcher.
-func notWatcher() *Standing {
-	return &Standing{Keepers: 200, Place: NotWatcher, Line: 100, Hash: ownHash, Watchers: []uint64{500, 600}, Linked: true}
+func notWatcher() *Position {
+	return &Position{Keepers: 200, WatcherIndex: NotWatcher, HashIndex: 100, Hash: ownHash, Watchers: []uint64{500, 600}, PeerReachable: true}
 }
 
-func wantRole(t *testing.T, d *Duty, seconds float64, s *Standing, want Role) {
+func wantRole(t *testing.T, d *RoleTracker, seconds float64, s *Position, want Role) {
 	t.Helper()
 	if got := d.Role(after(seconds), s); got != want {
 		t.Fatalf("got role %s after %v s, want %s", got, seconds, want)
@@ -42,8 +42,8 @@
 // startup wait each would conclude that it is the only one, and all would watch until
 // they had learned of each other. Meanwhile only the seeds watch.
 func TestOnlySeedsWatchDuringStartup(t *testing.T) {
-	alone := &Standing{Keepers: 1, Place: 0, Hash: ownHash}
-	seed := &Standing{Keepers: 1, Place: 0, Hash: ownHash, Seed: true}
+	alone := &Position{Keepers: 1, WatcherIndex: 0, Hash: ownHash}
+	seed := &Position{Keepers: 1, WatcherIndex: 0, Hash: ownHash, Seed: true}
 	wantRole(t, New(start, overdue), 0.1, alone, Starting)
 	wantRole(t, New(start, overdue), 0.1, seed, Leader)
 	wantRole(t, New(start, overdue), 1.1, alone, Leader)
@@ -52,11 +52,11 @@
 func TestRolesOfWatchers(t *testing.T) {
 	d := New(start, overdue)
 	s := notWatcher()
-	d.Heard(answeredCall(1.9, 500))
+	d.RecordPeerStatus(answeredCall(1.9, 500))
 	wantRole(t, d, 2, s, Off)
-	s.Place = 3
+	s.WatcherIndex = 3
 	wantRole(t, d, 2, s, Deputy)
-	s.Place = 0
+	s.WatcherIndex = 0
 	wantRole(t, d, 2, s, Leader)
 }
 
@@ -64,15 +64,15 @@
 // in line calls the store, and the others receive its result before their own turn.
 func TestFirstInLineReadsWhenOverdue(t *testing.T) {
 	first, last := notWatcher(), notWatcher()
-	first.Line, last.Line = 0, 199
+	first.HashIndex, last.HashIndex = 0, 199
 	a, b := New(start, overdue), New(start, overdue)
-	a.Heard(answeredCall(10, 500))
-	b.Heard(answeredCall(10, 500))
+	a.RecordPeerStatus(answeredCall(10, 500))
+	b.RecordPeerStatus(answeredCall(10, 500))
 	wantRole(t, a, 11.5, first, Off)
-	wantRole(t, a, 12, first, Alone)
-	a.Called(after(12), ownHash, true)
+	wantRole(t, a, 12, first, Isolated)
+	a.RecordCall(after(12), ownHash, true)
 	wantRole(t, b, 12.2, last, Off)
-	b.Heard(a.News())
+	b.RecordPeerStatus(a.Status())
 	wantRole(t, b, 13, last, Off)
 }
 
@@ -81,21 +81,21 @@
 func TestIsolatedDaemonReadsForItself(t *testing.T) {
 	d := New(start, overdue)
 	s := notWatcher()
-	d.Heard(answeredCall(10, 500))
-	s.Linked = false
+	d.RecordPeerStatus(answeredCall(10, 500))
+	s.PeerReachable = false
 	wantRole(t, d, 11.4, s, Off)
-	wantRole(t, d, 11.6, s, Alone)
+	wantRole(t, d, 11.6, s, Isolated)
 	for n := range 50 {
 		at := 11.6 + float64(n)
-		d.Called(after(at), ownHash, true)
-		wantRole(t, d, at+0.9, s, Alone)
+		d.RecordCall(after(at), ownHash, true)
+		wantRole(t, d, at+0.9, s, Isolated)
 	}
 	// The connection is restored. The status of its own calls, sent back by
 	// peers, does not count as that of another daemon.
-	s.Linked = true
-	d.Heard(d.News())
-	wantRole(t, d, 62, s, Alone)
-	d.Heard(answeredCall(62.1, 500))
+	s.PeerReachable = true
+	d.RecordPeerStatus(d.Status())
+	wantRole(t, d, 62, s, Isolated)
+	d.RecordPeerStatus(answeredCall(62.1, 500))
 	wantRole(t, d, 62.2, s, Off)
 }
 
@@ -105,16 +105,16 @@
 func TestOneOfTwoReadersStops(t *testing.T) {
 	low, high := notWatcher(), notWatcher()
 	low.Hash, high.Hash = 10, 20
-	low.Linked, high.Linked = false, false
+	low.PeerReachable, high.PeerReachable = false, false
 	a, b := New(start, overdue), New(start, overdue)
-	wantRole(t, a, 5, low, Alone)
-	wantRole(t, b, 5, high, Alone)
-	a.Called(after(5), low.Hash, true)
-	b.Called(after(5.01), high.Hash, true)
-	a.Heard(b.News())
-	wantRole(t, a, 5.1, low, Alone)
-	a.Called(after(5.2), low.Hash, true)
-	b.Heard(a.News())
+	wantRole(t, a, 5, low, Isolated)
+	wantRole(t, b, 5, high, Isolated)
+	a.RecordCall(after(5), low.Hash, true)
+	b.RecordCall(after(5.01), high.Hash, true)
+	a.RecordPeerStatus(b.Status())
+	wantRole(t, a, 5.1, low, Isolated)
+	a.RecordCall(after(5.2), low.Hash, true)
+	b.RecordPeerStatus(a.Status())
 	wantRole(t, b, 5.3, high, Off)
 }
 
@@ -124,20 +124,20 @@
 func TestBlindOnlyInReadingRole(t *testing.T) {
 	d := New(start, overdue)
 	s := notWatcher()
-	d.Heard(answeredCall(60, 500))
+	d.RecordPeerStatus(answeredCall(60, 500))
 	wantRole(t, d, 60, s, Off)
 	if d.Blind(after(61)) {
 		t.Fatal("blind although its role never read the store")
 	}
-	s.Place = 0
+	s.WatcherIndex = 0
 	wantRole(t, d, 61, s, Leader)
-	d.Called(after(61.1), ownHash, false)
+	d.RecordCall(after(61.1), ownHash, false)
 	if d.Blind(after(62.4)) || !d.Blind(after(62.6)) {
 		t.Fatal("blind before the overdue time without an answer, or not blind after it")
 	}
-	s.Place = NotWatcher
-	wantRole(t, d, 63, s, Blind)
-	d.Called(after(64), ownHash, true)
+	s.WatcherIndex = NotWatcher
+	wantRole(t, d, 63, s, Refused)
+	d.RecordCall(after(64), ownHash, true)
 	if d.Blind(after(64)) {
 		t.Fatal("blind although its call was answered")
 	}
@@ -148,8 +148,8 @@
 func TestPendingCallIsNotBlind(t *testing.T) {
 	d := New(start, overdue)
 	s := notWatcher()
-	s.Place = 2
-	d.Called(after(2), ownHash, true)
+	s.WatcherIndex = 2
+	d.RecordCall(after(2), ownHash, true)
 	wantRole(t, d, 2, s, Deputy)
 	if d.Blind(after(6.9)) {
 		t.Fatal("blind while its call waits for a change")
@@ -162,25 +162,25 @@
 func TestRefusalOfBlindDaemonIsNotSent(t *testing.T) {
 	d := New(start, overdue)
 	s := notWatcher()
-	s.Place = 0
+	s.WatcherIndex = 0
 	wantRole(t, d, 2, s, Leader)
-	d.Called(after(2), ownHash, true)
-	d.Called(after(3), ownHash, false)
-	if !d.News().Failing() {
+	d.RecordCall(after(2), ownHash, true)
+	d.RecordCall(after(3), ownHash, false)
+	if !d.Status().Failing() {
 		t.Fatal("the failure is not in the status for peers")
 	}
-	d.Called(after(4), ownHash, false)
+	d.RecordCall(after(4), ownHash, false)
 	d.Blind(after(4))
-	if d.News().Failing() {
+	if d.Status().Failing() {
 		t.Fatal("the refusal of a blind daemon is in the status for peers")
 	}
-	d.Heard(answeredCall(3.5, 500))
-	if n := d.News(); n.Failing() || n.By != 500 {
+	d.RecordPeerStatus(answeredCall(3.5, 500))
+	if n := d.Status(); n.Failing() || n.By != 500 {
 		t.Fatalf("got %+v, want an answered call of daemon 500", n)
 	}
 }
 
-var drawNews = rapid.Custom(func(t *rapid.T) News {
+var drawNews = rapid.Custom(func(t *rapid.T) StoreStatus {
 	at := func(name string) time.Time {
 		n := rapid.IntRange(0, 3).Draw(t, name)
 		if n == 0 {
@@ -188,7 +188,7 @@
 		}
 		return after(float64(n))
 	}
-	n := News{Answered: at("answered"), Tried: at("tried")}
+	n := StoreStatus{Answered: at("answered"), Tried: at("tried")}
 	if n.Answered.After(n.Tried) {
 		n.Tried = n.Answered
 	}
@@ -199,13 +199,13 @@
 
 // Join is commutative, associative and idempotent, so that daemons end with the same
 // status whatever the order and number of messages.
-func TestNewsJoin(t *testing.T) {
+func TestStoreStatusMerge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := drawNews.Draw(t, "a"), drawNews.Draw(t, "b"), drawNews.Draw(t, "c")
-		if a.Join(a) != a || a.Join(b) != b.Join(a) || a.Join(b).Join(c) != a.Join(b.Join(c)) {
+		if a.Merge(a) != a || a.Merge(b) != b.Merge(a) || a.Merge(b).Merge(c) != a.Merge(b.Merge(c)) {
 			t.Fatalf("Join is not idempotent, commutative and associative for %+v, %+v and %+v", a, b, c)
 		}
-		if j := a.Join(b); j.Answered.Before(a.Answered) || j.Tried.Before(a.Tried) || j.Tried.Before(j.Answered) {
+		if j := a.Merge(b); j.Answered.Before(a.Answered) || j.Tried.Before(a.Tried) || j.Tried.Before(j.Answered) {
 			t.Fatalf("joining %+v and %+v gives the invalid status %+v", a, b, j)
 		}
 	})
@@ -213,28 +213,28 @@
 
 // Between heartbeats a peer is informed when the store stops answering or answers
 // again, and otherwise only when a time has advanced by a step.
-func TestNewsAdds(t *testing.T) {
+func TestStoreStatusShouldSend(t *testing.T) {
 	const step = time.Second
 	lastSent := answeredCall(10, 1)
 	for _, c := range []struct {
 		name string
-		news News
+		news StoreStatus
 		want bool
 	}{
 		{"unchanged", lastSent, false},
 		{"newer by less than a step", answeredCall(10.5, 1), false},
 		{"newer by a step", answeredCall(11, 1), true},
-		{"a failure", News{Answered: after(10), Tried: after(10.1), By: 1}, true},
+		{"a failure", StoreStatus{Answered: after(10), Tried: after(10.1), By: 1}, true},
 	} {
-		if got := c.news.Adds(lastSent, step); got != c.want {
+		if got := c.news.ShouldSend(lastSent, step); got != c.want {
 			t.Errorf("%s: got %v, want %v", c.name, got, c.want)
 		}
 	}
-	failing := News{Answered: after(10), Tried: after(10.1), By: 1}
-	if (News{Answered: after(10), Tried: after(10.2), By: 2}).Adds(failing, step) {
+	failing := StoreStatus{Answered: after(10), Tried: after(10.1), By: 1}
+	if (StoreStatus{Answered: after(10), Tried: after(10.2), By: 2}).ShouldSend(failing, step) {
 		t.Error("a further failure is sent at once")
 	}
-	if !answeredCall(10.2, 2).Adds(failing, step) {
+	if !answeredCall(10.2, 2).ShouldSend(failing, step) {
 		t.Error("an answer after a failure is not sent at once")
 	}
 }
--- a/internal/crashwatch/crashwatch.go
+++ b/internal/crashwatch/crashwatch.go
@@ -41,31 +41,31 @@
 // Options configures a Watch.
 type Options struct {
 	Quarantine Quarantine
-	// Look probes over a new connection whether an endpoint serves.
-	Look func(ctx context.Context, e port.Endpoint) port.Presence
-	// Leaving reports whether an endpoint was known to be leaving, so that its
+	// CheckPresence probes over a new connection whether an endpoint serves.
+	CheckPresence func(ctx context.Context, e port.Endpoint) port.Presence
+	// IsLeaving reports whether an endpoint was known to be leaving, so that its
 	// end is no crash.
-	Leaving func(e port.Endpoint) bool
-	// Crashed is called for an endpoint that has crashed; lost is the number
+	IsLeaving func(e port.Endpoint) bool
+	// OnCrash is called for an endpoint that has crashed; lost is the number
 	// of requests of this daemon that ran there.
-	Crashed func(e port.Endpoint, reason string, lost int)
+	OnCrash func(e port.Endpoint, reason string, lost int)
 	Clock   func() time.Time
 }
 
 // Watch tracks the attempts of one daemon. It is safe for concurrent use.
 type Watch struct {
-	o       Options
-	flights *quarantine.Flights
+	o        Options
+	attempts *quarantine.Attempts
 }
 
 // New returns a Watch that tracks no attempts yet.
-func New(o Options) *Watch { return &Watch{o: o, flights: quarantine.NewFlights()} }
+func New(o Options) *Watch { return &Watch{o: o, attempts: quarantine.NewAttempts()} }
 
 // Attempt is one tracked attempt.
 type Attempt struct {
 	endpoint    port.Endpoint
 	fingerprint quarantine.Fingerprint
-	flight      *quarantine.Flight
+	attempt     *quarantine.Attempt
 }
 
 func keyOf(e port.Endpoint) quarantine.EndpointKey {
@@ -74,7 +74,7 @@
 
 // Begin starts tracking an attempt when it is sent.
 func (w *Watch) Begin(e port.Endpoint, f quarantine.Fingerprint) *Attempt {
-	return &Attempt{endpoint: e, fingerprint: f, flight: w.flights.Begin(w.o.Clock(), keyOf(e), f)}
+	return &Attempt{endpoint: e, fingerprint: f, attempt: w.attempts.Begin(w.o.Clock(), keyOf(e), f)}
 }
 
 // End stops tracking an attempt; lost means that its connection broke. The
@@ -82,10 +82,10 @@
 // is running or it is known to have ended.
 func (w *Watch) End(a *Attempt, lost bool) {
 	if !lost {
-		w.flights.End(a.flight)
+		w.attempts.End(a.attempt)
 		return
 	}
-	probe, ended := w.flights.Lost(w.o.Clock(), a.flight)
+	probe, ended := w.attempts.Lost(w.o.Clock(), a.attempt)
 	switch {
 	case ended:
 		w.o.Quarantine.Crashed(w.o.Clock(), crashOf(a.endpoint), []quarantine.Fingerprint{a.fingerprint})
@@ -95,12 +95,12 @@
 }
 
 // Tick drops endpoints that ended some time ago.
-func (w *Watch) Tick() { w.flights.Tick(w.o.Clock()) }
+func (w *Watch) Tick() { w.attempts.Tick(w.o.Clock()) }
 
-// Looking returns the number of endpoints that are being checked.
-func (w *Watch) Looking() int { return w.flights.Looking() }
+// PendingChecks returns the number of endpoints that are being checked.
+func (w *Watch) PendingChecks() int { return w.attempts.Probing() }
 
-func crashOf(e port.Endpoint) quarantine.CrashID { return quarantine.CrashOf(e.ID, e.Incarnation) }
+func crashOf(e port.Endpoint) quarantine.CrashID { return quarantine.NewCrashID(e.ID, e.Incarnation) }
 
 // checkEndpoint determines whether an endpoint at which a connection broke has
 // ended.
@@ -110,7 +110,7 @@
 		time.Sleep(delay)
 		switch w.probe(e) {
 		case port.PresenceServing:
-			w.flights.Alive(keyOf(e))
+			w.attempts.Alive(keyOf(e))
 			return
 		case port.PresenceGone:
 			time.Sleep(lossDelay)
@@ -124,13 +124,13 @@
 	if silent == len(probeDelays) && w.reportEnd(e, "connections end without an answer") {
 		return
 	}
-	w.flights.Alive(keyOf(e))
+	w.attempts.Alive(keyOf(e))
 }
 
 func (w *Watch) probe(e port.Endpoint) port.Presence {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
-	return w.o.Look(ctx, e)
+	return w.o.CheckPresence(ctx, e)
 }
 
 // reportEnd reports the end of an endpoint, as a crash unless it was leaving.
@@ -138,12 +138,12 @@
 // still open, as the endpoint may then still run.
 func (w *Watch) reportEnd(e port.Endpoint, reason string) bool {
 	now := w.o.Clock()
-	lost, uncertain := w.flights.Gone(now, keyOf(e))
+	lost, uncertain := w.attempts.Ended(now, keyOf(e))
 	if uncertain {
 		return false
 	}
-	if !w.o.Leaving(e) {
-		w.o.Crashed(e, reason, len(lost))
+	if !w.o.IsLeaving(e) {
+		w.o.OnCrash(e, reason, len(lost))
 		w.o.Quarantine.Crashed(now, crashOf(e), lost)
 	}
 	return true
--- a/internal/gateway/moves.go
+++ b/internal/gateway/moves.go
@@ -56,10 +56,10 @@
 	defer m.state.cancel()
 	defer m.finish()
 	defer m.run.x.recoverMove()
-	step := continuity.StepElsewhere
+	step := continuity.StepNextDestination
 	for ctx.Err() == nil {
 		switch step {
-		case continuity.StepElsewhere:
+		case continuity.StepNextDestination:
 			if !m.chooseDestination(ctx) {
 				return
 			}
@@ -93,7 +93,7 @@
 // chooseDestination requests the runner to move to from the scheduler.
 func (m *mover) chooseDestination(ctx context.Context) bool {
 	x := m.run.x
-	d := m.g.Placer.Relocate(ctx, x.req.ID, port.Relocation{
+	d := m.g.Placer.Relocate(ctx, x.req.ID, port.RelocationConstraints{
 		Excluded: m.excluded, FailureDomain: m.from.FailureDomain,
 	})
 	x.recordConcurrent(verdictMove, d.Reason, d.Endpoint.ID, d.Candidates)
@@ -120,7 +120,7 @@
 func (m *mover) rejectDestination() continuity.Step {
 	m.excluded = append(m.excluded, m.to.ID)
 	m.excluded = append(m.excluded, m.g.endpointTable.evacuatedIDs(m.run.x.pool)...)
-	return continuity.StepElsewhere
+	return continuity.StepNextDestination
 }
 
 // copy copies once and returns the next step of the move.
--- a/internal/keeper/existence.go
+++ b/internal/keeper/existence.go
@@ -42,7 +42,7 @@
 	s.apply(objects)
 	missing, now := s.unlisted(objects, revision), time.Now()
 	if s.updateEra(revision.Era()) {
-		s.deleteAfter = now.Add(k.options.LapseGrace)
+		s.deleteAfter = now.Add(k.options.DelistGrace)
 	}
 	if remaining := s.deleteAfter.Sub(now); remaining > 0 {
 		s.delayedDeletes.Go(func() {
@@ -82,7 +82,7 @@
 // held returns the records of the kind that are in force.
 func (s *existenceSource) held() []port.Record {
 	var out []port.Record
-	for _, r := range s.keeper.node.Whole() {
+	for _, r := range s.keeper.node.CompleteRecords() {
 		if r.Kind == s.kind && !r.Deleted {
 			out = append(out, r)
 		}
--- a/internal/keeper/hosts.go
+++ b/internal/keeper/hosts.go
@@ -74,12 +74,12 @@
 	})
 }
 
-// TellLimit announces to all daemons how many requests per second an endpoint
+// PublishLimit announces to all daemons how many requests per second an endpoint
 // accepts from all of them together; zero means no limit.
-func (k *Keeper) TellLimit(endpoint string, incarnation uint64, perSecond float64) {
+func (k *Keeper) PublishLimit(endpoint string, incarnation uint64, perSecond float64) {
 	known, ok := k.node.Endpoints.Get(endpoint)
 	if ok && known.Incarnation == incarnation {
-		k.node.PutEndpoint(membership.Limited(known, perSecond))
+		k.node.PutEndpoint(membership.WithRateLimit(known, perSecond))
 	}
 }
 
@@ -92,7 +92,7 @@
 		return
 	}
 	k.prunedDigest = digest
-	for _, id := range k.node.ForgetDeparted() {
+	for _, id := range k.node.PruneDeparted() {
 		k.probeFailures.reset(id)
 	}
 }
--- a/internal/keeper/links.go
+++ b/internal/keeper/links.go
@@ -97,7 +97,7 @@
 // each other; their neighbours on the ring then send them the endpoints.
 func (k *Keeper) SendsEndpoints(to *membership.Member) bool {
 	ring := k.memberView().ring
-	return to.Role != port.RoleKeeper || ring.Len() <= smallFleetSize || ring.Joins(to.ID, k.options.Self.ID)
+	return to.Role != port.RoleKeeper || ring.Len() <= smallFleetSize || ring.Connects(to.ID, k.options.Self.ID)
 }
 
 // maintainLink keeps a subscription to one keeper until the context ends.
@@ -130,7 +130,7 @@
 	k.bytesReceived.Inc(traffic.Received())
 	if ctx.Err() == nil {
 		k.options.Logger.Info().Str("event", "keeper_link_lost").Str("keeper", address).
-			Int64("after_ms", now.Sub(began).Milliseconds()).Int64("quiet_ms", *port.AgeMillis(traffic.Quiet(now))).
+			Int64("after_ms", now.Sub(began).Milliseconds()).Int64("quiet_ms", *port.AgeMillis(traffic.SinceReceived(now))).
 			Int64("bytes_sent", traffic.Sent()).Int64("bytes_received", traffic.Received()).Err(err).Msg("")
 	}
 }
--- a/internal/keeper/probes.go
+++ b/internal/keeper/probes.go
@@ -55,7 +55,7 @@
 func (k *Keeper) runProbes(ctx context.Context) error {
 	for {
 		every := k.options.ProbeEvery
-		if !k.options.ProbeWhenAway || k.platformUnavailable(time.Now()) {
+		if !k.options.ProbeOnlyDuringOutage || k.platformUnavailable(time.Now()) {
 			share := k.probeShare()
 			k.probeRound(ctx, share)
 			every = max(every, time.Duration(float64(len(share))/k.options.ProbesPerSecond*float64(time.Second)))
@@ -75,17 +75,17 @@
 // becomes known within the time of a relay; missing answers only become known
 // after the longest normal time between two.
 func (k *Keeper) platformUnavailable(now time.Time) bool {
-	if k.failingWatches.Load() > 0 || k.duty.News().Failing() {
+	if k.failingWatches.Load() > 0 || k.duty.Status().Failing() {
 		return true
 	}
-	return k.PlatformAge(now) > k.options.WatchWait+platformAgeSlack+watchduty.RelayTime(len(k.memberView().live))
+	return k.PlatformAge(now) > k.options.WatchWait+platformAgeSlack+watchduty.MaxRelayDelay(len(k.memberView().live))
 }
 
 func (k *Keeper) probeShare() []membership.Endpoint {
 	owners := k.memberView().owners
 	var out []membership.Endpoint
 	for e := range k.node.Endpoints.All() {
-		if k.probeUseful(&e) && owners.Of(e.ID) == k.options.Self.ID {
+		if k.probeUseful(&e) && owners.Owner(e.ID) == k.options.Self.ID {
 			out = append(out, e)
 		}
 	}
@@ -96,7 +96,7 @@
 // information: with a registry only that the endpoint is leaving, without one
 // also that it is gone.
 func (k *Keeper) probeUseful(e *membership.Endpoint) bool {
-	if k.options.ProbeWhenAway {
+	if k.options.ProbeOnlyDuringOutage {
 		return e.State == port.EndpointLive
 	}
 	return e.State != port.EndpointGone
@@ -114,7 +114,7 @@
 	}
 	// The functions never return an error; failed holds the outcomes.
 	_ = group.Wait()
-	if !k.options.ProbeWhenAway {
+	if !k.options.ProbeOnlyDuringOutage {
 		k.handleProbeFailures(share, failed)
 	}
 }
@@ -130,7 +130,7 @@
 	k.probeFailures.reset(e.ID)
 	// Read again, because the entry may have changed during the probe.
 	if known, ok := k.node.Endpoints.Get(e.ID); ok {
-		k.putEndpoint(membership.Said(known, &report), "own_word")
+		k.putEndpoint(membership.WithReport(known, &report), "own_word")
 	}
 	return true
 }
@@ -155,7 +155,7 @@
 			continue
 		}
 		if known, ok := k.node.Endpoints.Get(share[i].ID); ok {
-			k.putEndpoint(membership.Missed(known), "probes_failed")
+			k.putEndpoint(membership.WithUnreachable(known), "probes_failed")
 		}
 	}
 }
--- a/internal/keeper/quarantine.go
+++ b/internal/keeper/quarantine.go
@@ -29,7 +29,7 @@
 // loss of all would need as many crashes again to identify each.
 func (k *Keeper) syncQuarantine(ctx context.Context) error {
 	var group errgroup.Group
-	group.Go(func() error { crashwatch.Keep(ctx, k.node, k.quarantine); return nil })
+	group.Go(func() error { crashwatch.RunRegister(ctx, k.node, k.quarantine); return nil })
 	group.Go(func() error { return k.writeQuarantinePeriodically(ctx) })
 	applied := uint64(0)
 	for ctx.Err() == nil {
@@ -53,7 +53,7 @@
 	if r.Deleted {
 		return r.Version
 	}
-	held, released, err := record.Quarantined(r)
+	held, released, err := record.DecodeQuarantine(r)
 	if err != nil {
 		k.options.Logger.Error().Str("event", "record_unreadable").Str("kind", r.Kind).Str("name", r.Name).
 			Uint64("version", r.Version).Err(err).Msg("")
@@ -88,13 +88,13 @@
 // what the platform holds.
 func (w *quarantineWriter) write(ctx context.Context, now time.Time) {
 	k := w.keeper
-	if k.memberView().watcherIndex != 0 || !k.Ready() || k.duty.News().Failing() || now.Before(w.next) {
+	if k.memberView().watcherIndex != 0 || !k.Ready() || k.duty.Status().Failing() || now.Before(w.next) {
 		return
 	}
 	quarantined := k.quarantine.Entries()
 	held, known := k.Record(port.ObjectRequestQuarantine, record.QuarantineName)
 	known = known && !held.Deleted
-	if known && record.HoldsQuarantine(held, quarantined) || !known && len(quarantined) == 0 {
+	if known && record.QuarantineUpToDate(held, quarantined) || !known && len(quarantined) == 0 {
 		return
 	}
 	_, err := k.Change(ctx, &Change{
--- a/internal/keeper/records.go
+++ b/internal/keeper/records.go
@@ -21,13 +21,13 @@
 	// ErrStale: the record's version isn't the one that the operator's change
 	// was based on.
 	ErrStale = merry.Sentinel("records: the record has another version")
-	// ErrAbsent: the record doesn't exist.
-	ErrAbsent = merry.Sentinel("records: no such record")
+	// ErrNotFound: the record doesn't exist.
+	ErrNotFound = merry.Sentinel("records: no such record")
 	// ErrNotWritten: the platform did not accept the write; nothing changed.
 	ErrNotWritten = merry.Sentinel("records: the platform did not take the write; nothing changed")
-	// ErrUnknown: the write may have taken effect, and the platform can't be
+	// ErrOutcomeUnknown: the write may have taken effect, and the platform can't be
 	// read to find out.
-	ErrUnknown = merry.Sentinel("records: whether the write took effect is not known")
+	ErrOutcomeUnknown = merry.Sentinel("records: whether the write took effect is not known")
 	// ErrTooLarge: the value exceeds the platform's limit.
 	ErrTooLarge = merry.Sentinel("records: the record is too large")
 )
@@ -143,7 +143,7 @@
 	case c.Create:
 		return nil
 	case stored.Deleted:
-		return ErrAbsent
+		return ErrNotFound
 	case c.Expect != object.Version:
 		return ErrStale
 	}
@@ -165,7 +165,7 @@
 			// one.
 			return nil, err
 		}
-		if d, err = d.KeepCarried(stored); err != nil {
+		if d, err = d.WithFieldsOf(stored); err != nil {
 			return nil, err
 		}
 	}
@@ -247,7 +247,7 @@
 			return err
 		}
 		if pause(ctx, w.keeper.options.OutcomeRetryPause) != nil {
-			return ErrUnknown
+			return ErrOutcomeUnknown
 		}
 	}
 }
@@ -298,16 +298,16 @@
 	}
 	w.result.Record = r
 	w.keeper.node.PutRecord(r)
-	if envelope.HoldsWrite(w.writeID) {
+	if envelope.HasWrite(w.writeID) {
 		w.result.Superseded = envelope.WriteID != w.writeID
 		return nil
 	}
-	if envelope.KnowsSuccessorOf(w.expect) {
+	if envelope.HasWriteBasedOn(w.expect) {
 		return ErrStale
 	}
 	// The audit trail no longer reaches back to the expected version, so it
 	// can't tell whether the write is among the entries that were dropped.
-	return ErrUnknown
+	return ErrOutcomeUnknown
 }
 
 // logChange logs the decision on a change.
@@ -322,7 +322,7 @@
 	if err != nil {
 		verdict, reason = "refused", err.Error()
 	}
-	if errors.Is(err, ErrUnknown) {
+	if errors.Is(err, ErrOutcomeUnknown) {
 		verdict = "unknown"
 	}
 	k.options.Decisions.Record(&port.DecisionRecord{
@@ -332,23 +332,23 @@
 	})
 }
 
-// RecordHeard logs which peer sent a version and how many of its parts are
+// RecordReceived logs which peer sent a version and how many of its parts are
 // missing. For a version that arrives late, this shows how much of it had
 // arrived.
-func (k *Keeper) RecordHeard(r *spread.Revision, from string, missing int) {
+func (k *Keeper) RecordReceived(r *spread.Revision, from string, missing int) {
 	k.options.Logger.Info().Str("event", "record_heard").Str("record", spread.RecordKey(r.Kind, r.Name)).
 		Uint64("version", r.Version).Str("from", cmp.Or(from, "platform")).Int("parts", len(r.Parts)).Int("parts_missing", missing).
 		Int64("platform_age_ms", *port.AgeMillis(k.PlatformAge(time.Now()))).Msg("")
 }
 
-// RecordWhole logs that all parts of a version have arrived, so that it can be
+// RecordCompleted logs that all parts of a version have arrived, so that it can be
 // put in force.
-func (k *Keeper) RecordWhole(r *port.Record) {
+func (k *Keeper) RecordCompleted(r *port.Record) {
 	k.options.Logger.Info().Str("event", "record_whole").Str("record", spread.RecordKey(r.Kind, r.Name)).
 		Uint64("version", r.Version).Int("bytes", len(r.Body)).Msg("")
 }
 
 // Record returns one record in force. A deleted one is returned as such.
 func (k *Keeper) Record(kind, name string) (port.Record, bool) {
-	return k.node.WholeRecord(kind, name)
+	return k.node.CompleteRecord(kind, name)
 }
--- a/internal/keeper/recordsource.go
+++ b/internal/keeper/recordsource.go
@@ -63,7 +63,7 @@
 // markListed records that a kind was listed. Once all watched kinds have been,
 // the records are complete.
 func (k *Keeper) markListed(kind string) {
-	watched := slices.Concat(k.options.Kinds, k.options.PresentKinds)
+	watched := slices.Concat(k.options.Kinds, k.options.ExistenceKinds)
 	if slices.Contains(watched, kind) && k.listed.add(kind, len(watched)) {
 		k.node.SetComplete()
 	}
@@ -78,7 +78,7 @@
 	}
 	s.era, s.restorePending = era, record.KnownKind(s.kind)
 	// By then the peers have sent what they hold.
-	s.repairAt = now.Add(s.keeper.options.LapseGrace)
+	s.repairAt = now.Add(s.keeper.options.DelistGrace)
 }
 
 // primary returns false if endpoints are watched as well, since those calls
@@ -114,7 +114,7 @@
 // backup.
 func (s *recordSource) applyBackup(objects []port.Object) {
 	for i := range objects {
-		s.put(&objects[i], record.FromCopy)
+		s.put(&objects[i], record.FromRestoredObject)
 	}
 }
 
@@ -145,10 +145,10 @@
 		}
 		s.put(o, record.FromObject)
 	}
-	for _, held := range k.node.Whole() {
+	for _, held := range k.node.CompleteRecords() {
 		// A missing tombstone means the same as a stored one.
 		if held.Kind == s.kind && !listed[held.Name] && !held.Deleted {
-			lost = append(lost, rewrite{held: held, storedVersion: uint64(at.None()), stored: &record.Envelope{Deleted: true}})
+			lost = append(lost, rewrite{held: held, storedVersion: uint64(at.AbsentVersion()), stored: &record.Envelope{Deleted: true}})
 		}
 	}
 	s.restorePending = len(lost) > 0
@@ -162,12 +162,12 @@
 // lostWrite returns the record to be written again over a stored value, or nil
 // if there is none.
 func (k *Keeper) lostWrite(o *port.Object) *rewrite {
-	held, known := k.node.WholeRecord(o.Kind, o.Name)
+	held, known := k.node.CompleteRecord(o.Kind, o.Name)
 	if !known {
 		return nil
 	}
 	e, err := record.DecodeEnvelope(o.Value)
-	if err != nil || !record.Outlasts(&held, o, e) {
+	if err != nil || !record.OverridesStored(&held, o, e) {
 		return nil
 	}
 	return &rewrite{held: held, storedVersion: o.Version, stored: e}
--- a/internal/keeper/rewrite_test.go
+++ b/internal/keeper/rewrite_test.go
@@ -121,7 +121,7 @@
 	k.options.Self.ID = fmt.Sprint("k", i)
 	k.options.Kinds = []string{testKind}
 	// The test decides when the peers have sent what they hold.
-	k.options.LapseGrace = time.Hour
+	k.options.DelistGrace = time.Hour
 	o.keepers[i], o.sources[i] = k, &recordSource{keeper: k, kind: testKind}
 	o.watches[i] = newWatch(k, testKind, o.sources[i])
 	o.seen[i] = map[string]int{}
@@ -150,7 +150,7 @@
 	}
 	o.platform.loseReply = rapid.Bool().Draw(o.t, "the reply is lost")
 	result, err := k.Change(context.Background(), c)
-	if errors.Is(err, ErrAbsent) || len(stored.Value) == 0 {
+	if errors.Is(err, ErrNotFound) || len(stored.Value) == 0 {
 		c.Create, c.Expect = true, 0
 		result, err = k.Change(context.Background(), c)
 	}
@@ -216,7 +216,7 @@
 	for name, weight := range o.accepted {
 		held := weight > 0 && o.storedWeight(name) == weight || weight == 0 && o.storesWrite(name, o.deletes[name].WriteID)
 		for _, k := range o.keepers {
-			r, known := k.node.WholeRecord(testKind, name)
+			r, known := k.node.CompleteRecord(testKind, name)
 			held = held || known && weightOf(r) == weight && (weight > 0 || r.Version == o.deletes[name].Record.Version)
 		}
 		if !held {
@@ -249,14 +249,14 @@
 		return false
 	}
 	e, err := record.DecodeEnvelope(value.Value)
-	return err == nil && e.HoldsWrite(id)
+	return err == nil && e.HasWrite(id)
 }
 
 // check verifies that the record in force at a keeper never goes back to an
 // earlier write.
 func (o *operatorModel) check() {
 	for i, k := range o.keepers {
-		for _, r := range k.node.Whole() {
+		for _, r := range k.node.CompleteRecords() {
 			weight := weightOf(r)
 			if weight > 0 && weight < o.seen[i][r.Name] {
 				o.t.Fatalf("keeper %d has weight %d of %s in force after weight %d", i, weight, r.Name, o.seen[i][r.Name])
@@ -289,7 +289,7 @@
 				t.Fatalf("the store holds weight %d of %s, want %d", got, name, weight)
 			}
 			for i, k := range o.keepers {
-				if r, _ := k.node.WholeRecord(testKind, name); weightOf(r) != weight {
+				if r, _ := k.node.CompleteRecord(testKind, name); weightOf(r) != weight {
 					t.Fatalf("keeper %d has weight %d of %s in force, want %d", i, weightOf(r), name, weight)
 				}
 			}
--- a/internal/keeper/watch.go
+++ b/internal/keeper/watch.go
@@ -93,7 +93,7 @@
 			w.listed = false
 			w.setFailing(false)
 		}
-		return k.options.DutyCheck
+		return k.options.RoleCheckInterval
 	}
 	changed, err := w.call(ctx, now, role)
 	switch {
@@ -120,7 +120,7 @@
 		return false
 	case watchduty.Starting:
 		return !w.listed
-	case watchduty.Blind:
+	case watchduty.Refused:
 		return w.source.primary()
 	default:
 		return true
@@ -141,8 +141,8 @@
 	k, timeout := w.keeper, w.pollTimeout(role)
 	if timeout > k.options.WatchWait {
 		go func() {
-			for pause(ctx, k.options.DutyCheck) == nil {
-				if k.role(time.Now()) > role || k.duty.News().Failing() {
+			for pause(ctx, k.options.RoleCheckInterval) == nil {
+				if k.role(time.Now()) > role || k.duty.Status().Failing() {
 					cancel(errSuperseded)
 				}
 			}
@@ -160,7 +160,7 @@
 // changes matter, and these are answered at once.
 func (w *watch) pollTimeout(role watchduty.Role) time.Duration {
 	k := w.keeper
-	if k.duty.News().Failing() || role != watchduty.Deputy && w.source.primary() {
+	if k.duty.Status().Failing() || role != watchduty.Deputy && w.source.primary() {
 		return k.options.WatchWait
 	}
 	return max(k.options.WatchWait, longPollTimeout)
@@ -236,7 +236,7 @@
 	w.setFailing(true)
 	d := w.retry
 	w.retry = min(2*w.retry, w.keeper.options.RetryPauseMax)
-	if role == watchduty.Blind {
+	if role == watchduty.Refused {
 		d = blindPause
 	}
 	return d/2 + rand.N(d)
--- a/internal/router/resume.go
+++ b/internal/router/resume.go
@@ -20,7 +20,7 @@
 
 // Resume continues the stream of a run that any router may have dispatched. It
 // neither dispatches nor cancels, so it can't start a second generation.
-func (r *Router) Resume(ctx context.Context, req *ResumeRequest, answer Answer) *Refusal {
+func (r *Router) Resume(ctx context.Context, req *ResumeRequest, answer FrameWriter) *Refusal {
 	if refusal := r.admit(req.RequestID); refusal != nil {
 		return refusal
 	}
@@ -43,7 +43,7 @@
 		start: &port.GenerationStart{Endpoint: endpoint, Generation: tok.Generation},
 	}
 	result := a.run(ctx)
-	if result.fate == stream.FateDone {
+	if result.outcome == stream.OutcomeDone {
 		r.finishResume(req, &tok, outcome.Done, result.reason)
 		return nil
 	}
@@ -95,10 +95,10 @@
 	refusal := &Refusal{
 		Cause: CauseEndpointFailed, Outcome: outcome.Failed, Detail: result.reason, LastIndex: m.Next() - 1,
 	}
-	if result.fate == stream.FateRan {
-		refusal.Cause = CauseGenerationGone
+	if result.outcome == stream.OutcomeRan {
+		refusal.Cause = CauseGenerationNotHeld
 	}
-	if result.fate == stream.FateLeft {
+	if result.outcome == stream.OutcomeDetached {
 		// The engine may still hold the generation, and another router may reach the
 		// engine.
 		refusal.Outcome = outcome.Unknown
